--- a/egretjobd/acceptor.c
+++ b/egretjobd/acceptor.c
@@ -178,8 +178,9 @@
 {
     for (guint i = 0; i < result->items->len; i++) {
         const struct kv_item *item = g_ptr_array_index(result->items, i);
-        if (strcmp(item->key, RECORD_DUTY_KEY) == 0) {
-            return item->revision != duty_token(acceptor->node->duty);
+        if (strcmp(item->key, RECORD_LEADER_KEY) == 0) {
+            return item->revision !=
+                   leadership_token(acceptor->node->leadership);
         }
     }
     return false;
@@ -214,7 +215,8 @@
     g_ptr_array_unref(batch);
     if (lane->with_duty && result->outcome == KV_CONFLICT &&
         duty_moved(acceptor, result)) {
-        duty_lose(acceptor->node->duty, "another holder was found");
+        leadership_lose(acceptor->node->leadership,
+                        "another holder was found");
     }
     acceptor->failed_commits = progress ? 0 : acceptor->failed_commits + 1;
     if (!progress) {
@@ -247,13 +249,13 @@
     struct kv_put puts[2 * BATCH_JOBS_WITH_DUTY];
     struct kv_txn txn = {.conditions = conditions, .puts = puts};
     lane->batch = g_ptr_array_new();
-    lane->with_duty = duty_held(acceptor->node->duty);
+    lane->with_duty = leadership_held(acceptor->node->leadership);
     lane->sent_ms = node_now(acceptor->node);
     guint most = lane->with_duty ? BATCH_JOBS_WITH_DUTY : BATCH_JOBS;
     if (lane->with_duty) {
         conditions[txn.n_conditions++] = (struct kv_condition){
-            .key = RECORD_DUTY_KEY,
-            .revision = duty_token(acceptor->node->duty),
+            .key = RECORD_LEADER_KEY,
+            .revision = leadership_token(acceptor->node->leadership),
         };
     }
     while (lane->batch->len < most && !g_queue_is_empty(&acceptor->waiting)) {
@@ -324,9 +326,9 @@
     for (size_t i = 0; i < LANES; i++) {
         acceptor->lanes[i] = (struct lane){
             .acceptor = acceptor,
-            .committer =
-                committer_create(node->base, node->boot->store,
-                                 CALL_TIMEOUT_MS, store_path_any(node->path)),
+            .committer = committer_create(
+                node->base, node->settings->store_address, CALL_TIMEOUT_MS,
+                store_route_any(node->store_route)),
         };
     }
     acceptor->timer = evtimer_new(node->base, on_timer, acceptor);
@@ -368,7 +370,7 @@
 }
 
 void
-acceptor_answer_all(struct acceptor *acceptor)
+acceptor_answer_pending(struct acceptor *acceptor)
 {
     for (size_t i = 0; i < LANES; i++) {
         answer_lane(&acceptor->lanes[i]);
--- a/egretjobd/committer.c
+++ b/egretjobd/committer.c
@@ -106,7 +106,7 @@
 
 struct committer *
 committer_create(struct event_base *base, const char *address,
-                 int64_t timeout_ms, struct kv_path path)
+                 int64_t timeout_ms, struct kv_route path)
 {
     struct committer *committer = g_new0(struct committer, 1);
     for (size_t i = 0; i < SENDINGS; i++) {
--- a/egretjobd/config_feed.c
+++ b/egretjobd/config_feed.c
@@ -75,7 +75,7 @@
               config->teams->len);
     struct fleet_config *before = feed->config;
     feed->config = config;
-    front_config_changed(feed->node->front, config);
+    frontend_config_changed(feed->node->front, config);
     leader_config_changed(feed->node->leader);
     fleet_config_destroy(before);
 }
@@ -100,9 +100,10 @@
     g_ptr_array_set_size(feed->waves, 0);
     for (guint i = 0; i < feed->items->len; i++) {
         const struct kv_item *item = g_ptr_array_index(feed->items, i);
-        if (g_str_has_prefix(item->key, PLATFORM_OUT_PREFIX)) {
-            g_ptr_array_add(out,
-                            g_strdup(item->key + strlen(PLATFORM_OUT_PREFIX)));
+        if (g_str_has_prefix(item->key, PLATFORM_OUT_OF_SERVICE_PREFIX)) {
+            g_ptr_array_add(
+                out,
+                g_strdup(item->key + strlen(PLATFORM_OUT_OF_SERVICE_PREFIX)));
         }
         else if (g_str_has_prefix(item->key, PLATFORM_WAVE_PREFIX)) {
             struct host_wave wave;
@@ -140,7 +141,7 @@
             take_config(feed, item);
         }
     }
-    leader_orders_changed(feed->node->leader);
+    leader_operator_records_changed(feed->node->leader);
 }
 
 static void
@@ -191,7 +192,8 @@
     const char *peer = feed->peers[feed->next_peer++ % n_peers];
     feed->asking_peers = true;
     feed->asked_ms = node_now(feed->node);
-    peers_orders(feed->node->peers, peer, on_peer_orders, feed);
+    peers_fetch_operator_records(feed->node->peers, peer, on_peer_orders,
+                                 feed);
 }
 
 static void
@@ -288,7 +290,7 @@
     for (guint i = 0; i < result->items->len; i++) {
         const struct kv_item *item = g_ptr_array_index(result->items, i);
         if (item->value != NULL &&
-            strcmp(item->value, feed->node->boot->peer) != 0) {
+            strcmp(item->value, feed->node->settings->peer_address) != 0) {
             g_ptr_array_add(peers, g_strdup(item->value));
         }
     }
@@ -346,8 +348,9 @@
 {
     struct config_feed *feed = g_new0(struct config_feed, 1);
     feed->node = node;
-    feed->kv = kv_create(node->base, node->boot->store, READ_TIMEOUT_MS,
-                         store_path_direct(node->path));
+    feed->kv =
+        kv_create(node->base, node->settings->store_address, READ_TIMEOUT_MS,
+                  store_route_direct(node->store_route));
     feed->items = g_ptr_array_new_with_free_func(kv_item_destroy);
     feed->next_items = g_ptr_array_new_with_free_func(kv_item_destroy);
     feed->waves = g_ptr_array_new_with_free_func(wave_destroy);
@@ -390,13 +393,13 @@
 config_feed_fresh(const struct config_feed *feed)
 {
     /* A tenth is left for the request that relies on it. */
-    int64_t stale_ms = feed->node->boot->config_ms * 9 / 10;
+    int64_t stale_ms = feed->node->settings->config_age_max_ms * 9 / 10;
     return feed->config != NULL &&
            node_now(feed->node) - feed->confirmed_ms < stale_ms;
 }
 
 char **
-config_feed_out(const struct config_feed *feed)
+config_feed_out_of_service(const struct config_feed *feed)
 {
     return feed->out;
 }
--- a/egretjobd/duty.c
+++ b/egretjobd/duty.c
@@ -34,7 +34,7 @@
     DUTY_HELD,
 };
 
-struct duty {
+struct leadership {
     struct node *node;
     struct kv *kv;
     struct kv *watch;
@@ -63,231 +63,237 @@
 };
 
 static void
-look(struct duty *duty);
+look(struct leadership *leadership);
 static void
-claim(struct duty *duty);
+claim(struct leadership *leadership);
 
 static void
-look_later(struct duty *duty, int64_t delay_ms)
+look_later(struct leadership *leadership, int64_t delay_ms)
 {
-    duty->state = DUTY_LOOKING;
-    timer_set(duty->timer, delay_ms);
+    leadership->state = DUTY_LOOKING;
+    timer_set(leadership->timer, delay_ms);
 }
 
 static void
-set_holder(struct duty *duty, const struct kv_item *item)
+set_holder(struct leadership *leadership, const struct kv_item *item)
 {
-    g_free(duty->holder_peer);
-    g_free(duty->holder_node);
-    duty->holder_peer = NULL;
-    duty->holder_node = NULL;
-    duty->revision = 0;
+    g_free(leadership->holder_peer);
+    g_free(leadership->holder_node);
+    leadership->holder_peer = NULL;
+    leadership->holder_node = NULL;
+    leadership->revision = 0;
     if (item == NULL || item->deleted || item->value == NULL) {
         return;
     }
     cJSON *value = cJSON_ParseWithLength(item->value, item->value_bytes);
-    duty->holder_peer = g_strdup(json_text_get(value, "peer"));
-    duty->holder_node = g_strdup(json_text_get(value, "node"));
-    duty->revision = item->revision;
+    leadership->holder_peer = g_strdup(json_text_get(value, "peer"));
+    leadership->holder_node = g_strdup(json_text_get(value, "node"));
+    leadership->revision = item->revision;
     cJSON_Delete(value);
 }
 
 /* The duty is free, or held by an earlier incarnation of this very process. */
 static bool
-claimable(const struct duty *duty)
+claimable(const struct leadership *leadership)
 {
-    return duty->revision == 0 ||
-           g_strcmp0(duty->holder_node, duty->node->boot->node) == 0;
+    return leadership->revision == 0 ||
+           g_strcmp0(leadership->holder_node,
+                     leadership->node->settings->node_name) == 0;
 }
 
 /* Counts takeovers; read along with the holder. */
 static void
-set_term(struct duty *duty, const struct kv_item *item)
+set_term(struct leadership *leadership, const struct kv_item *item)
 {
     /* The record is written with each claim, so it has its token. */
-    duty->token_before = item->revision;
-    duty->term_revision = item->revision;
-    duty->term = (uint32_t)g_ascii_strtoull(item->value, NULL, 10) + 1;
+    leadership->token_before = item->revision;
+    leadership->term_revision = item->revision;
+    leadership->term = (uint32_t)g_ascii_strtoull(item->value, NULL, 10) + 1;
 }
 
 static void
-set_handover(struct duty *duty, const struct kv_item *item)
+set_handover(struct leadership *leadership, const struct kv_item *item)
 {
     char *rest = NULL;
-    duty->handover_token = g_ascii_strtoll(item->value, &rest, 10);
-    duty->handover_lease_ms = g_ascii_strtoll(rest, NULL, 10);
+    leadership->handover_token = g_ascii_strtoll(item->value, &rest, 10);
+    leadership->handover_lease_ms = g_ascii_strtoll(rest, NULL, 10);
 }
 
 static void
-take_items(struct duty *duty, const struct kv_result *result)
+take_items(struct leadership *leadership, const struct kv_result *result)
 {
     for (guint i = 0; i < result->items->len; i++) {
         const struct kv_item *item = g_ptr_array_index(result->items, i);
-        if (strcmp(item->key, RECORD_DUTY_KEY) == 0) {
-            set_holder(duty, item);
+        if (strcmp(item->key, RECORD_LEADER_KEY) == 0) {
+            set_holder(leadership, item);
         }
         else if (strcmp(item->key, RECORD_TERM_KEY) == 0 &&
                  item->value != NULL) {
-            set_term(duty, item);
+            set_term(leadership, item);
         }
         else if (strcmp(item->key, RECORD_HANDOVER_KEY) == 0 &&
                  item->value != NULL) {
-            set_handover(duty, item);
+            set_handover(leadership, item);
         }
     }
-    duty->watch_from = MAX(duty->watch_from, result->as_of);
+    leadership->watch_from = MAX(leadership->watch_from, result->as_of);
 }
 
 static void
-claim_or_watch(struct duty *duty);
+claim_or_watch(struct leadership *leadership);
 
 static void
 on_watch(void *ctx, const struct kv_result *result)
 {
-    struct duty *duty = ctx;
-    duty->watching = false;
-    if (duty->state != DUTY_LOOKING) {
+    struct leadership *leadership = ctx;
+    leadership->watching = false;
+    if (leadership->state != DUTY_LOOKING) {
         return;
     }
     if (result->outcome != KV_OK) {
-        look_later(duty, LOOK_RETRY_MS);
+        look_later(leadership, LOOK_RETRY_MS);
         return;
     }
-    take_items(duty, result);
-    if (duty->revision == 0) {
-        claim_or_watch(duty);
+    take_items(leadership, result);
+    if (leadership->revision == 0) {
+        claim_or_watch(leadership);
         return;
     }
     /* Reads the record as well: a watch may have missed a change. */
-    look_later(duty, 0);
+    look_later(leadership, 0);
 }
 
 static void
-watch(struct duty *duty)
+watch(struct leadership *leadership)
 {
-    if (duty->watching) {
+    if (leadership->watching) {
         return;
     }
-    duty->watching = true;
-    kv_watch(duty->watch, RECORD_DUTY_PREFIX, duty->watch_from, WATCH_MS,
-             (struct kv_done){.call = on_watch, .ctx = duty});
+    leadership->watching = true;
+    kv_watch(leadership->watch, RECORD_LEADERSHIP_PREFIX,
+             leadership->watch_from, WATCH_MS,
+             (struct kv_done){.call = on_watch, .ctx = leadership});
 }
 
 static void
 on_look(void *ctx, const struct kv_result *result)
 {
-    struct duty *duty = ctx;
-    duty->call_in_flight = false;
-    if (duty->state != DUTY_LOOKING) {
+    struct leadership *leadership = ctx;
+    leadership->call_in_flight = false;
+    if (leadership->state != DUTY_LOOKING) {
         return;
     }
     if (result->outcome != KV_OK) {
-        look_later(duty, LOOK_RETRY_MS);
+        look_later(leadership, LOOK_RETRY_MS);
         return;
     }
-    set_holder(duty, NULL);
-    take_items(duty, result);
-    claim_or_watch(duty);
+    set_holder(leadership, NULL);
+    take_items(leadership, result);
+    claim_or_watch(leadership);
 }
 
 static void
-claim_or_watch(struct duty *duty)
+claim_or_watch(struct leadership *leadership)
 {
     int64_t delay_ms = 0;
     switch (claim_turn_next(
-        &duty->turn, claimable(duty) && !duty->node->leaving,
-        duty->node->boot->cores, g_random_double(), &delay_ms)) {
+        &leadership->turn,
+        claimable(leadership) && !leadership->node->stopping,
+        leadership->node->settings->cores, g_random_double(), &delay_ms)) {
     case CLAIM_LEAVE:
-        watch(duty);
+        watch(leadership);
         break;
     case CLAIM_WAIT:
         /* An earlier incarnation's duty of this very process has no rival. */
-        look_later(duty, duty->revision == 0 ? delay_ms : 0);
+        look_later(leadership, leadership->revision == 0 ? delay_ms : 0);
         break;
     case CLAIM_NOW:
-        claim(duty);
+        claim(leadership);
         break;
     }
 }
 
 static void
-look(struct duty *duty)
+look(struct leadership *leadership)
 {
-    if (duty->call_in_flight) {
+    if (leadership->call_in_flight) {
         return;
     }
-    duty->call_in_flight = true;
-    kv_range(duty->kv, RECORD_DUTY_PREFIX, NULL,
-             (struct kv_done){.call = on_look, .ctx = duty});
+    leadership->call_in_flight = true;
+    kv_range(leadership->kv, RECORD_LEADERSHIP_PREFIX, NULL,
+             (struct kv_done){.call = on_look, .ctx = leadership});
 }
 
 static void
-won(struct duty *duty, int64_t revision)
-{
-    duty->state = DUTY_HELD;
-    duty->token = revision;
-    duty->revision = revision;
-    duty->renewed_ms = duty->lease_sent_ms;
-    duty->valid_until_ms = duty->lease_sent_ms + DUTY_TTL_MS - TTL_MARGIN_MS;
+won(struct leadership *leadership, int64_t revision)
+{
+    leadership->state = DUTY_HELD;
+    leadership->token = revision;
+    leadership->revision = revision;
+    leadership->renewed_ms = leadership->lease_sent_ms;
+    leadership->valid_until_ms =
+        leadership->lease_sent_ms + DUTY_TTL_MS - TTL_MARGIN_MS;
     event_log("duty_won", "\"token\":%" G_GINT64_FORMAT ",\"term\":%u",
-              duty->token, duty->term);
-    timer_set(duty->timer, RENEW_MS);
-    duty->node->leader = leader_create(duty->node, duty->token, duty->term);
+              leadership->token, leadership->term);
+    timer_set(leadership->timer, RENEW_MS);
+    leadership->node->leader =
+        leader_create(leadership->node, leadership->token, leadership->term);
 }
 
 static void
 on_claim_read_back(void *ctx, const struct kv_result *result)
 {
-    struct duty *duty = ctx;
+    struct leadership *leadership = ctx;
     const struct kv_item *item =
         result->outcome == KV_OK && result->items->len > 0
             ? g_ptr_array_index(result->items, 0)
             : NULL;
-    if (item != NULL && g_strcmp0(item->value, duty->claim_value) == 0) {
-        won(duty, item->revision);
+    if (item != NULL && g_strcmp0(item->value, leadership->claim_value) == 0) {
+        won(leadership, item->revision);
         return;
     }
-    look_later(duty, LOOK_RETRY_MS);
+    look_later(leadership, LOOK_RETRY_MS);
 }
 
 static void
 on_claim(void *ctx, const struct kv_result *result)
 {
-    struct duty *duty = ctx;
+    struct leadership *leadership = ctx;
     if (result->outcome == KV_OK) {
-        won(duty, result->revision);
+        won(leadership, result->revision);
     }
     else if (result->outcome == KV_UNKNOWN) {
-        kv_get(duty->kv, RECORD_DUTY_KEY,
-               (struct kv_done){.call = on_claim_read_back, .ctx = duty});
+        kv_get(
+            leadership->kv, RECORD_LEADER_KEY,
+            (struct kv_done){.call = on_claim_read_back, .ctx = leadership});
     }
     else {
-        look_later(duty, LOOK_RETRY_MS);
+        look_later(leadership, LOOK_RETRY_MS);
     }
 }
 
 static void
-commit_claim(struct duty *duty)
+commit_claim(struct leadership *leadership)
 {
-    const struct boot *boot = duty->node->boot;
+    const struct job_settings *settings = leadership->node->settings;
     GString *value = g_string_new("{\"node\":");
-    json_text_add(value, boot->node);
+    json_text_add(value, settings->node_name);
     g_string_append(value, ",\"peer\":");
-    json_text_add(value, boot->peer);
+    json_text_add(value, settings->peer_address);
     g_string_append_printf(value, ",\"claim\":\"%d-%u\"}", (int)getpid(),
-                           ++duty->claims);
-    g_free(duty->claim_value);
-    duty->claim_value = g_string_free(value, FALSE);
+                           ++leadership->claims);
+    g_free(leadership->claim_value);
+    leadership->claim_value = g_string_free(value, FALSE);
     char term[16];
-    g_snprintf(term, sizeof(term), "%u", duty->term);
+    g_snprintf(term, sizeof(term), "%u", leadership->term);
     struct kv_condition conditions[] = {
-        {.key = RECORD_DUTY_KEY, .revision = duty->revision},
-        {.key = RECORD_TERM_KEY, .revision = duty->term_revision},
+        {.key = RECORD_LEADER_KEY, .revision = leadership->revision},
+        {.key = RECORD_TERM_KEY, .revision = leadership->term_revision},
     };
     struct kv_put puts[] = {
-        {.key = RECORD_DUTY_KEY,
-         .value = duty->claim_value,
-         .lease = duty->lease},
+        {.key = RECORD_LEADER_KEY,
+         .value = leadership->claim_value,
+         .lease = leadership->lease},
         {.key = RECORD_TERM_KEY, .value = term},
     };
     struct kv_txn txn = {
@@ -296,76 +302,78 @@
         .puts = puts,
         .n_puts = G_N_ELEMENTS(puts),
     };
-    kv_commit(duty->kv, &txn, (struct kv_done){.call = on_claim, .ctx = duty});
+    kv_commit(leadership->kv, &txn,
+              (struct kv_done){.call = on_claim, .ctx = leadership});
 }
 
 static void
 on_lease(void *ctx, const struct kv_result *result)
 {
-    struct duty *duty = ctx;
+    struct leadership *leadership = ctx;
     if (result->outcome != KV_OK) {
-        look_later(duty, LOOK_RETRY_MS);
+        look_later(leadership, LOOK_RETRY_MS);
         return;
     }
-    duty->lease = result->lease;
-    commit_claim(duty);
+    leadership->lease = result->lease;
+    commit_claim(leadership);
 }
 
 static void
-claim(struct duty *duty)
+claim(struct leadership *leadership)
 {
-    duty->state = DUTY_CLAIMING;
-    duty->lease_sent_ms = node_now(duty->node);
-    kv_lease(duty->kv, DUTY_TTL_MS,
-             (struct kv_done){.call = on_lease, .ctx = duty});
+    leadership->state = DUTY_CLAIMING;
+    leadership->lease_sent_ms = node_now(leadership->node);
+    kv_lease_grant(leadership->kv, DUTY_TTL_MS,
+                   (struct kv_done){.call = on_lease, .ctx = leadership});
 }
 
 void
-duty_lose(struct duty *duty, const char *why)
+leadership_lose(struct leadership *leadership, const char *why)
 {
-    if (duty->state != DUTY_HELD) {
+    if (leadership->state != DUTY_HELD) {
         return;
     }
     event_log("duty_lost", "\"token\":%" G_GINT64_FORMAT ",\"why\":\"%s\"",
-              duty->token, why);
-    struct leader *leader = duty->node->leader;
-    duty->node->leader = NULL;
+              leadership->token, why);
+    struct leader *leader = leadership->node->leader;
+    leadership->node->leader = NULL;
     leader_destroy(leader);
-    set_holder(duty, NULL);
-    look_later(duty, LOOK_RETRY_MS);
+    set_holder(leadership, NULL);
+    look_later(leadership, LOOK_RETRY_MS);
 }
 
 static void
 on_renewed(void *ctx, const struct kv_result *result)
 {
-    struct duty *duty = ctx;
-    duty->call_in_flight = false;
-    if (duty->state != DUTY_HELD) {
+    struct leadership *leadership = ctx;
+    leadership->call_in_flight = false;
+    if (leadership->state != DUTY_HELD) {
         return;
     }
     if (result->outcome == KV_NOT_FOUND) {
-        duty_lose(duty, "the lease has ended");
+        leadership_lose(leadership, "the lease has ended");
         return;
     }
     if (result->outcome != KV_OK) {
-        timer_set(duty->timer, RENEW_RETRY_MS);
+        timer_set(leadership->timer, RENEW_RETRY_MS);
         return;
     }
-    duty->renewed_ms = duty->renew_sent_ms;
-    duty->valid_until_ms = duty->renew_sent_ms + DUTY_TTL_MS - TTL_MARGIN_MS;
-    timer_set(duty->timer, RENEW_MS);
+    leadership->renewed_ms = leadership->renew_sent_ms;
+    leadership->valid_until_ms =
+        leadership->renew_sent_ms + DUTY_TTL_MS - TTL_MARGIN_MS;
+    timer_set(leadership->timer, RENEW_MS);
 }
 
 static void
-renew(struct duty *duty)
+renew(struct leadership *leadership)
 {
-    if (duty->call_in_flight) {
+    if (leadership->call_in_flight) {
         return;
     }
-    duty->call_in_flight = true;
-    duty->renew_sent_ms = node_now(duty->node);
-    kv_keep(duty->kv, duty->lease,
-            (struct kv_done){.call = on_renewed, .ctx = duty});
+    leadership->call_in_flight = true;
+    leadership->renew_sent_ms = node_now(leadership->node);
+    kv_lease_renew(leadership->kv, leadership->lease,
+                   (struct kv_done){.call = on_renewed, .ctx = leadership});
 }
 
 static void
@@ -373,73 +381,75 @@
 {
     (void)fd;
     (void)events;
-    struct duty *duty = ctx;
-    if (duty->state == DUTY_HELD) {
-        renew(duty);
+    struct leadership *leadership = ctx;
+    if (leadership->state == DUTY_HELD) {
+        renew(leadership);
     }
-    else if (duty->state == DUTY_LOOKING) {
-        look(duty);
+    else if (leadership->state == DUTY_LOOKING) {
+        look(leadership);
     }
 }
 
-struct duty *
-duty_create(struct node *node)
+struct leadership *
+leadership_create(struct node *node)
 {
-    struct duty *duty = g_new0(struct duty, 1);
-    duty->node = node;
-    duty->kv = kv_create(node->base, node->boot->store, CALL_TIMEOUT_MS,
-                         store_path_any(node->path));
-    duty->watch = kv_create(node->base, node->boot->store, WATCH_TIMEOUT_MS,
-                            store_path_any(node->path));
-    duty->timer = evtimer_new(node->base, on_timer, duty);
-    look_later(duty, 0);
-    return duty;
+    struct leadership *leadership = g_new0(struct leadership, 1);
+    leadership->node = node;
+    leadership->kv =
+        kv_create(node->base, node->settings->store_address, CALL_TIMEOUT_MS,
+                  store_route_any(node->store_route));
+    leadership->watch =
+        kv_create(node->base, node->settings->store_address, WATCH_TIMEOUT_MS,
+                  store_route_any(node->store_route));
+    leadership->timer = evtimer_new(node->base, on_timer, leadership);
+    look_later(leadership, 0);
+    return leadership;
 }
 
 void
-duty_destroy(struct duty *duty)
+leadership_destroy(struct leadership *leadership)
 {
-    if (duty == NULL) {
+    if (leadership == NULL) {
         return;
     }
-    event_free(duty->timer);
-    kv_destroy(duty->kv);
-    kv_destroy(duty->watch);
-    g_free(duty->claim_value);
-    g_free(duty->holder_peer);
-    g_free(duty->holder_node);
-    g_free(duty);
+    event_free(leadership->timer);
+    kv_destroy(leadership->kv);
+    kv_destroy(leadership->watch);
+    g_free(leadership->claim_value);
+    g_free(leadership->holder_peer);
+    g_free(leadership->holder_node);
+    g_free(leadership);
 }
 
 bool
-duty_held(const struct duty *duty)
+leadership_held(const struct leadership *leadership)
 {
-    return duty->state == DUTY_HELD;
+    return leadership->state == DUTY_HELD;
 }
 
 bool
-duty_valid(const struct duty *duty)
+leadership_valid(const struct leadership *leadership)
 {
-    return duty->state == DUTY_HELD &&
-           node_now(duty->node) < duty->valid_until_ms;
+    return leadership->state == DUTY_HELD &&
+           node_now(leadership->node) < leadership->valid_until_ms;
 }
 
 bool
-duty_troubled(const struct duty *duty)
+leadership_renewal_overdue(const struct leadership *leadership)
 {
-    return node_now(duty->node) - duty->renewed_ms > TROUBLE_MS;
+    return node_now(leadership->node) - leadership->renewed_ms > TROUBLE_MS;
 }
 
 int64_t
-duty_token(const struct duty *duty)
+leadership_token(const struct leadership *leadership)
 {
-    return duty->token;
+    return leadership->token;
 }
 
 const char *
-duty_holder(const struct duty *duty)
+leadership_leader_address(const struct leadership *leadership)
 {
-    return duty->holder_peer;
+    return leadership->holder_peer;
 }
 
 static void
@@ -451,13 +461,13 @@
 
 /* The next holder learns for how long leases of this one may be open. */
 static void
-store_handover(struct duty *duty, int64_t lease_ms)
+store_handover(struct leadership *leadership, int64_t lease_ms)
 {
     char value[48];
     g_snprintf(value, sizeof(value), "%" G_GINT64_FORMAT " %" G_GINT64_FORMAT,
-               duty->token, lease_ms);
-    struct kv_condition condition = {.key = RECORD_DUTY_KEY,
-                                     .revision = duty->token};
+               leadership->token, lease_ms);
+    struct kv_condition condition = {.key = RECORD_LEADER_KEY,
+                                     .revision = leadership->token};
     struct kv_put put = {.key = RECORD_HANDOVER_KEY, .value = value};
     struct kv_txn txn = {
         .conditions = &condition,
@@ -465,29 +475,29 @@
         .puts = &put,
         .n_puts = 1,
     };
-    kv_commit(duty->kv, &txn,
-              (struct kv_done){.call = on_released, .ctx = duty});
+    kv_commit(leadership->kv, &txn,
+              (struct kv_done){.call = on_released, .ctx = leadership});
 }
 
 void
-duty_release(struct duty *duty)
+leadership_release(struct leadership *leadership)
 {
-    if (duty->state != DUTY_HELD) {
+    if (leadership->state != DUTY_HELD) {
         return;
     }
-    int64_t lease = duty->lease;
-    int64_t lease_ms = leader_longest_lease_ms(duty->node->leader);
-    duty_lose(duty, "released");
-    store_handover(duty, lease_ms);
-    kv_lease_end(duty->kv, lease,
-                 (struct kv_done){.call = on_released, .ctx = duty});
+    int64_t lease = leadership->lease;
+    int64_t lease_ms = leader_longest_lease_ms(leadership->node->leader);
+    leadership_lose(leadership, "released");
+    store_handover(leadership, lease_ms);
+    kv_lease_revoke(leadership->kv, lease,
+                    (struct kv_done){.call = on_released, .ctx = leadership});
 }
 
 int64_t
-duty_inherited_lease_ms(const struct duty *duty)
+leadership_inherited_lease_ms(const struct leadership *leadership)
 {
-    return duty->handover_token != 0 &&
-                   duty->handover_token == duty->token_before
-               ? duty->handover_lease_ms
-               : duty->node->boot->timings.lease_max_ms;
+    return leadership->handover_token != 0 &&
+                   leadership->handover_token == leadership->token_before
+               ? leadership->handover_lease_ms
+               : leadership->node->settings->timings.lease_max_ms;
 }
--- a/egretjobd/front.c
+++ b/egretjobd/front.c
@@ -20,7 +20,7 @@
     METRICS_BYTES = 2048,
 };
 
-struct front_figures {
+struct frontend_counters {
     uint64_t requests;
     uint64_t accepted;
     uint64_t refused;
@@ -30,17 +30,17 @@
     uint64_t unknown;
 };
 
-struct front {
+struct frontend {
     struct node *node;
     struct http_server *callers;
     struct http_server *health;
     struct http_server *metrics;
-    struct front_figures figures;
+    struct frontend_counters figures;
 };
 
 /* A caller's request on its way; keeps its own copy of what it asks. */
 struct request {
-    struct front *front;
+    struct frontend *front;
     struct http_exchange *exchange;
     struct job_call call;
     char *id;
@@ -67,13 +67,13 @@
     /* The header counts whole seconds. */
     g_snprintf(text, sizeof(text), "%" G_GINT64_FORMAT,
                (retry_after_ms + 999) / 1000);
-    http_exchange_add(exchange, "Retry-After", text);
+    http_exchange_add_header(exchange, "Retry-After", text);
 }
 
 static void
 request_answer(struct request *request, const struct job_answer *answer)
 {
-    struct front *front = request->front;
+    struct frontend *front = request->front;
     int status = answer->status;
     if (status == 429 || status == 503) {
         front->figures.refused++;
@@ -114,12 +114,12 @@
         acceptor_submit(node->acceptor, &request->call, reply);
         break;
     case JOB_CALL_STATE:
-        questions_state(node->questions, request->id, reply);
+        job_queries_state(node->job_queries, request->id, reply);
         break;
     case JOB_CALL_CANCEL:
-        questions_cancel(node->questions, request->id, reply);
+        job_queries_cancel(node->job_queries, request->id, reply);
         break;
-    case JOB_CALL_WAITING:
+    case JOB_CALL_QUEUE_LENGTH:
         request_answer(request, &refused);
         break;
     }
@@ -144,11 +144,11 @@
     struct node *node = request->front->node;
     struct job_reply reply = {.call = on_scheduler_answer, .ctx = request};
     if (node->leader != NULL) {
-        leader_call(node->leader, &request->call, reply);
+        leader_handle_call(node->leader, &request->call, reply);
         return;
     }
-    const char *holder = duty_holder(node->duty);
-    if (holder != NULL && strcmp(holder, node->boot->peer) != 0) {
+    const char *holder = leadership_leader_address(node->leadership);
+    if (holder != NULL && strcmp(holder, node->settings->peer_address) != 0) {
         peers_call(node->peers, holder, &request->call, reply);
         return;
     }
@@ -156,7 +156,7 @@
 }
 
 static void
-refuse(struct front *front, struct http_exchange *exchange, int status,
+refuse(struct frontend *front, struct http_exchange *exchange, int status,
        const char *why)
 {
     if (status == 503) {
@@ -204,7 +204,7 @@
 find_kind(const char *method, const char *rest, enum job_call_kind *kind)
 {
     if (rest[0] == '\0') {
-        *kind = JOB_CALL_WAITING;
+        *kind = JOB_CALL_QUEUE_LENGTH;
         return strcmp(method, "GET") == 0;
     }
     if (strcmp(method, "POST") == 0) {
@@ -220,7 +220,7 @@
 }
 
 static void
-answer_invalid(struct front *front, struct http_exchange *exchange,
+answer_invalid(struct frontend *front, struct http_exchange *exchange,
                const char *error)
 {
     front->figures.invalid++;
@@ -232,7 +232,7 @@
 
 /* Rejects a malformed job with the place of the error. */
 static bool
-check_body(struct front *front, struct http_exchange *exchange)
+check_body(struct frontend *front, struct http_exchange *exchange)
 {
     size_t bytes = 0;
     const char *body = http_exchange_body(exchange, &bytes);
@@ -248,7 +248,7 @@
 }
 
 static void
-start_request(struct front *front, struct http_exchange *exchange,
+start_request(struct frontend *front, struct http_exchange *exchange,
               enum job_call_kind kind, const struct queue_config *queue,
               const char *team, const char *id)
 {
@@ -276,7 +276,7 @@
 static void
 on_caller(void *ctx, struct http_exchange *exchange)
 {
-    struct front *front = ctx;
+    struct frontend *front = ctx;
     front->figures.requests++;
     if (!config_feed_fresh(front->node->feed)) {
         refuse(front, exchange, 503, "no fresh configuration");
@@ -306,7 +306,7 @@
     const char *rest = path + strlen(queue->prefix);
     enum job_call_kind kind;
     if (!find_kind(http_exchange_method(exchange), rest, &kind) ||
-        (kind != JOB_CALL_WAITING && !is_job_id(rest))) {
+        (kind != JOB_CALL_QUEUE_LENGTH && !is_job_id(rest))) {
         answer_invalid(front, exchange, "not a job's id in the path");
         return;
     }
@@ -320,20 +320,20 @@
 static void
 on_health(void *ctx, struct http_exchange *exchange)
 {
-    struct front *front = ctx;
+    struct frontend *front = ctx;
     bool ready =
         strcmp(http_exchange_path(exchange), PLATFORM_READY_PATH) == 0 &&
-        !front->node->leaving && config_feed_fresh(front->node->feed);
+        !front->node->stopping && config_feed_fresh(front->node->feed);
     http_exchange_reply(exchange, ready ? 200 : 503, NULL);
 }
 
 static void
 on_metrics(void *ctx, struct http_exchange *exchange)
 {
-    struct front *front = ctx;
-    const struct front_figures *f = &front->figures;
+    struct frontend *front = ctx;
+    const struct frontend_counters *f = &front->figures;
     struct sched_figures s;
-    leader_figures(front->node->leader, &s);
+    leader_stats(front->node->leader, &s);
     char text[METRICS_BYTES];
     g_snprintf(
         text, sizeof(text),
@@ -353,33 +353,33 @@
         "runs_failed_total %" G_GUINT64_FORMAT "\n"
         "runs_lost_total %" G_GUINT64_FORMAT "\n",
         f->requests, f->accepted, f->refused, f->unauthorized, f->not_found,
-        f->invalid, f->unknown, duty_held(front->node->duty),
+        f->invalid, f->unknown, leadership_held(front->node->leadership),
         config_feed_fresh(front->node->feed), s.jobs_active, s.runs,
         s.backends, s.backends_unsettled, s.started, s.done, s.failed, s.lost);
     http_exchange_reply(exchange, 200, text);
 }
 
-struct front *
-front_create(struct node *node)
+struct frontend *
+frontend_create(struct node *node)
 {
-    struct front *front = g_new0(struct front, 1);
+    struct frontend *front = g_new0(struct frontend, 1);
     front->node = node;
-    front->callers =
-        http_server_create(node->base, node->boot->front, on_caller, front);
-    front->health =
-        http_server_create(node->base, node->boot->ready, on_health, front);
-    front->metrics =
-        http_server_create(node->base, node->boot->metrics, on_metrics, front);
+    front->callers = http_server_create(
+        node->base, node->settings->caller_address, on_caller, front);
+    front->health = http_server_create(
+        node->base, node->settings->health_address, on_health, front);
+    front->metrics = http_server_create(
+        node->base, node->settings->metrics_address, on_metrics, front);
     if (front->callers == NULL || front->health == NULL ||
         front->metrics == NULL) {
-        front_destroy(front);
+        frontend_destroy(front);
         return NULL;
     }
     return front;
 }
 
 void
-front_destroy(struct front *front)
+frontend_destroy(struct frontend *front)
 {
     if (front == NULL) {
         return;
@@ -391,7 +391,8 @@
 }
 
 void
-front_config_changed(struct front *front, const struct fleet_config *config)
+frontend_config_changed(struct frontend *front,
+                        const struct fleet_config *config)
 {
     const struct ingress_limits *limits = &config->limits;
     http_server_limit(front->callers, limits->header_bytes, limits->body_bytes,
@@ -399,13 +400,13 @@
 }
 
 void
-front_leave(struct front *front)
+frontend_begin_shutdown(struct frontend *front)
 {
-    http_server_leave(front->callers);
+    http_server_disable_keep_alive(front->callers);
 }
 
 bool
-front_idle(const struct front *front)
+frontend_idle(const struct frontend *front)
 {
     return http_server_open_exchanges(front->callers) == 0;
 }
--- a/egretjobd/leader.c
+++ b/egretjobd/leader.c
@@ -24,9 +24,10 @@
 void
 leader_enter(struct leader *leader)
 {
-    struct duty *duty = leader->node->duty;
-    scheduler_set_valid(leader->sched, duty_valid(duty));
-    scheduler_set_outage(leader->sched, duty_troubled(duty));
+    struct leadership *leadership = leader->node->leadership;
+    scheduler_set_valid(leader->sched, leadership_valid(leadership));
+    scheduler_set_outage(leader->sched,
+                         leadership_renewal_overdue(leadership));
 }
 
 void
@@ -52,7 +53,8 @@
     leader_enter(leader);
     int64_t next_ms = scheduler_tick(leader->sched);
     if (scheduler_fenced(leader->sched)) {
-        duty_lose(leader->node->duty, "a newer fencing token was met");
+        leadership_lose(leader->node->leadership,
+                        "a newer fencing token was met");
         return;
     }
     leader_flush(leader);
@@ -130,42 +132,43 @@
 static void
 link_destroy(void *data)
 {
-    backend_link_destroy(data);
+    backend_client_destroy(data);
 }
 
 struct leader *
 leader_create(struct node *node, int64_t token, uint32_t term)
 {
     struct leader *leader = g_new0(struct leader, 1);
-    const char *store = node->boot->store;
+    const char *store = node->settings->store_address;
     leader->node = node;
     leader->token = token;
     leader->reads = kv_create(node->base, store, READ_TIMEOUT_MS,
-                              store_path_any(node->path));
+                              store_route_any(node->store_route));
     leader->writes = kv_create(node->base, store, WRITE_TIMEOUT_MS,
-                               store_path_any(node->path));
+                               store_route_any(node->store_route));
     for (size_t i = 0; i < PROGRESS_LANES; i++) {
         leader->lanes[i] = (struct progress_lane){
             .leader = leader,
             .committer = committer_create(node->base, store, WRITE_TIMEOUT_MS,
-                                          store_path_any(node->path)),
+                                          store_route_any(node->store_route)),
         };
     }
     leader->backend_watch =
         kv_create(node->base, store, BACKEND_WATCH_TIMEOUT_MS,
-                  store_path_any(node->path));
+                  store_route_any(node->store_route));
     leader->inbox = kv_create(node->base, store, READ_TIMEOUT_MS,
-                              store_path_any(node->path));
+                              store_route_any(node->store_route));
     struct hosts_events events = {
         .on_list = on_hosts,
         .on_order = on_host_order,
         .ctx = leader,
     };
-    leader->hosts = hosts_api_create(node->base, node->boot->hosts,
-                                     node->boot->node, &events);
-    if (node->boot->advice != NULL) {
+    leader->hosts =
+        hosts_api_create(node->base, node->settings->host_api_address,
+                         node->settings->node_name, &events);
+    if (node->settings->advice_address != NULL) {
         leader->advice = advice_api_create(
-            node->base, node->boot->advice,
+            node->base, node->settings->advice_address,
             (struct advice_done){.call = on_advice, .ctx = leader});
     }
     leader->tick = evtimer_new(node->base, on_tick, leader);
@@ -184,7 +187,7 @@
     leader->wave_status =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     struct sched_ops ops = leader_ops(leader);
-    leader->sched = scheduler_create(&node->boot->timings, &ops, term,
+    leader->sched = scheduler_create(&node->settings->timings, &ops, term,
                                      node->clock, node->unix_clock);
     leader->host_orders = host_orders_create(leader);
     leader_load(leader);
@@ -262,12 +265,13 @@
 }
 
 void
-leader_orders_changed(struct leader *leader)
+leader_operator_records_changed(struct leader *leader)
 {
     if (leader == NULL) {
         return;
     }
-    scheduler_take_out(leader->sched, config_feed_out(leader->node->feed));
+    scheduler_take_out(leader->sched,
+                       config_feed_out_of_service(leader->node->feed));
     const GPtrArray *waves = config_feed_waves(leader->node->feed);
     for (guint i = 0; i < waves->len; i++) {
         scheduler_wave_set(leader->sched, g_ptr_array_index(waves, i));
@@ -339,14 +343,14 @@
 {
     const struct job *job = scheduler_find_job(leader->sched, call->id);
     if (job == NULL || strcmp(job->queue, call->queue) != 0) {
-        questions_state(leader->node->questions, call->id, reply);
+        job_queries_state(leader->node->job_queries, call->id, reply);
         return;
     }
     /* An end of a job is told only when it is stored. */
     bool stored = job->stored_version == job->version;
     enum job_state state =
         stored || job->state == JOB_ACTIVE ? job->state : JOB_ACTIVE;
-    reply_with(&reply, 200, encode_state(state, job->begun));
+    reply_with(&reply, 200, encode_job_state(state, job->begun));
 }
 
 static void
@@ -355,7 +359,7 @@
 {
     struct job *job = scheduler_find_job(leader->sched, call->id);
     if (job == NULL) {
-        questions_cancel(leader->node->questions, call->id, reply);
+        job_queries_cancel(leader->node->job_queries, call->id, reply);
         return;
     }
     scheduler_cancel(leader->sched, call->id);
@@ -371,10 +375,10 @@
 }
 
 void
-leader_call(struct leader *leader, const struct job_call *call,
-            struct job_reply reply)
+leader_handle_call(struct leader *leader, const struct job_call *call,
+                   struct job_reply reply)
 {
-    if (!leader_ready(leader) || !duty_valid(leader->node->duty)) {
+    if (!leader_ready(leader) || !leadership_valid(leader->node->leadership)) {
         reply_with(&reply, JOB_ANSWER_ASK_STORE, NULL);
         return;
     }
@@ -390,8 +394,9 @@
     case JOB_CALL_CANCEL:
         call_cancel(leader, call, reply);
         break;
-    case JOB_CALL_WAITING:
-        body = encode_waiting(scheduler_waiting(leader->sched, call->queue));
+    case JOB_CALL_QUEUE_LENGTH:
+        body =
+            encode_queue_length(scheduler_waiting(leader->sched, call->queue));
         reply_with(&reply, 200, body);
         g_free(body);
         break;
@@ -403,11 +408,11 @@
 {
     /* Before its records are read the holder before counts. */
     return leader_ready(leader) ? scheduler_longest_lease_ms(leader->sched)
-                                : leader->node->boot->timings.lease_max_ms;
+                                : leader->node->settings->timings.lease_max_ms;
 }
 
 void
-leader_figures(const struct leader *leader, struct sched_figures *figures)
+leader_stats(const struct leader *leader, struct sched_figures *figures)
 {
     *figures = (struct sched_figures){0};
     if (leader != NULL) {
--- a/egretjobd/leader_hosts.c
+++ b/egretjobd/leader_hosts.c
@@ -58,8 +58,8 @@
     struct node *node = leader->node;
     orders->leader = leader;
     orders->committer =
-        committer_create(node->base, node->boot->store, WRITE_TIMEOUT_MS,
-                         store_path_any(node->path));
+        committer_create(node->base, node->settings->store_address,
+                         WRITE_TIMEOUT_MS, store_route_any(node->store_route));
     orders->queue = g_ptr_array_new_with_free_func(queued_order_free);
     orders->recent =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -78,7 +78,7 @@
 void
 host_orders_load(struct host_orders *orders, const struct kv_item *item)
 {
-    if (strcmp(item->key, RECORD_HOST_ORDERS_KEY) != 0 ||
+    if (strcmp(item->key, RECORD_HOST_COMMANDS_KEY) != 0 ||
         item->value == NULL) {
         return;
     }
@@ -122,7 +122,7 @@
 {
     struct leader *leader = orders->leader;
     leader_enter(leader);
-    bool send = recorded && duty_valid(leader->node->duty);
+    bool send = recorded && leadership_valid(leader->node->leadership);
     for (guint i = 0; i < orders->recorded; i++) {
         const struct queued_order *order = g_ptr_array_index(orders->queue, i);
         if (send) {
@@ -158,12 +158,13 @@
     /* Another holder, or an earlier write of our own without an answer. */
     for (guint i = 0; i < result->items->len; i++) {
         const struct kv_item *item = g_ptr_array_index(result->items, i);
-        if (strcmp(item->key, RECORD_DUTY_KEY) == 0 &&
+        if (strcmp(item->key, RECORD_LEADER_KEY) == 0 &&
             item->revision != leader->token) {
-            duty_lose(leader->node->duty, "another holder was found");
+            leadership_lose(leader->node->leadership,
+                            "another holder was found");
             return;
         }
-        if (strcmp(item->key, RECORD_HOST_ORDERS_KEY) == 0) {
+        if (strcmp(item->key, RECORD_HOST_COMMANDS_KEY) == 0) {
             orders->revision = item->revision;
         }
     }
@@ -175,8 +176,8 @@
 encode_recent(struct host_orders *orders)
 {
     int64_t now_ms = node_now(orders->leader->node);
-    int64_t keep_ms =
-        orders->leader->node->boot->timings.order_gap_ms + RECORD_MARGIN_MS;
+    int64_t keep_ms = orders->leader->node->settings->timings.order_gap_ms +
+                      RECORD_MARGIN_MS;
     for (guint i = 0; i < orders->queue->len; i++) {
         const struct queued_order *order = g_ptr_array_index(orders->queue, i);
         g_hash_table_replace(orders->recent, g_strdup(order->host),
@@ -206,10 +207,10 @@
     }
     char *value = encode_recent(orders);
     struct kv_condition conditions[] = {
-        {.key = RECORD_DUTY_KEY, .revision = orders->leader->token},
-        {.key = RECORD_HOST_ORDERS_KEY, .revision = orders->revision},
+        {.key = RECORD_LEADER_KEY, .revision = orders->leader->token},
+        {.key = RECORD_HOST_COMMANDS_KEY, .revision = orders->revision},
     };
-    struct kv_put put = {.key = RECORD_HOST_ORDERS_KEY, .value = value};
+    struct kv_put put = {.key = RECORD_HOST_COMMANDS_KEY, .value = value};
     struct kv_txn txn = {
         .conditions = conditions,
         .n_conditions = G_N_ELEMENTS(conditions),
--- a/egretjobd/leader_inbox.c
+++ b/egretjobd/leader_inbox.c
@@ -90,7 +90,7 @@
     struct kv_condition conditions[DELETES_MAX + 1];
     const char *keys[DELETES_MAX];
     size_t n_keys = 0;
-    conditions[0] = (struct kv_condition){.key = RECORD_DUTY_KEY,
+    conditions[0] = (struct kv_condition){.key = RECORD_LEADER_KEY,
                                           .revision = leader->token};
     for (guint i = 0; i < result->items->len; i++) {
         const struct kv_item *item = g_ptr_array_index(result->items, i);
--- a/egretjobd/leader_links.c
+++ b/egretjobd/leader_links.c
@@ -49,13 +49,13 @@
     leader_tick_soon(leader);
 }
 
-static struct backend_link *
+static struct backend_client *
 link_of(struct leader *leader, const struct backend *backend)
 {
-    struct backend_link *link =
+    struct backend_client *link =
         g_hash_table_lookup(leader->links, backend->entry.id);
     if (link != NULL &&
-        strcmp(backend_link_address(link), backend->entry.address) == 0) {
+        strcmp(backend_client_address(link), backend->entry.address) == 0) {
         return link;
     }
     struct backend_events events = {
@@ -65,8 +65,8 @@
         .on_lists = on_lists,
         .ctx = leader,
     };
-    link = backend_link_create(leader->node->base, backend->entry.id,
-                               backend->entry.address, &events);
+    link = backend_client_create(leader->node->base, backend->entry.id,
+                                 backend->entry.address, &events);
     g_hash_table_replace(leader->links, g_strdup(backend->entry.id), link);
     return link;
 }
@@ -107,7 +107,7 @@
         .saved = run_task(run)->saved,
         .ticket = order->ticket,
     };
-    backend_link_start(link_of(leader, order->backend), &call);
+    backend_client_start(link_of(leader, order->backend), &call);
 }
 
 static void
@@ -116,15 +116,16 @@
     struct leader *leader = ctx;
     event_log("task_stop", "\"task\":\"%s\",\"run\":%u,\"backend\":\"%s\"",
               order->task, order->number, order->backend->entry.id);
-    backend_link_stop(link_of(leader, order->backend), order->handle,
-                      order->task, order->number, leader->token);
+    backend_client_stop(link_of(leader, order->backend), order->handle,
+                        order->task, order->number, leader->token);
 }
 
 static void
 op_pace(void *ctx, const struct pace_order *order)
 {
     struct leader *leader = ctx;
-    backend_link_pace(link_of(leader, order->backend), order, leader->token);
+    backend_client_throttle(link_of(leader, order->backend), order,
+                            leader->token);
 }
 
 static void
@@ -132,8 +133,8 @@
         int64_t acked_end, int64_t wait_ms)
 {
     struct leader *leader = ctx;
-    backend_link_list(link_of(leader, backend), until_ms, leader->token,
-                      acked_end, wait_ms);
+    backend_client_request_report(link_of(leader, backend), until_ms,
+                                  leader->token, acked_end, wait_ms);
 }
 
 static void
--- a/egretjobd/leader_load.c
+++ b/egretjobd/leader_load.c
@@ -85,7 +85,7 @@
         record_backend_decode(id, item->value, item->value_bytes, &entry)) {
         scheduler_backend_inherited(
             leader->sched, &entry,
-            duty_inherited_lease_ms(leader->node->duty));
+            leadership_inherited_lease_ms(leader->node->leadership));
         backend_entry_clear(&entry);
     }
 }
@@ -155,7 +155,7 @@
               figures.jobs_active, figures.backends,
               figures.backends_unsettled);
     leader_config_changed(leader);
-    leader_orders_changed(leader);
+    leader_operator_records_changed(leader);
     leader_take_early(leader);
     leader_watch_backends(leader);
     leader_read_inbox(leader);
@@ -221,8 +221,9 @@
         struct leader_range *range = &leader->ranges[stage];
         range->leader = leader;
         range->stage = (enum leader_stage)stage;
-        range->kv = kv_create(node->base, node->boot->store, LOAD_TIMEOUT_MS,
-                              store_path_any(node->path));
+        range->kv =
+            kv_create(node->base, node->settings->store_address,
+                      LOAD_TIMEOUT_MS, store_route_any(node->store_route));
         range->items = g_ptr_array_new_with_free_func(kv_item_destroy);
         range->retry = evtimer_new(node->base, on_range_retry, range);
         load_page(range, NULL);
--- a/egretjobd/leader_store.c
+++ b/egretjobd/leader_store.c
@@ -147,7 +147,7 @@
 {
     for (guint i = 0; i < result->items->len; i++) {
         const struct kv_item *item = g_ptr_array_index(result->items, i);
-        if (strcmp(item->key, RECORD_DUTY_KEY) == 0 &&
+        if (strcmp(item->key, RECORD_LEADER_KEY) == 0 &&
             item->revision != leader->token) {
             return false;
         }
@@ -173,7 +173,7 @@
     struct store_batch *batch = lane->batch;
     if (result->outcome == KV_CONFLICT &&
         !learn_conflict(leader, batch, result)) {
-        duty_lose(leader->node->duty, "another holder was found");
+        leadership_lose(leader->node->leadership, "another holder was found");
         return;
     }
     lane->batch = NULL;
@@ -195,7 +195,7 @@
 {
     struct leader *leader = lane->leader;
     struct txn_text text = txn_text_create();
-    add_condition(&text, RECORD_DUTY_KEY, leader->token);
+    add_condition(&text, RECORD_LEADER_KEY, leader->token);
     add_jobs(&text, lane->batch);
     add_registrations(leader, &text, lane->batch);
     struct kv_txn txn = txn_of(&text);
@@ -268,7 +268,7 @@
     }
     g_hash_table_insert(leader->wave_status, g_strdup(number), report);
     struct txn_text text = txn_text_create();
-    add_condition(&text, RECORD_DUTY_KEY, leader->token);
+    add_condition(&text, RECORD_LEADER_KEY, leader->token);
     add_put(&text, add_key(&text, PLATFORM_WAVE_STATUS_PREFIX, number),
             encode_wave_status(done));
     add_put(&text, add_key(&text, RECORD_WAVE_PREFIX, number), begun);
--- a/egretjobd/main.c
+++ b/egretjobd/main.c
@@ -58,17 +58,18 @@
         arguments.settings = getenv(BOOT_VARIABLE);
     }
     struct findings *findings = findings_create();
-    struct boot *boot = boot_read(arguments.settings, findings);
+    struct job_settings *settings =
+        job_settings_read(arguments.settings, findings);
     findings_print(findings, stderr);
     findings_destroy(findings);
-    if (boot == NULL) {
+    if (settings == NULL) {
         return EXIT_FAILURE;
     }
     int result = EXIT_SUCCESS;
     if (!arguments.check) {
-        event_log_open(boot->node);
-        result = node_run(boot);
+        event_log_open(settings->node_name);
+        result = node_run(settings);
     }
-    boot_destroy(boot);
+    job_settings_destroy(settings);
     return result;
 }
--- a/egretjobd/node.c
+++ b/egretjobd/node.c
@@ -78,14 +78,14 @@
     struct node_process *state = ctx;
     struct node *node = &state->node;
     int64_t passed_ms = node_now(node) - state->leave_since_ms;
-    int64_t end_ms = node->boot->grace_ms - LEAVE_MARGIN_MS;
-    bool done = passed_ms >= LEAVE_LINGER_MS && front_idle(node->front);
+    int64_t end_ms = node->settings->stop_grace_ms - LEAVE_MARGIN_MS;
+    bool done = passed_ms >= LEAVE_LINGER_MS && frontend_idle(node->front);
     if (done || passed_ms >= end_ms) {
         event_base_loopbreak(node->base);
         return;
     }
     if (passed_ms >= end_ms - LEAVE_ANSWER_MS) {
-        acceptor_answer_all(node->acceptor);
+        acceptor_answer_pending(node->acceptor);
     }
     timer_set(state->leave_timer, LEAVE_POLL_MS);
 }
@@ -96,14 +96,14 @@
     (void)fd;
     (void)events;
     struct node_process *state = ctx;
-    if (state->node.leaving) {
+    if (state->node.stopping) {
         return;
     }
     event_log("stopping", "\"signal\":\"TERM\"");
-    state->node.leaving = true;
+    state->node.stopping = true;
     state->leave_since_ms = node_now(&state->node);
-    duty_release(state->node.duty);
-    front_leave(state->node.front);
+    leadership_release(state->node.leadership);
+    frontend_begin_shutdown(state->node.front);
     timer_set(state->leave_timer, LEAVE_POLL_MS);
 }
 
@@ -134,9 +134,9 @@
     (void)fd;
     (void)events;
     struct node_process *state = ctx;
-    const struct boot *boot = state->node.boot;
-    char *key = g_strconcat(RECORD_PEER_PREFIX, boot->node, NULL);
-    struct kv_put put = {.key = key, .value = boot->peer};
+    const struct job_settings *settings = state->node.settings;
+    char *key = g_strconcat(RECORD_PEER_PREFIX, settings->node_name, NULL);
+    struct kv_put put = {.key = key, .value = settings->peer_address};
     struct kv_txn txn = {.puts = &put, .n_puts = 1};
     kv_commit(state->registry, &txn,
               (struct kv_done){.call = on_registered, .ctx = state});
@@ -146,17 +146,17 @@
 static bool
 start_parts(struct node *node)
 {
-    node->path = store_path_create(node);
+    node->store_route = store_route_create(node);
     node->peers = peers_create(node);
-    node->front = front_create(node);
+    node->front = frontend_create(node);
     if (node->peers == NULL || node->front == NULL) {
         event_log("start_failed", "\"why\":\"an address can't be had\"");
         return false;
     }
     node->acceptor = acceptor_create(node);
-    node->questions = questions_create(node);
+    node->job_queries = job_queries_create(node);
     node->feed = config_feed_create(node);
-    node->duty = duty_create(node);
+    node->leadership = leadership_create(node);
     return true;
 }
 
@@ -166,13 +166,13 @@
     struct leader *leader = node->leader;
     node->leader = NULL;
     leader_destroy(leader);
-    duty_destroy(node->duty);
+    leadership_destroy(node->leadership);
     config_feed_destroy(node->feed);
     acceptor_destroy(node->acceptor);
-    questions_destroy(node->questions);
-    front_destroy(node->front);
+    job_queries_destroy(node->job_queries);
+    frontend_destroy(node->front);
     peers_destroy(node->peers);
-    store_path_destroy(node->path);
+    store_route_destroy(node->store_route);
 }
 
 static void
@@ -199,28 +199,28 @@
 }
 
 int
-node_run(const struct boot *boot)
+node_run(const struct job_settings *settings)
 {
     struct node_process state = {
         .node =
             {
                 .base = event_base_new(),
-                .boot = boot,
+                .settings = settings,
                 .clock = {.now = boot_time_ms},
                 .unix_clock = {.now = unix_time_ms},
             },
     };
     struct node *node = &state.node;
     event_log("start", "\"data_centre\":\"%s\",\"version\":\"%s\"",
-              boot->data_centre, EGRET_VERSION);
+              settings->data_centre, EGRET_VERSION);
     state.leave_timer = evtimer_new(node->base, on_leave_timer, &state);
     state.register_timer = evtimer_new(node->base, on_register_timer, &state);
     add_signals(&state);
     bool started = start_parts(node);
     if (started) {
         state.registry =
-            kv_create(node->base, boot->store, REGISTER_TIMEOUT_MS,
-                      store_path_any(node->path));
+            kv_create(node->base, settings->store_address, REGISTER_TIMEOUT_MS,
+                      store_route_any(node->store_route));
         timer_set(state.register_timer, 0);
         event_base_dispatch(node->base);
         kv_destroy(state.registry);
--- a/egretjobd/peers.c
+++ b/egretjobd/peers.c
@@ -35,7 +35,7 @@
     [JOB_CALL_SUBMIT] = PATH_SUBMIT,
     [JOB_CALL_STATE] = PATH_STATE,
     [JOB_CALL_CANCEL] = PATH_CANCEL,
-    [JOB_CALL_WAITING] = PATH_WAITING,
+    [JOB_CALL_QUEUE_LENGTH] = PATH_WAITING,
 };
 
 /* Connections to one peer; the least busy is used. */
@@ -76,7 +76,7 @@
         char text[24];
         g_snprintf(text, sizeof(text), "%" G_GINT64_FORMAT,
                    answer->retry_after_ms);
-        http_exchange_add(exchange, "Egret-Retry-After-Ms", text);
+        http_exchange_add_header(exchange, "Egret-Retry-After-Ms", text);
     }
     http_exchange_reply(exchange, answer->status, answer->body);
 }
@@ -121,8 +121,9 @@
 {
     struct relayed *relayed = g_new0(struct relayed, 1);
     relayed->exchange = exchange;
-    relayed->client = http_client_create(
-        peers->node->base, peers->node->boot->store, RELAY_TIMEOUT_MS);
+    relayed->client = http_client_create(peers->node->base,
+                                         peers->node->settings->store_address,
+                                         RELAY_TIMEOUT_MS);
     struct http_call call = {
         .method = http_exchange_method(exchange),
         .path = path,
@@ -161,7 +162,7 @@
     for (size_t i = 0; i < G_N_ELEMENTS(paths); i++) {
         if (strcmp(path, paths[i]) == 0) {
             call.kind = (enum job_call_kind)i;
-            leader_call(
+            leader_handle_call(
                 peers->node->leader, &call,
                 (struct job_reply){.call = on_answer, .ctx = exchange});
             return;
@@ -177,8 +178,8 @@
     peers->node = node;
     peers->by_address =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, peer_destroy);
-    peers->server =
-        http_server_create(node->base, node->boot->peer, on_request, peers);
+    peers->server = http_server_create(
+        node->base, node->settings->peer_address, on_request, peers);
     if (peers->server == NULL) {
         peers_destroy(peers);
         return NULL;
@@ -258,9 +259,10 @@
 }
 
 void
-peers_orders(struct peers *peers, const char *address,
-             void (*done)(void *ctx, const struct http_reply *reply),
-             void *ctx)
+peers_fetch_operator_records(struct peers *peers, const char *address,
+                             void (*done)(void *ctx,
+                                          const struct http_reply *reply),
+                             void *ctx)
 {
     struct http_call http = {
         .method = "GET",
--- a/egretjobd/questions.c
+++ b/egretjobd/questions.c
@@ -9,127 +9,125 @@
     CALL_TIMEOUT_MS = 1000,
 };
 
-struct questions {
+struct job_queries {
     struct kv *kv;
 };
 
-/** struct question - one caller's question on its way */
-struct question {
-    struct questions *questions;
+/** struct job_query - one caller's question on its way */
+struct job_query {
+    struct job_queries *queries;
     char *id;
     enum job_state state;
     bool begun;
     struct job_reply reply;
 };
 
-struct questions *
-questions_create(struct node *node)
+struct job_queries *
+job_queries_create(struct node *node)
 {
-    struct questions *questions = g_new0(struct questions, 1);
-    questions->kv = kv_create(node->base, node->boot->store, CALL_TIMEOUT_MS,
-                              store_path_any(node->path));
-    return questions;
+    struct job_queries *queries = g_new0(struct job_queries, 1);
+    queries->kv =
+        kv_create(node->base, node->settings->store_address, CALL_TIMEOUT_MS,
+                  store_route_any(node->store_route));
+    return queries;
 }
 
 void
-questions_destroy(struct questions *questions)
+job_queries_destroy(struct job_queries *queries)
 {
-    if (questions == NULL) {
+    if (queries == NULL) {
         return;
     }
-    kv_destroy(questions->kv);
-    g_free(questions);
+    kv_destroy(queries->kv);
+    g_free(queries);
 }
 
 static void
-question_finish(struct question *question, int status, const char *body)
+query_finish(struct job_query *query, int status, const char *body)
 {
     struct job_answer answer = {.status = status, .body = body};
-    question->reply.call(question->reply.ctx, &answer);
-    g_free(question->id);
-    g_free(question);
+    query->reply.call(query->reply.ctx, &answer);
+    g_free(query->id);
+    g_free(query);
 }
 
 static void
 on_job(void *ctx, const struct kv_result *result)
 {
-    struct question *question = ctx;
+    struct job_query *query = ctx;
     if (result->outcome == KV_NOT_FOUND) {
-        question_finish(question, 410, NULL);
+        query_finish(query, 410, NULL);
         return;
     }
     if (result->outcome != KV_OK || result->items->len == 0) {
-        question_finish(question, 503, NULL);
+        query_finish(query, 503, NULL);
         return;
     }
-    question_finish(question, 200,
-                    encode_state(question->state, question->begun));
+    query_finish(query, 200, encode_job_state(query->state, query->begun));
 }
 
 static void
 on_progress(void *ctx, const struct kv_result *result)
 {
-    struct question *question = ctx;
+    struct job_query *query = ctx;
     if (result->outcome != KV_OK && result->outcome != KV_NOT_FOUND) {
-        question_finish(question, 503, NULL);
+        query_finish(query, 503, NULL);
         return;
     }
     if (result->outcome == KV_OK && result->items->len > 0) {
         const struct kv_item *item = g_ptr_array_index(result->items, 0);
-        question->begun = true;
-        record_progress_state(item->value, item->value_bytes,
-                              &question->state);
+        query->begun = true;
+        record_progress_state(item->value, item->value_bytes, &query->state);
     }
-    char *key = g_strconcat(RECORD_JOB_PREFIX, question->id, NULL);
-    kv_get(question->questions->kv, key,
-           (struct kv_done){.call = on_job, .ctx = question});
+    char *key = g_strconcat(RECORD_JOB_PREFIX, query->id, NULL);
+    kv_get(query->queries->kv, key,
+           (struct kv_done){.call = on_job, .ctx = query});
     g_free(key);
 }
 
 void
-questions_state(struct questions *questions, const char *id,
-                struct job_reply reply)
+job_queries_state(struct job_queries *queries, const char *id,
+                  struct job_reply reply)
 {
-    struct question *question = g_new0(struct question, 1);
-    question->questions = questions;
-    question->id = g_strdup(id);
-    question->reply = reply;
+    struct job_query *query = g_new0(struct job_query, 1);
+    query->queries = queries;
+    query->id = g_strdup(id);
+    query->reply = reply;
     char *key = g_strconcat(RECORD_PROGRESS_PREFIX, id, NULL);
-    kv_get(questions->kv, key,
-           (struct kv_done){.call = on_progress, .ctx = question});
+    kv_get(queries->kv, key,
+           (struct kv_done){.call = on_progress, .ctx = query});
     g_free(key);
 }
 
 static void
 on_cancel_noted(void *ctx, const struct kv_result *result)
 {
-    struct question *question = ctx;
+    struct job_query *query = ctx;
     if (result->outcome == KV_OK) {
-        question_finish(question, 200, NULL);
+        query_finish(query, 200, NULL);
     }
     else if (result->outcome == KV_CONFLICT) {
-        question_finish(question, 410, NULL);
+        query_finish(query, 410, NULL);
     }
     else {
-        question_finish(question, result->outcome == KV_UNKNOWN ? 504 : 503,
-                        NULL);
+        query_finish(query, result->outcome == KV_UNKNOWN ? 504 : 503, NULL);
     }
 }
 
 static void
 on_cancel_job(void *ctx, const struct kv_result *result)
 {
-    struct question *question = ctx;
+    struct job_query *query = ctx;
     if (result->outcome == KV_NOT_FOUND) {
-        question_finish(question, 410, NULL);
+        query_finish(query, 410, NULL);
         return;
     }
     if (result->outcome != KV_OK || result->items->len == 0) {
-        question_finish(question, 503, NULL);
+        query_finish(query, 503, NULL);
         return;
     }
     const struct kv_item *item = g_ptr_array_index(result->items, 0);
-    char *inbox_key = g_strconcat(RECORD_INBOX_PREFIX, question->id, NULL);
+    char *inbox_key = g_strconcat(RECORD_INBOX_PREFIX, query->id, NULL);
     struct kv_condition condition = {.key = item->key,
                                      .revision = item->revision};
     struct kv_put put = {.key = inbox_key, .value = INBOX_CANCEL};
@@ -139,21 +137,21 @@
         .puts = &put,
         .n_puts = 1,
     };
-    kv_commit(question->questions->kv, &txn,
-              (struct kv_done){.call = on_cancel_noted, .ctx = question});
+    kv_commit(query->queries->kv, &txn,
+              (struct kv_done){.call = on_cancel_noted, .ctx = query});
     g_free(inbox_key);
 }
 
 void
-questions_cancel(struct questions *questions, const char *id,
-                 struct job_reply reply)
+job_queries_cancel(struct job_queries *queries, const char *id,
+                   struct job_reply reply)
 {
-    struct question *question = g_new0(struct question, 1);
-    question->questions = questions;
-    question->id = g_strdup(id);
-    question->reply = reply;
+    struct job_query *query = g_new0(struct job_query, 1);
+    query->queries = queries;
+    query->id = g_strdup(id);
+    query->reply = reply;
     char *key = g_strconcat(RECORD_JOB_PREFIX, id, NULL);
-    kv_get(questions->kv, key,
-           (struct kv_done){.call = on_cancel_job, .ctx = question});
+    kv_get(queries->kv, key,
+           (struct kv_done){.call = on_cancel_job, .ctx = query});
     g_free(key);
 }
--- a/egretjobd/store_path.c
+++ b/egretjobd/store_path.c
@@ -14,7 +14,7 @@
     STATUS_RELAY_NO_ANSWER = 504,
 };
 
-struct store_path {
+struct store_route {
     struct node *node;
     uint32_t refusals;
     bool relaying;
@@ -29,7 +29,7 @@
 }
 
 static void
-set_relaying(struct store_path *path, bool relaying)
+set_relaying(struct store_route *path, bool relaying)
 {
     if (path->relaying == relaying) {
         return;
@@ -45,14 +45,14 @@
 static const char *
 relay_any(void *ctx)
 {
-    const struct store_path *path = ctx;
+    const struct store_route *path = ctx;
     return path->relaying ? path->peer.address : NULL;
 }
 
 static void
 report(void *ctx, const char *relay, int status)
 {
-    struct store_path *path = ctx;
+    struct store_route *path = ctx;
     if (relay != NULL) {
         if (!served(status)) {
             relay_peer_failed(&path->peer, relay,
@@ -71,17 +71,17 @@
     }
 }
 
-struct store_path *
-store_path_create(struct node *node)
+struct store_route *
+store_route_create(struct node *node)
 {
-    struct store_path *path = g_new0(struct store_path, 1);
+    struct store_route *path = g_new0(struct store_route, 1);
     path->node = node;
     path->peer.turn = g_random_int();
     return path;
 }
 
 void
-store_path_destroy(struct store_path *path)
+store_route_destroy(struct store_route *path)
 {
     if (path == NULL) {
         return;
@@ -90,14 +90,15 @@
     g_free(path);
 }
 
-struct kv_path
-store_path_any(struct store_path *path)
+struct kv_route
+store_route_any(struct store_route *path)
 {
-    return (struct kv_path){.relay = relay_any, .report = report, .ctx = path};
+    return (struct kv_route){
+        .relay = relay_any, .report = report, .ctx = path};
 }
 
-struct kv_path
-store_path_direct(struct store_path *path)
+struct kv_route
+store_route_direct(struct store_route *path)
 {
-    return (struct kv_path){.report = report, .ctx = path};
+    return (struct kv_route){.report = report, .ctx = path};
 }
--- a/include/egretjobd/acceptor.h
+++ b/include/egretjobd/acceptor.h
@@ -18,9 +18,9 @@
 acceptor_submit(struct acceptor *acceptor, const struct job_call *call,
                 struct job_reply reply);
 
-/** acceptor_answer_all() - answer everything that is open, truly, before the
- * process ends. */
+/** acceptor_answer_pending() - answer everything that is open, truly, before
+ * the process ends. */
 void
-acceptor_answer_all(struct acceptor *acceptor);
+acceptor_answer_pending(struct acceptor *acceptor);
 
 #endif
--- a/include/egretjobd/config_feed.h
+++ b/include/egretjobd/config_feed.h
@@ -24,9 +24,10 @@
 bool
 config_feed_fresh(const struct config_feed *feed);
 
-/** config_feed_out() - data centres that are out; NULL-terminated. */
+/** config_feed_out_of_service() - data centres that are out; NULL-terminated.
+ */
 char **
-config_feed_out(const struct config_feed *feed);
+config_feed_out_of_service(const struct config_feed *feed);
 
 /** config_feed_waves() - struct host_wave, all that are ordered. */
 const GPtrArray *
--- a/include/egretjobd/duty.h
+++ b/include/egretjobd/duty.h
@@ -7,42 +7,45 @@
 
 #include "egretjobd/node.h"
 
-struct duty *
-duty_create(struct node *node);
+struct leadership *
+leadership_create(struct node *node);
 void
-duty_destroy(struct duty *duty);
+leadership_destroy(struct leadership *leadership);
 
-/** duty_held() - whether this process holds the duty, valid or not. */
+/** leadership_held() - whether this process holds the duty, valid or not. */
 bool
-duty_held(const struct duty *duty);
+leadership_held(const struct leadership *leadership);
 
-/** duty_valid() - whether no other process can hold it at this moment. */
+/** leadership_valid() - whether no other process can hold it at this moment.
+ */
 bool
-duty_valid(const struct duty *duty);
+leadership_valid(const struct leadership *leadership);
 
-/** duty_troubled() - whether renewals have begun to fail. */
+/** leadership_renewal_overdue() - whether renewals have begun to fail. */
 bool
-duty_troubled(const struct duty *duty);
+leadership_renewal_overdue(const struct leadership *leadership);
 
-/** duty_token() - fencing token: revision of the store that won the duty. */
+/** leadership_token() - fencing token: revision of the store that won the
+ * duty. */
 int64_t
-duty_token(const struct duty *duty);
+leadership_token(const struct leadership *leadership);
 
-/** duty_inherited_lease_ms() - longest lease that the holder before may have
- * left open. */
+/** leadership_inherited_lease_ms() - longest lease that the holder before may
+ * have left open. */
 int64_t
-duty_inherited_lease_ms(const struct duty *duty);
+leadership_inherited_lease_ms(const struct leadership *leadership);
 
-/** duty_holder() - peer address of the process that holds it, or NULL. */
+/** leadership_leader_address() - peer address of the process that holds it, or
+ * NULL. */
 const char *
-duty_holder(const struct duty *duty);
+leadership_leader_address(const struct leadership *leadership);
 
-/** duty_lose() - another holder was met: stop at once. */
+/** leadership_lose() - another holder was met: stop at once. */
 void
-duty_lose(struct duty *duty, const char *why);
+leadership_lose(struct leadership *leadership, const char *why);
 
-/** duty_release() - hand the duty over before leaving. */
+/** leadership_release() - hand the duty over before leaving. */
 void
-duty_release(struct duty *duty);
+leadership_release(struct leadership *leadership);
 
 #endif
--- a/include/egretjobd/front.h
+++ b/include/egretjobd/front.h
@@ -5,22 +5,24 @@
 #include "core/jobs/fleet_config.h"
 #include "egretjobd/node.h"
 
-/** front_create() - listen for callers; NULL if an address can't be had. */
-struct front *
-front_create(struct node *node);
+/** frontend_create() - listen for callers; NULL if an address can't be had. */
+struct frontend *
+frontend_create(struct node *node);
 void
-front_destroy(struct front *front);
+frontend_destroy(struct frontend *front);
 
-/** front_config_changed() - put the bounds of requests in force. */
+/** frontend_config_changed() - put the bounds of requests in force. */
 void
-front_config_changed(struct front *front, const struct fleet_config *config);
+frontend_config_changed(struct frontend *front,
+                        const struct fleet_config *config);
 
-/** front_leave() - fail the health check and finish what is open. */
+/** frontend_begin_shutdown() - fail the health check and finish what is open.
+ */
 void
-front_leave(struct front *front);
+frontend_begin_shutdown(struct frontend *front);
 
-/** front_idle() - whether no request is open. */
+/** frontend_idle() - whether no request is open. */
 bool
-front_idle(const struct front *front);
+frontend_idle(const struct frontend *front);
 
 #endif
--- a/include/egretjobd/job_call.h
+++ b/include/egretjobd/job_call.h
@@ -11,7 +11,7 @@
     JOB_CALL_SUBMIT,
     JOB_CALL_STATE,
     JOB_CALL_CANCEL,
-    JOB_CALL_WAITING,
+    JOB_CALL_QUEUE_LENGTH,
 };
 
 /**
--- a/include/egretjobd/leader.h
+++ b/include/egretjobd/leader.h
@@ -26,26 +26,27 @@
 void
 leader_config_changed(struct leader *leader);
 
-/** leader_orders_changed() - data centres out or waves may have changed. */
+/** leader_operator_records_changed() - data centres out or waves may have
+ * changed. */
 void
-leader_orders_changed(struct leader *leader);
+leader_operator_records_changed(struct leader *leader);
 
 /** leader_job_stored() - a job was accepted by this process. */
 void
 leader_job_stored(struct leader *leader, const char *id, const char *value,
                   size_t bytes);
 
-/** leader_call() - answer a caller's request. */
+/** leader_handle_call() - answer a caller's request. */
 void
-leader_call(struct leader *leader, const struct job_call *call,
-            struct job_reply reply);
+leader_handle_call(struct leader *leader, const struct job_call *call,
+                   struct job_reply reply);
 
 /** leader_longest_lease_ms() - longest lease that may be open now. */
 int64_t
 leader_longest_lease_ms(const struct leader *leader);
 
-/** leader_figures() - figures of its scheduler. */
+/** leader_stats() - figures of its scheduler. */
 void
-leader_figures(const struct leader *leader, struct sched_figures *figures);
+leader_stats(const struct leader *leader, struct sched_figures *figures);
 
 #endif
--- a/include/egretjobd/node.h
+++ b/include/egretjobd/node.h
@@ -9,13 +9,13 @@
 #include "platform/boot.h"
 
 struct config_feed;
-struct duty;
+struct leadership;
 struct leader;
-struct front;
+struct frontend;
 struct peers;
 struct acceptor;
-struct questions;
-struct store_path;
+struct job_queries;
+struct store_route;
 
 /**
  * struct node - what all parts share
@@ -25,18 +25,18 @@
  */
 struct node {
     struct event_base *base;
-    const struct boot *boot;
+    const struct job_settings *settings;
     struct ms_clock clock;
     struct ms_clock unix_clock;
-    struct store_path *path;
+    struct store_route *store_route;
     struct config_feed *feed;
-    struct duty *duty;
+    struct leadership *leadership;
     struct leader *leader;
     struct acceptor *acceptor;
-    struct questions *questions;
+    struct job_queries *job_queries;
     struct peers *peers;
-    struct front *front;
-    bool leaving;
+    struct frontend *front;
+    bool stopping;
 };
 
 /** node_now() - the node's clock. */
@@ -48,7 +48,7 @@
 
 /** node_run() - serve until told to stop; returns the exit status. */
 int
-node_run(const struct boot *boot);
+node_run(const struct job_settings *settings);
 
 /**
  * timer_set() - arm @timer to fire in @delay_ms
--- a/include/egretjobd/peers.h
+++ b/include/egretjobd/peers.h
@@ -18,10 +18,12 @@
 peers_call(struct peers *peers, const char *address,
            const struct job_call *call, struct job_reply reply);
 
-/** peers_orders() - ask for the operator's orders as the peer knows them. */
+/** peers_fetch_operator_records() - ask for the operator's orders as the peer
+ * knows them. */
 void
-peers_orders(struct peers *peers, const char *address,
-             void (*done)(void *ctx, const struct http_reply *reply),
-             void *ctx);
+peers_fetch_operator_records(struct peers *peers, const char *address,
+                             void (*done)(void *ctx,
+                                          const struct http_reply *reply),
+                             void *ctx);
 
 #endif
--- a/include/egretjobd/questions.h
+++ b/include/egretjobd/questions.h
@@ -5,20 +5,20 @@
 #include "egretjobd/job_call.h"
 #include "egretjobd/node.h"
 
-struct questions *
-questions_create(struct node *node);
+struct job_queries *
+job_queries_create(struct node *node);
 void
-questions_destroy(struct questions *questions);
+job_queries_destroy(struct job_queries *queries);
 
-/** questions_state() - state of a job: 200, 410 if there is none, 503. */
+/** job_queries_state() - state of a job: 200, 410 if there is none, 503. */
 void
-questions_state(struct questions *questions, const char *id,
-                struct job_reply reply);
+job_queries_state(struct job_queries *queries, const char *id,
+                  struct job_reply reply);
 
-/** questions_cancel() - leave a note for the scheduler that a job is
+/** job_queries_cancel() - leave a note for the scheduler that a job is
  * cancelled: 200, 410 if there is none, 503 if nothing was done, 504. */
 void
-questions_cancel(struct questions *questions, const char *id,
-                 struct job_reply reply);
+job_queries_cancel(struct job_queries *queries, const char *id,
+                   struct job_reply reply);
 
 #endif
--- a/include/egretjobd/records.h
+++ b/include/egretjobd/records.h
@@ -16,9 +16,9 @@
 #define RECORD_WAVE_PREFIX "eg/wave/"
 #define RECORD_HOSTS_PREFIX "eg/hosts/"
 /* Hosts that the holder gave orders about lately, separated by spaces. */
-#define RECORD_HOST_ORDERS_KEY "eg/hosts/ordered"
-#define RECORD_DUTY_KEY "eg/duty/scheduler"
-#define RECORD_DUTY_PREFIX "eg/duty/"
+#define RECORD_HOST_COMMANDS_KEY "eg/hosts/ordered"
+#define RECORD_LEADER_KEY "eg/duty/scheduler"
+#define RECORD_LEADERSHIP_PREFIX "eg/duty/"
 /* Longest lease that the last holder left open when it handed over. */
 #define RECORD_HANDOVER_KEY "eg/duty/handover"
 #define RECORD_TERM_KEY "eg/duty/term"
--- a/include/egretjobd/store_path.h
+++ b/include/egretjobd/store_path.h
@@ -8,18 +8,18 @@
 #include "egretjobd/node.h"
 #include "platform/kv.h"
 
-struct store_path *
-store_path_create(struct node *node);
+struct store_route *
+store_route_create(struct node *node);
 void
-store_path_destroy(struct store_path *path);
+store_route_destroy(struct store_route *path);
 
-/** store_path_any() - for calls that may go through a peer. */
-struct kv_path
-store_path_any(struct store_path *path);
+/** store_route_any() - for calls that may go through a peer. */
+struct kv_route
+store_route_any(struct store_route *path);
 
-/** store_path_direct() - for calls that find out whether the direct way
+/** store_route_direct() - for calls that find out whether the direct way
  * works. */
-struct kv_path
-store_path_direct(struct store_path *path);
+struct kv_route
+store_route_direct(struct store_route *path);
 
 #endif
--- a/include/net/http_server.h
+++ b/include/net/http_server.h
@@ -36,9 +36,10 @@
 http_server_limit(struct http_server *server, int64_t header_bytes,
                   int64_t body_bytes, int64_t idle_ms);
 
-/** http_server_leave() - close each connection after its next answer. */
+/** http_server_disable_keep_alive() - close each connection after its next
+ * answer. */
 void
-http_server_leave(struct http_server *server);
+http_server_disable_keep_alive(struct http_server *server);
 
 /** http_server_open_exchanges() - requests without an answer yet. */
 uint32_t
@@ -59,10 +60,10 @@
 const char *
 http_exchange_body(const struct http_exchange *exchange, size_t *bytes);
 
-/** http_exchange_add() - add a header to the answer. */
+/** http_exchange_add_header() - add a header to the answer. */
 void
-http_exchange_add(struct http_exchange *exchange, const char *name,
-                  const char *value);
+http_exchange_add_header(struct http_exchange *exchange, const char *name,
+                         const char *value);
 
 /** http_exchange_reply() - answer with a JSON body or none; frees. */
 void
--- a/include/platform/backend_calls.h
+++ b/include/platform/backend_calls.h
@@ -7,7 +7,7 @@
 
 #include "core/jobs/scheduler.h"
 
-struct backend_link;
+struct backend_client;
 
 /**
  * struct backend_events - where answers of all links go; share @ctx
@@ -26,16 +26,17 @@
     void *ctx;
 };
 
-/** backend_link_create() - connections to one backend server. */
-struct backend_link *
-backend_link_create(struct event_base *base, const char *backend_id,
-                    const char *address, const struct backend_events *events);
+/** backend_client_create() - connections to one backend server. */
+struct backend_client *
+backend_client_create(struct event_base *base, const char *backend_id,
+                      const char *address,
+                      const struct backend_events *events);
 void
-backend_link_destroy(struct backend_link *link);
+backend_client_destroy(struct backend_client *link);
 
-/** backend_link_address() - the address it was created with. */
+/** backend_client_address() - the address it was created with. */
 const char *
-backend_link_address(const struct backend_link *link);
+backend_client_address(const struct backend_client *link);
 
 /**
  * struct start_call - a start in full
@@ -56,18 +57,21 @@
 };
 
 void
-backend_link_start(struct backend_link *link, const struct start_call *call);
+backend_client_start(struct backend_client *link,
+                     const struct start_call *call);
 void
-backend_link_stop(struct backend_link *link, uint64_t handle, const char *task,
-                  uint32_t number, int64_t token);
+backend_client_stop(struct backend_client *link, uint64_t handle,
+                    const char *task, uint32_t number, int64_t token);
 
 void
-backend_link_pace(struct backend_link *link, const struct pace_order *order,
-                  int64_t token);
+backend_client_throttle(struct backend_client *link,
+                        const struct pace_order *order, int64_t token);
 
-/** backend_link_list() - read both lists; @until_ms 0 renews no lease. */
+/** backend_client_request_report() - read both lists; @until_ms 0 renews no
+ * lease. */
 void
-backend_link_list(struct backend_link *link, int64_t until_ms, int64_t token,
-                  int64_t seen_upto, int64_t wait_ms);
+backend_client_request_report(struct backend_client *link, int64_t until_ms,
+                              int64_t token, int64_t seen_upto,
+                              int64_t wait_ms);
 
 #endif
--- a/include/platform/boot.h
+++ b/include/platform/boot.h
@@ -1,4 +1,4 @@
-/* Settings of a process as the platform lays them out. */
+/* Settings of egretjobd, read from the file that the platform writes. */
 #ifndef PLATFORM_BOOT_H
 #define PLATFORM_BOOT_H
 
@@ -9,42 +9,44 @@
 #include "core/jobs/scheduler.h"
 
 /**
- * struct boot - settings of a process
- * @node: name of this process
- * @data_centre: where it runs
- * @front: address for callers
- * @ready: address of the health check
- * @peer: address for other processes of the system
- * @metrics: address of the metrics
- * @store: address of the key-value service
- * @hosts: address of the calls about hosts
- * @advice: address of the service that advises on backend servers, or NULL
- * @cores: processor of this host, in cores
- * @grace_ms: time between SIGTERM and SIGKILL
- * @config_ms: time within which a configuration is in force
- * @timings: bounds for the scheduler
+ * struct job_settings - settings of one egretjobd process
+ * @node_name: name of this process
+ * @data_centre: data centre that it runs in
+ * @caller_address: listen address for callers
+ * @health_address: listen address of the health check
+ * @peer_address: listen address for the other processes of the subsystem
+ * @metrics_address: listen address of the metrics
+ * @store_address: address of the key-value service
+ * @host_api_address: address of the host API
+ * @advice_address: address of the placement advice service, or NULL
+ * @cores: processor capacity of this host, in cores
+ * @stop_grace_ms: time between SIGTERM and SIGKILL
+ * @config_age_max_ms: time within which a stored configuration must be active
+ * @min_ttl_ms: shortest time to live of a lease that the store grants
+ * @timings: time limits of the scheduler
  */
-struct boot {
-    char *node;
+struct job_settings {
+    char *node_name;
     char *data_centre;
-    char *front;
-    char *ready;
-    char *peer;
-    char *metrics;
-    char *store;
-    char *hosts;
-    char *advice;
+    char *caller_address;
+    char *health_address;
+    char *peer_address;
+    char *metrics_address;
+    char *store_address;
+    char *host_api_address;
+    char *advice_address;
     double cores;
-    int64_t grace_ms;
-    int64_t config_ms;
+    int64_t stop_grace_ms;
+    int64_t config_age_max_ms;
     int64_t min_ttl_ms;
     struct sched_timings timings;
 };
 
-/** boot_read() - settings in @path; NULL with findings if they are wrong. */
-struct boot *
-boot_read(const char *path, struct findings *findings);
+/** job_settings_read() - read the settings in @path; NULL and findings on an
+ * error. */
+struct job_settings *
+job_settings_read(const char *path, struct findings *findings);
 void
-boot_destroy(struct boot *boot);
+job_settings_destroy(struct job_settings *settings);
 
 #endif
--- a/include/platform/decode.h
+++ b/include/platform/decode.h
@@ -13,7 +13,7 @@
 /* Keys that the operator and the backend servers write. */
 #define PLATFORM_OPERATOR_PREFIX "op/"
 #define PLATFORM_CONFIG_KEY "op/config"
-#define PLATFORM_OUT_PREFIX "op/evacuate/"
+#define PLATFORM_OUT_OF_SERVICE_PREFIX "op/evacuate/"
 #define PLATFORM_WAVE_PREFIX "op/wave/"
 #define PLATFORM_WAVE_STATUS_PREFIX "status/wave/"
 #define PLATFORM_BACKEND_PREFIX "servers/"
@@ -45,13 +45,14 @@
 struct job *
 decode_job(const char *text, size_t bytes, char **error);
 
-/** encode_state() - answer to a question for a job's state; static text.
+/** encode_job_state() - answer to a question for a job's state; static text.
  * @begun: whether any task has started */
 const char *
-encode_state(enum job_state state, bool begun);
+encode_job_state(enum job_state state, bool begun);
 
-/** encode_waiting() - answer to a question for a queue's length; g_free() */
+/** encode_queue_length() - answer to a question for a queue's length; g_free()
+ */
 char *
-encode_waiting(int64_t waiting);
+encode_queue_length(int64_t waiting);
 
 #endif
--- a/include/platform/kv.h
+++ b/include/platform/kv.h
@@ -103,13 +103,13 @@
 struct kv;
 
 /**
- * struct kv_path - how calls reach the service; decided by the caller
+ * struct kv_route - how calls reach the service; decided by the caller
  * @relay: address of a peer that passes the next call on, or NULL for the
  *         direct way; may be NULL itself
  * @report: HTTP status of an answer, 0 for none, and the peer that the call
  *          went through, which may be an earlier one; may be NULL
  */
-struct kv_path {
+struct kv_route {
     const char *(*relay)(void *ctx);
     void (*report)(void *ctx, const char *relay, int status);
     void *ctx;
@@ -121,7 +121,7 @@
 /** kv_create() - client with one connection; calls go out in order. */
 struct kv *
 kv_create(struct event_base *base, const char *address, int64_t timeout_ms,
-          struct kv_path path);
+          struct kv_route route);
 void
 kv_destroy(struct kv *kv);
 
@@ -155,10 +155,10 @@
 kv_commit_encoded(struct kv *kv, const char *body, struct kv_done done);
 
 void
-kv_lease(struct kv *kv, int64_t ttl_ms, struct kv_done done);
+kv_lease_grant(struct kv *kv, int64_t ttl_ms, struct kv_done done);
 void
-kv_keep(struct kv *kv, int64_t lease, struct kv_done done);
+kv_lease_renew(struct kv *kv, int64_t lease, struct kv_done done);
 void
-kv_lease_end(struct kv *kv, int64_t lease, struct kv_done done);
+kv_lease_revoke(struct kv *kv, int64_t lease, struct kv_done done);
 
 #endif
--- a/net/http_server.c
+++ b/net/http_server.c
@@ -83,7 +83,7 @@
 }
 
 void
-http_server_leave(struct http_server *server)
+http_server_disable_keep_alive(struct http_server *server)
 {
     server->leaving = true;
 }
@@ -132,8 +132,8 @@
 }
 
 void
-http_exchange_add(struct http_exchange *exchange, const char *name,
-                  const char *value)
+http_exchange_add_header(struct http_exchange *exchange, const char *name,
+                         const char *value)
 {
     evhttp_add_header(evhttp_request_get_output_headers(exchange->request),
                       name, value);
@@ -147,11 +147,11 @@
     struct evbuffer *output =
         evhttp_request_get_output_buffer(exchange->request);
     if (body != NULL) {
-        http_exchange_add(exchange, "Content-Type", "application/json");
+        http_exchange_add_header(exchange, "Content-Type", "application/json");
         evbuffer_add(output, body, strlen(body));
     }
     if (server->leaving) {
-        http_exchange_add(exchange, "Connection", "close");
+        http_exchange_add_header(exchange, "Connection", "close");
     }
     server->open_exchanges--;
     evhttp_send_reply(exchange->request, status, NULL, NULL);
--- a/tests/jobs/committer_test.c
+++ b/tests/jobs/committer_test.c
@@ -65,8 +65,8 @@
     struct http_server *server =
         http_server_create(base, STORE_ADDRESS, on_request, store);
     CU_ASSERT_PTR_NOT_NULL_FATAL(server);
-    struct committer *committer =
-        committer_create(base, STORE_ADDRESS, TIMEOUT_MS, (struct kv_path){0});
+    struct committer *committer = committer_create(
+        base, STORE_ADDRESS, TIMEOUT_MS, (struct kv_route){0});
     struct kv_condition condition = {.key = "a"};
     struct kv_put put = {.key = "a", .value = "x"};
     struct kv_txn txn = {
--- a/tests/jobs/kv_test.c
+++ b/tests/jobs/kv_test.c
@@ -71,7 +71,7 @@
     CU_ASSERT_PTR_NOT_NULL_FATAL(silent);
     CU_ASSERT_PTR_NOT_NULL_FATAL(serving);
     struct way way = {.relay = SILENT_ADDRESS};
-    struct kv_path path = {
+    struct kv_route path = {
         .relay = choose_relay, .report = count_report, .ctx = &way};
     struct kv *kv = kv_create(base, SERVING_ADDRESS, TIMEOUT_MS, path);
 
@@ -111,7 +111,7 @@
     struct http_server *silent =
         http_server_create(base, SILENT_ADDRESS, never_answer, &kept);
     CU_ASSERT_PTR_NOT_NULL_FATAL(silent);
-    struct kv_path path = {0};
+    struct kv_route path = {0};
     struct kv *unsent = kv_create(base, SERVING_ADDRESS, TIMEOUT_MS, path);
     struct kv *unanswered = kv_create(base, SILENT_ADDRESS, TIMEOUT_MS, path);
     int first = -1;
