--- a/egretjobd/acceptor.c
+++ b/egretjobd/acceptor.c
@@ -4,10 +4,10 @@
 
 #include "common/event_log.h"
 #include "egretjobd/committer.h"
-#include "egretjobd/duty.h"
 #include "egretjobd/leader.h"
+#include "egretjobd/leadership.h"
 #include "egretjobd/records.h"
-#include "egretjobd/store_path.h"
+#include "egretjobd/store_route.h"
 #include "platform/kv.h"
 
 enum {
--- a/egretjobd/config_feed.c
+++ b/egretjobd/config_feed.c
@@ -3,11 +3,11 @@
 #include <string.h>
 
 #include "common/event_log.h"
-#include "egretjobd/front.h"
+#include "egretjobd/frontend.h"
 #include "egretjobd/leader.h"
 #include "egretjobd/peers.h"
 #include "egretjobd/records.h"
-#include "egretjobd/store_path.h"
+#include "egretjobd/store_route.h"
 #include "platform/decode.h"
 #include "platform/json_text.h"
 
--- a/egretjobd/front.c
+++ b/egretjobd/frontend.c
@@ -1,4 +1,4 @@
-#include "egretjobd/front.h"
+#include "egretjobd/frontend.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -6,11 +6,11 @@
 #include "common/event_log.h"
 #include "egretjobd/acceptor.h"
 #include "egretjobd/config_feed.h"
-#include "egretjobd/duty.h"
 #include "egretjobd/job_call.h"
+#include "egretjobd/job_queries.h"
 #include "egretjobd/leader.h"
+#include "egretjobd/leadership.h"
 #include "egretjobd/peers.h"
-#include "egretjobd/questions.h"
 #include "net/http_server.h"
 #include "platform/decode.h"
 #include "platform/ingress.h"
--- a/egretjobd/questions.c
+++ b/egretjobd/job_queries.c
@@ -1,7 +1,7 @@
-#include "egretjobd/questions.h"
+#include "egretjobd/job_queries.h"
 
 #include "egretjobd/records.h"
-#include "egretjobd/store_path.h"
+#include "egretjobd/store_route.h"
 #include "platform/decode.h"
 #include "platform/kv.h"
 
--- a/egretjobd/leader.c
+++ b/egretjobd/leader.c
@@ -5,10 +5,10 @@
 #include "common/event_log.h"
 #include "egretjobd/acceptor.h"
 #include "egretjobd/config_feed.h"
-#include "egretjobd/duty.h"
-#include "egretjobd/questions.h"
+#include "egretjobd/job_queries.h"
+#include "egretjobd/leadership.h"
 #include "egretjobd/records.h"
-#include "egretjobd/store_path.h"
+#include "egretjobd/store_route.h"
 #include "platform/decode.h"
 
 enum {
--- a/egretjobd/leader_links.c
+++ b/egretjobd/leader_commands.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #include "common/event_log.h"
-#include "egretjobd/duty.h"
+#include "egretjobd/leadership.h"
 
 enum {
     TASK_NAME_BYTES = JOB_ID_CHARS + 48,
--- a/egretjobd/leader_hosts.c
+++ b/egretjobd/leader_host_commands.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 #include "common/event_log.h"
-#include "egretjobd/duty.h"
+#include "egretjobd/leadership.h"
 #include "egretjobd/records.h"
 
 enum {
--- a/egretjobd/leader_load.c
+++ b/egretjobd/leader_load.c
@@ -4,9 +4,9 @@
 #include <string.h>
 
 #include "common/event_log.h"
-#include "egretjobd/duty.h"
+#include "egretjobd/leadership.h"
 #include "egretjobd/records.h"
-#include "egretjobd/store_path.h"
+#include "egretjobd/store_route.h"
 #include "platform/decode.h"
 
 enum {
--- a/egretjobd/leader_state.h
+++ b/egretjobd/leader_state.h
@@ -4,9 +4,9 @@
 
 #include "egretjobd/committer.h"
 #include "egretjobd/leader.h"
-#include "egretjobd/store_path.h"
+#include "egretjobd/store_route.h"
 #include "platform/advice_api.h"
-#include "platform/backend_calls.h"
+#include "platform/backend_client.h"
 #include "platform/hosts_api.h"
 #include "platform/kv.h"
 
@@ -121,7 +121,7 @@
 void
 leader_report_waves(struct leader *leader);
 
-/* leader_hosts.c */
+/* leader_host_commands.c */
 struct host_orders *
 host_orders_create(struct leader *leader);
 void
@@ -137,7 +137,7 @@
 void
 host_orders_flush(struct host_orders *orders);
 
-/* leader_links.c */
+/* leader_commands.c */
 struct sched_ops
 leader_ops(struct leader *leader);
 void
--- a/egretjobd/leader_store.c
+++ b/egretjobd/leader_store.c
@@ -5,7 +5,7 @@
 
 #include "common/event_log.h"
 #include "egretjobd/config_feed.h"
-#include "egretjobd/duty.h"
+#include "egretjobd/leadership.h"
 #include "egretjobd/records.h"
 #include "platform/decode.h"
 
--- a/egretjobd/duty.c
+++ b/egretjobd/leadership.c
@@ -1,4 +1,4 @@
-#include "egretjobd/duty.h"
+#include "egretjobd/leadership.h"
 
 #include <glib.h>
 #include <string.h>
@@ -8,7 +8,7 @@
 #include "core/jobs/claim_turn.h"
 #include "egretjobd/leader.h"
 #include "egretjobd/records.h"
-#include "egretjobd/store_path.h"
+#include "egretjobd/store_route.h"
 #include "platform/json_text.h"
 #include "platform/kv.h"
 
--- a/egretjobd/main.c
+++ b/egretjobd/main.c
@@ -6,7 +6,7 @@
 #include "common/event_log.h"
 #include "common/findings.h"
 #include "egretjobd/node.h"
-#include "platform/boot.h"
+#include "platform/job_settings.h"
 
 #define BOOT_VARIABLE "EGRETGLADE_BOOT"
 
--- a/egretjobd/node.c
+++ b/egretjobd/node.c
@@ -9,13 +9,13 @@
 #include "common/event_log.h"
 #include "egretjobd/acceptor.h"
 #include "egretjobd/config_feed.h"
-#include "egretjobd/duty.h"
-#include "egretjobd/front.h"
+#include "egretjobd/frontend.h"
+#include "egretjobd/job_queries.h"
 #include "egretjobd/leader.h"
+#include "egretjobd/leadership.h"
 #include "egretjobd/peers.h"
-#include "egretjobd/questions.h"
 #include "egretjobd/records.h"
-#include "egretjobd/store_path.h"
+#include "egretjobd/store_route.h"
 #include "platform/kv.h"
 
 enum {
--- a/egretjobd/store_path.c
+++ b/egretjobd/store_route.c
@@ -1,4 +1,4 @@
-#include "egretjobd/store_path.h"
+#include "egretjobd/store_route.h"
 
 #include <glib.h>
 
--- a/include/egretjobd/front.h
+++ b/include/egretjobd/frontend.h
@@ -1,6 +1,6 @@
 /* Callers' requests, health check and metrics. */
-#ifndef EGRETJOBD_FRONT_H
-#define EGRETJOBD_FRONT_H
+#ifndef EGRETJOBD_FRONTEND_H
+#define EGRETJOBD_FRONTEND_H
 
 #include "core/jobs/fleet_config.h"
 #include "egretjobd/node.h"
--- a/include/egretjobd/questions.h
+++ b/include/egretjobd/job_queries.h
@@ -1,6 +1,6 @@
 /* Questions about jobs that the store answers when no scheduler does. */
-#ifndef EGRETJOBD_QUESTIONS_H
-#define EGRETJOBD_QUESTIONS_H
+#ifndef EGRETJOBD_JOB_QUERIES_H
+#define EGRETJOBD_JOB_QUERIES_H
 
 #include "egretjobd/job_call.h"
 #include "egretjobd/node.h"
--- a/include/egretjobd/duty.h
+++ b/include/egretjobd/leadership.h
@@ -1,6 +1,6 @@
 /* The duty to schedule: who holds it, and for how long that is certain. */
-#ifndef EGRETJOBD_DUTY_H
-#define EGRETJOBD_DUTY_H
+#ifndef EGRETJOBD_LEADERSHIP_H
+#define EGRETJOBD_LEADERSHIP_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/include/egretjobd/node.h
+++ b/include/egretjobd/node.h
@@ -6,7 +6,7 @@
 #include <stdbool.h>
 
 #include "common/ms_clock.h"
-#include "platform/boot.h"
+#include "platform/job_settings.h"
 
 struct config_feed;
 struct leadership;
--- a/include/egretjobd/store_path.h
+++ b/include/egretjobd/store_route.h
@@ -2,8 +2,8 @@
  * How calls reach the store: directly or, while it turns this process away,
  * through a peer that it serves.
  */
-#ifndef EGRETJOBD_STORE_PATH_H
-#define EGRETJOBD_STORE_PATH_H
+#ifndef EGRETJOBD_STORE_ROUTE_H
+#define EGRETJOBD_STORE_ROUTE_H
 
 #include "egretjobd/node.h"
 #include "platform/kv.h"
--- a/include/platform/backend_calls.h
+++ b/include/platform/backend_client.h
@@ -1,6 +1,6 @@
 /* Orders to a backend server and its answers. */
-#ifndef PLATFORM_BACKEND_CALLS_H
-#define PLATFORM_BACKEND_CALLS_H
+#ifndef PLATFORM_BACKEND_CLIENT_H
+#define PLATFORM_BACKEND_CLIENT_H
 
 #include <event2/event.h>
 #include <stdint.h>
--- a/include/platform/boot.h
+++ b/include/platform/job_settings.h
@@ -1,6 +1,6 @@
 /* Settings of egretjobd, read from the file that the platform writes. */
-#ifndef PLATFORM_BOOT_H
-#define PLATFORM_BOOT_H
+#ifndef PLATFORM_JOB_SETTINGS_H
+#define PLATFORM_JOB_SETTINGS_H
 
 #include <stdbool.h>
 #include <stdint.h>
