--- a/standins/free_ports.c
+++ b/standins/free_ports.c
@@ -7,11 +7,6 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-enum {
-    PORT_FIRST = 20000,
-    PORT_END = 32000,
-};
-
 static int
 bind_port(uint16_t port)
 {
@@ -34,7 +29,8 @@
     int *fds = g_new(int, n);
     for (size_t i = 0; i < n; i++) {
         do {
-            ports[i] = (uint16_t)g_random_int_range(PORT_FIRST, PORT_END);
+            ports[i] =
+                (uint16_t)g_random_int_range(FREE_PORTS_FIRST, FREE_PORTS_END);
             fds[i] = bind_port(ports[i]);
         } while (fds[i] < 0);
     }
--- a/standins/free_ports.h
+++ b/standins/free_ports.h
@@ -5,7 +5,16 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** free_ports_find() - @n distinct ports below the kernel's own range. */
+/* Fixed ports of tests lie from FREE_PORTS_END to the kernel's own range. */
+enum {
+    FREE_PORTS_FIRST = 10000,
+    FREE_PORTS_END = 20000,
+};
+
+/**
+ * free_ports_find() - @n distinct ports from FREE_PORTS_FIRST up to, without,
+ * FREE_PORTS_END.
+ */
 void
 free_ports_find(uint16_t *ports, size_t n);
 
--- a/tests/jobs/process_fixture.c
+++ b/tests/jobs/process_fixture.c
@@ -8,6 +8,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include "../../standins/free_ports.h"
 #include "platform/json_text.h"
 
 enum {
@@ -157,6 +158,8 @@
 void
 fixture_set_up(int first_port, bool proxied)
 {
+    /* Below are the ports that tests running beside this one may draw. */
+    CU_ASSERT_FATAL(first_port >= FREE_PORTS_END);
     fixture = (struct fixture){.first_port = first_port};
     fixture.base = event_base_new();
     fixture.directory = g_dir_make_tmp("jobs-test-XXXXXX", NULL);
