--- a/egretjobd/acceptor.c
+++ b/egretjobd/acceptor.c
@@ -14,14 +14,14 @@
     CALL_TIMEOUT_MS = 1000,
     /* A condition and two writes per job within one transaction; with the
      * duty a condition and one write, and the duty's own. */
-    BATCH_JOBS = 10,
-    BATCH_JOBS_WITH_DUTY = 15,
+    BATCH_JOBS_MAX = 10,
+    BATCH_JOBS_AS_LEADER_MAX = 15,
     /* Transactions at once. One answer takes some milliseconds, and what comes
      * meanwhile goes together; a slow store takes 50 to 100 times as
      * long, and 100 jobs a second arrive on a grown site. */
-    LANES = 8,
-    NEXT_LANE_AFTER_MS = 30,
-    RETRY_MS = 40,
+    TXN_SLOT_COUNT = 8,
+    NEXT_TXN_AFTER_MS = 30,
+    RETRY_MIN_MS = 40,
     RETRY_MAX_MS = 640,
     /* A write that was refused is tried this long before the caller is. */
     REFUSED_AFTER_MS = 250,
@@ -30,7 +30,7 @@
     UNKNOWN_AFTER_MS = 1000,
     /* Commits in a row that came to nothing before callers are refused at
      * once; a single one may be a lost answer. */
-    STALLED_COMMITS = 2,
+    STALLED_COMMIT_COUNT = 2,
     /* Callers count in whole seconds; the store is tried more often. */
     STALLED_RETRY_AFTER_MS = 1000,
     /* The store may carry a write out some seconds late; until then the
@@ -39,39 +39,39 @@
 };
 
 /**
- * struct entry - a job on its way into the store
+ * struct pending_job - a job on its way into the store
  * @uncertain: a write got no answer and may still be carried out
- * @exists: the job is stored, maybe without the scheduler's knowledge
+ * @in_store: the job is stored, maybe without the scheduler's knowledge
  * @replies: callers that wait for it
  */
-struct entry {
+struct pending_job {
     char *id;
     char *key;
     char *inbox_key;
     char *value;
     int64_t since_ms;
     bool uncertain;
-    bool exists;
+    bool in_store;
     GArray *replies;
 };
 
 /**
- * struct lane - one transaction under way
- * @batch: struct entry in it, or NULL
- * @with_duty: it holds only while this process has the duty
+ * struct txn_slot - one transaction under way
+ * @batch: struct pending_job in it, or NULL
+ * @as_leader: it holds only while this process has the duty
  * @sent_ms: when it was sent
  */
-struct lane {
+struct txn_slot {
     struct acceptor *acceptor;
     struct committer *committer;
     GPtrArray *batch;
-    bool with_duty;
+    bool as_leader;
     int64_t sent_ms;
 };
 
 struct acceptor {
     struct node *node;
-    struct lane lanes[LANES];
+    struct txn_slot slots[TXN_SLOT_COUNT];
     struct event *timer;
     GQueue waiting;
     GHashTable *by_id;
@@ -80,67 +80,68 @@
 };
 
 static void
-entry_answer(struct entry *entry, int status)
+pending_answer(struct pending_job *pending, int status)
 {
     struct job_answer answer = {.status = status};
     if (status == 503) {
         answer.retry_after_ms = REFUSED_AFTER_MS;
     }
-    for (guint i = 0; i < entry->replies->len; i++) {
+    for (guint i = 0; i < pending->replies->len; i++) {
         struct job_reply *reply =
-            &g_array_index(entry->replies, struct job_reply, i);
+            &g_array_index(pending->replies, struct job_reply, i);
         reply->call(reply->ctx, &answer);
     }
-    g_array_set_size(entry->replies, 0);
+    g_array_set_size(pending->replies, 0);
 }
 
 static void
-entry_finish(struct acceptor *acceptor, struct entry *entry, int status)
+pending_finish(struct acceptor *acceptor, struct pending_job *pending,
+               int status)
 {
-    g_hash_table_remove(acceptor->by_id, entry->id);
-    entry_answer(entry, status);
-    g_array_unref(entry->replies);
-    g_free(entry->id);
-    g_free(entry->key);
-    g_free(entry->inbox_key);
-    g_free(entry->value);
-    g_free(entry);
+    g_hash_table_remove(acceptor->by_id, pending->id);
+    pending_answer(pending, status);
+    g_array_unref(pending->replies);
+    g_free(pending->id);
+    g_free(pending->key);
+    g_free(pending->inbox_key);
+    g_free(pending->value);
+    g_free(pending);
 }
 
 static void
-entry_stored(struct acceptor *acceptor, struct entry *entry)
+pending_stored(struct acceptor *acceptor, struct pending_job *pending)
 {
     if (acceptor->node->leader != NULL) {
-        leader_job_stored(acceptor->node->leader, entry->id, entry->value,
-                          strlen(entry->value));
+        leader_job_stored(acceptor->node->leader, pending->id, pending->value,
+                          strlen(pending->value));
     }
-    entry_finish(acceptor, entry, 200);
+    pending_finish(acceptor, pending, 200);
 }
 
 static void
 send_batches(struct acceptor *acceptor);
 
 static void
-requeue(struct acceptor *acceptor, struct entry *entry, bool refused)
+requeue(struct acceptor *acceptor, struct pending_job *pending, bool refused)
 {
-    int64_t age_ms = node_now(acceptor->node) - entry->since_ms;
-    if (age_ms > UNKNOWN_AFTER_MS && !entry->uncertain) {
-        entry_finish(acceptor, entry, 503);
+    int64_t age_ms = node_now(acceptor->node) - pending->since_ms;
+    if (age_ms > UNKNOWN_AFTER_MS && !pending->uncertain) {
+        pending_finish(acceptor, pending, 503);
         return;
     }
     if (age_ms > GIVE_UP_MS) {
-        event_log("job_unresolved", "\"job\":\"%s\"", entry->id);
-        entry_finish(acceptor, entry, 504);
+        event_log("job_unresolved", "\"job\":\"%s\"", pending->id);
+        pending_finish(acceptor, pending, 504);
         return;
     }
     if (age_ms > UNKNOWN_AFTER_MS) {
-        entry_answer(entry, 504);
+        pending_answer(pending, 504);
     }
-    if (refused && !entry->uncertain && age_ms > REFUSED_AFTER_MS) {
-        entry_finish(acceptor, entry, 503);
+    if (refused && !pending->uncertain && age_ms > REFUSED_AFTER_MS) {
+        pending_finish(acceptor, pending, 503);
         return;
     }
-    g_queue_push_tail(&acceptor->waiting, entry);
+    g_queue_push_tail(&acceptor->waiting, pending);
 }
 
 /* Jobs of which nothing was sent yet. */
@@ -151,11 +152,11 @@
     GList *link = acceptor->waiting.head;
     while (link != NULL) {
         GList *next = link->next;
-        struct entry *entry = link->data;
-        if (!entry->uncertain && !entry->exists &&
-            now_ms - entry->since_ms > REFUSED_AFTER_MS) {
+        struct pending_job *pending = link->data;
+        if (!pending->uncertain && !pending->in_store &&
+            now_ms - pending->since_ms > REFUSED_AFTER_MS) {
             g_queue_delete_link(&acceptor->waiting, link);
-            entry_finish(acceptor, entry, 503);
+            pending_finish(acceptor, pending, 503);
         }
         link = next;
     }
@@ -174,7 +175,7 @@
 }
 
 static bool
-duty_moved(const struct acceptor *acceptor, const struct kv_result *result)
+leader_changed(const struct acceptor *acceptor, const struct kv_result *result)
 {
     for (guint i = 0; i < result->items->len; i++) {
         const struct kv_item *item = g_ptr_array_index(result->items, i);
@@ -189,32 +190,32 @@
 static void
 on_commit(void *ctx, const struct kv_result *result)
 {
-    struct lane *lane = ctx;
-    struct acceptor *acceptor = lane->acceptor;
-    GPtrArray *batch = lane->batch;
-    lane->batch = NULL;
+    struct txn_slot *slot = ctx;
+    struct acceptor *acceptor = slot->acceptor;
+    GPtrArray *batch = slot->batch;
+    slot->batch = NULL;
     bool progress = result->outcome == KV_OK;
     for (guint i = 0; i < batch->len; i++) {
-        struct entry *entry = g_ptr_array_index(batch, i);
-        bool found = found_in(result, entry->key);
-        if (result->outcome == KV_OK || found_in(result, entry->inbox_key) ||
-            (found && lane->with_duty)) {
+        struct pending_job *pending = g_ptr_array_index(batch, i);
+        bool found = found_in(result, pending->key);
+        if (result->outcome == KV_OK || found_in(result, pending->inbox_key) ||
+            (found && slot->as_leader)) {
             progress = true;
-            entry_stored(acceptor, entry);
+            pending_stored(acceptor, pending);
             continue;
         }
         if (found) {
             progress = true;
-            entry->exists = true;
+            pending->in_store = true;
         }
         if (result->outcome == KV_UNKNOWN) {
-            entry->uncertain = true;
+            pending->uncertain = true;
         }
-        requeue(acceptor, entry, result->outcome == KV_REFUSED);
+        requeue(acceptor, pending, result->outcome == KV_REFUSED);
     }
     g_ptr_array_unref(batch);
-    if (lane->with_duty && result->outcome == KV_CONFLICT &&
-        duty_moved(acceptor, result)) {
+    if (slot->as_leader && result->outcome == KV_CONFLICT &&
+        leader_changed(acceptor, result)) {
         leadership_lose(acceptor->node->leadership,
                         "another holder was found");
     }
@@ -226,7 +227,7 @@
         return;
     }
     if (progress) {
-        acceptor->retry_ms = RETRY_MS;
+        acceptor->retry_ms = RETRY_MIN_MS;
         send_batches(acceptor);
         return;
     }
@@ -242,60 +243,60 @@
 }
 
 static void
-send_batch(struct lane *lane)
+send_batch(struct txn_slot *slot)
 {
-    struct acceptor *acceptor = lane->acceptor;
-    struct kv_condition conditions[BATCH_JOBS_WITH_DUTY + 1];
-    struct kv_put puts[2 * BATCH_JOBS_WITH_DUTY];
+    struct acceptor *acceptor = slot->acceptor;
+    struct kv_condition conditions[BATCH_JOBS_AS_LEADER_MAX + 1];
+    struct kv_put puts[2 * BATCH_JOBS_AS_LEADER_MAX];
     struct kv_txn txn = {.conditions = conditions, .puts = puts};
-    lane->batch = g_ptr_array_new();
-    lane->with_duty = leadership_held(acceptor->node->leadership);
-    lane->sent_ms = node_now(acceptor->node);
-    guint most = lane->with_duty ? BATCH_JOBS_WITH_DUTY : BATCH_JOBS;
-    if (lane->with_duty) {
+    slot->batch = g_ptr_array_new();
+    slot->as_leader = leadership_held(acceptor->node->leadership);
+    slot->sent_ms = node_now(acceptor->node);
+    guint most = slot->as_leader ? BATCH_JOBS_AS_LEADER_MAX : BATCH_JOBS_MAX;
+    if (slot->as_leader) {
         conditions[txn.n_conditions++] = (struct kv_condition){
             .key = RECORD_LEADER_KEY,
             .revision = leadership_token(acceptor->node->leadership),
         };
     }
-    while (lane->batch->len < most && !g_queue_is_empty(&acceptor->waiting)) {
-        struct entry *entry = g_queue_pop_head(&acceptor->waiting);
-        g_ptr_array_add(lane->batch, entry);
+    while (slot->batch->len < most && !g_queue_is_empty(&acceptor->waiting)) {
+        struct pending_job *pending = g_queue_pop_head(&acceptor->waiting);
+        g_ptr_array_add(slot->batch, pending);
         /* A stored job needs nothing but the note for the scheduler. */
-        bool note_only = entry->exists && !lane->with_duty;
+        bool inbox_only = pending->in_store && !slot->as_leader;
         conditions[txn.n_conditions++] = (struct kv_condition){
-            .key = note_only ? entry->inbox_key : entry->key};
-        if (!note_only) {
+            .key = inbox_only ? pending->inbox_key : pending->key};
+        if (!inbox_only) {
             puts[txn.n_puts++] =
-                (struct kv_put){.key = entry->key, .value = entry->value};
+                (struct kv_put){.key = pending->key, .value = pending->value};
         }
-        if (!lane->with_duty) {
+        if (!slot->as_leader) {
             puts[txn.n_puts++] =
-                (struct kv_put){.key = entry->inbox_key, .value = INBOX_JOB};
+                (struct kv_put){.key = pending->inbox_key, .value = INBOX_JOB};
         }
     }
-    committer_commit(lane->committer, &txn,
-                     (struct kv_done){.call = on_commit, .ctx = lane});
+    committer_commit(slot->committer, &txn,
+                     (struct kv_done){.call = on_commit, .ctx = slot});
 }
 
 /* The lane for the next transaction, or NULL if what waits goes with a later
  * one: another lane is taken only when the others are late. */
-static struct lane *
-next_lane(struct acceptor *acceptor)
+static struct txn_slot *
+next_slot(struct acceptor *acceptor)
 {
-    struct lane *idle = NULL;
+    struct txn_slot *idle = NULL;
     int64_t latest_ms = 0;
-    for (size_t i = 0; i < LANES; i++) {
-        struct lane *lane = &acceptor->lanes[i];
-        if (lane->batch == NULL) {
-            idle = idle == NULL ? lane : idle;
+    for (size_t i = 0; i < TXN_SLOT_COUNT; i++) {
+        struct txn_slot *slot = &acceptor->slots[i];
+        if (slot->batch == NULL) {
+            idle = idle == NULL ? slot : idle;
         }
         else {
-            latest_ms = MAX(latest_ms, lane->sent_ms);
+            latest_ms = MAX(latest_ms, slot->sent_ms);
         }
     }
-    return node_now(acceptor->node) - latest_ms >= NEXT_LANE_AFTER_MS ? idle
-                                                                      : NULL;
+    return node_now(acceptor->node) - latest_ms >= NEXT_TXN_AFTER_MS ? idle
+                                                                     : NULL;
 }
 
 static void
@@ -304,9 +305,9 @@
     if (g_queue_is_empty(&acceptor->waiting)) {
         return;
     }
-    struct lane *lane = next_lane(acceptor);
-    if (lane != NULL) {
-        send_batch(lane);
+    struct txn_slot *slot = next_slot(acceptor);
+    if (slot != NULL) {
+        send_batch(slot);
     }
 }
 
@@ -323,8 +324,8 @@
 {
     struct acceptor *acceptor = g_new0(struct acceptor, 1);
     acceptor->node = node;
-    for (size_t i = 0; i < LANES; i++) {
-        acceptor->lanes[i] = (struct lane){
+    for (size_t i = 0; i < TXN_SLOT_COUNT; i++) {
+        acceptor->slots[i] = (struct txn_slot){
             .acceptor = acceptor,
             .committer = committer_create(
                 node->base, node->settings->store_address, CALL_TIMEOUT_MS,
@@ -334,7 +335,7 @@
     acceptor->timer = evtimer_new(node->base, on_timer, acceptor);
     acceptor->by_id = g_hash_table_new(g_str_hash, g_str_equal);
     g_queue_init(&acceptor->waiting);
-    acceptor->retry_ms = RETRY_MS;
+    acceptor->retry_ms = RETRY_MIN_MS;
     return acceptor;
 }
 
@@ -345,35 +346,36 @@
         return;
     }
     event_free(acceptor->timer);
-    for (size_t i = 0; i < LANES; i++) {
-        committer_destroy(acceptor->lanes[i].committer);
+    for (size_t i = 0; i < TXN_SLOT_COUNT; i++) {
+        committer_destroy(acceptor->slots[i].committer);
     }
     g_hash_table_unref(acceptor->by_id);
     g_free(acceptor);
 }
 
 static void
-answer_open(struct entry *entry)
+answer_open(struct pending_job *pending)
 {
-    entry_answer(entry, entry->uncertain || entry->exists ? 504 : 503);
+    pending_answer(pending,
+                   pending->uncertain || pending->in_store ? 504 : 503);
 }
 
 static void
-answer_lane(struct lane *lane)
+answer_slot(struct txn_slot *slot)
 {
-    for (guint i = 0; lane->batch != NULL && i < lane->batch->len; i++) {
-        struct entry *entry = g_ptr_array_index(lane->batch, i);
+    for (guint i = 0; slot->batch != NULL && i < slot->batch->len; i++) {
+        struct pending_job *pending = g_ptr_array_index(slot->batch, i);
         /* Its write is on its way. */
-        entry->uncertain = true;
-        answer_open(entry);
+        pending->uncertain = true;
+        answer_open(pending);
     }
 }
 
 void
 acceptor_answer_pending(struct acceptor *acceptor)
 {
-    for (size_t i = 0; i < LANES; i++) {
-        answer_lane(&acceptor->lanes[i]);
+    for (size_t i = 0; i < TXN_SLOT_COUNT; i++) {
+        answer_slot(&acceptor->slots[i]);
     }
     for (GList *link = acceptor->waiting.head; link != NULL;
          link = link->next) {
@@ -387,20 +389,21 @@
 stalled(const struct acceptor *acceptor)
 {
     bool asking = evtimer_pending(acceptor->timer, NULL);
-    for (size_t i = 0; i < LANES; i++) {
-        asking = asking || acceptor->lanes[i].batch != NULL;
+    for (size_t i = 0; i < TXN_SLOT_COUNT; i++) {
+        asking = asking || acceptor->slots[i].batch != NULL;
     }
-    return asking && acceptor->failed_commits >= STALLED_COMMITS;
+    return asking && acceptor->failed_commits >= STALLED_COMMIT_COUNT;
 }
 
 void
 acceptor_submit(struct acceptor *acceptor, const struct job_call *call,
                 struct job_reply reply)
 {
-    struct entry *entry = g_hash_table_lookup(acceptor->by_id, call->id);
-    if (entry != NULL) {
-        entry->uncertain = entry->uncertain || call->uncertain;
-        g_array_append_val(entry->replies, reply);
+    struct pending_job *pending =
+        g_hash_table_lookup(acceptor->by_id, call->id);
+    if (pending != NULL) {
+        pending->uncertain = pending->uncertain || call->uncertain;
+        g_array_append_val(pending->replies, reply);
         return;
     }
     if (stalled(acceptor)) {
@@ -420,16 +423,16 @@
         .body = call->body,
         .body_bytes = call->body_bytes,
     };
-    entry = g_new0(struct entry, 1);
-    entry->id = g_strdup(call->id);
-    entry->key = g_strconcat(RECORD_JOB_PREFIX, call->id, NULL);
-    entry->inbox_key = g_strconcat(RECORD_INBOX_PREFIX, call->id, NULL);
-    entry->value = record_job_encode(&envelope);
-    entry->since_ms = node_now(acceptor->node);
-    entry->uncertain = call->uncertain;
-    entry->replies = g_array_new(FALSE, FALSE, sizeof(struct job_reply));
-    g_array_append_val(entry->replies, reply);
-    g_hash_table_insert(acceptor->by_id, entry->id, entry);
-    g_queue_push_tail(&acceptor->waiting, entry);
+    pending = g_new0(struct pending_job, 1);
+    pending->id = g_strdup(call->id);
+    pending->key = g_strconcat(RECORD_JOB_PREFIX, call->id, NULL);
+    pending->inbox_key = g_strconcat(RECORD_INBOX_PREFIX, call->id, NULL);
+    pending->value = record_job_encode(&envelope);
+    pending->since_ms = node_now(acceptor->node);
+    pending->uncertain = call->uncertain;
+    pending->replies = g_array_new(FALSE, FALSE, sizeof(struct job_reply));
+    g_array_append_val(pending->replies, reply);
+    g_hash_table_insert(acceptor->by_id, pending->id, pending);
+    g_queue_push_tail(&acceptor->waiting, pending);
     send_batches(acceptor);
 }
--- a/egretjobd/committer.c
+++ b/egretjobd/committer.c
@@ -5,14 +5,15 @@
 #include "egretjobd/node.h"
 
 enum {
-    SENDINGS = 2,
+    ATTEMPT_COUNT = 2,
     /* The store answers in some milliseconds and, slow, in a few tenths of a
      * second. */
-    AGAIN_AFTER_MS = 150,
+    RETRY_AFTER_MS = 150,
 };
 
-/** struct sending - one connection and the transaction that it carries */
-struct sending {
+/** struct commit_attempt - one connection and the transaction that it carries
+ */
+struct commit_attempt {
     struct committer *committer;
     struct kv *kv;
     uint64_t number;
@@ -21,16 +22,16 @@
 /**
  * struct committer - the open transaction
  * @number: counts transactions; answers to earlier ones are dropped
- * @open: sendings without an answer
+ * @open: attempts without an answer
  * @unknown: a sending got no answer
  * @body: what is sent, or NULL if none is open
  */
 struct committer {
-    struct sending sendings[SENDINGS];
-    struct event *again;
+    struct commit_attempt attempts[ATTEMPT_COUNT];
+    struct event *retry_timer;
     uint64_t number;
-    uint32_t open;
-    bool unknown;
+    uint32_t open_attempts;
+    bool outcome_unknown;
     char *body;
     struct kv_done done;
 };
@@ -38,7 +39,7 @@
 static void
 finish(struct committer *committer, const struct kv_result *result)
 {
-    evtimer_del(committer->again);
+    evtimer_del(committer->retry_timer);
     g_free(committer->body);
     committer->body = NULL;
     committer->number++;
@@ -48,59 +49,60 @@
 static void
 on_answer(void *ctx, const struct kv_result *result)
 {
-    struct sending *sending = ctx;
-    struct committer *committer = sending->committer;
-    if (sending->number != committer->number) {
+    struct commit_attempt *attempt = ctx;
+    struct committer *committer = attempt->committer;
+    if (attempt->number != committer->number) {
         return;
     }
-    committer->open--;
+    committer->open_attempts--;
     bool known =
         result->outcome != KV_UNKNOWN && result->outcome != KV_REFUSED;
     if (known) {
         finish(committer, result);
         return;
     }
-    committer->unknown = committer->unknown || result->outcome == KV_UNKNOWN;
-    if (committer->open > 0) {
+    committer->outcome_unknown =
+        committer->outcome_unknown || result->outcome == KV_UNKNOWN;
+    if (committer->open_attempts > 0) {
         return;
     }
     struct kv_result worst = *result;
-    worst.outcome = committer->unknown ? KV_UNKNOWN : KV_REFUSED;
+    worst.outcome = committer->outcome_unknown ? KV_UNKNOWN : KV_REFUSED;
     finish(committer, &worst);
 }
 
 static void
-send_by(struct committer *committer, struct sending *sending)
+attempt_send(struct committer *committer, struct commit_attempt *attempt)
 {
-    sending->number = committer->number;
-    committer->open++;
-    kv_commit_encoded(sending->kv, committer->body,
-                      (struct kv_done){.call = on_answer, .ctx = sending});
+    attempt->number = committer->number;
+    committer->open_attempts++;
+    kv_commit_encoded(attempt->kv, committer->body,
+                      (struct kv_done){.call = on_answer, .ctx = attempt});
 }
 
 /* A connection that still waits for an earlier answer may wait in vain; the
  * one that gave the last answer is idle. */
-static struct sending *
+static struct commit_attempt *
 least_busy(struct committer *committer)
 {
-    struct sending *best = &committer->sendings[0];
-    for (size_t i = 1; i < SENDINGS; i++) {
-        if (kv_pending(committer->sendings[i].kv) < kv_pending(best->kv)) {
-            best = &committer->sendings[i];
+    struct commit_attempt *best = &committer->attempts[0];
+    for (size_t i = 1; i < ATTEMPT_COUNT; i++) {
+        if (kv_pending(committer->attempts[i].kv) < kv_pending(best->kv)) {
+            best = &committer->attempts[i];
         }
     }
     return best;
 }
 
 static void
-on_again(evutil_socket_t fd, short events, void *ctx)
+on_retry_timer(evutil_socket_t fd, short events, void *ctx)
 {
     (void)fd;
     (void)events;
     struct committer *committer = ctx;
-    struct sending *sending = least_busy(committer);
-    if (kv_pending(sending->kv) == 0) {
-        send_by(committer, sending);
+    struct commit_attempt *attempt = least_busy(committer);
+    if (kv_pending(attempt->kv) == 0) {
+        attempt_send(committer, attempt);
     }
 }
 
@@ -109,13 +111,13 @@
                  int64_t timeout_ms, struct kv_route path)
 {
     struct committer *committer = g_new0(struct committer, 1);
-    for (size_t i = 0; i < SENDINGS; i++) {
-        committer->sendings[i] = (struct sending){
+    for (size_t i = 0; i < ATTEMPT_COUNT; i++) {
+        committer->attempts[i] = (struct commit_attempt){
             .committer = committer,
             .kv = kv_create(base, address, timeout_ms, path),
         };
     }
-    committer->again = evtimer_new(base, on_again, committer);
+    committer->retry_timer = evtimer_new(base, on_retry_timer, committer);
     return committer;
 }
 
@@ -125,10 +127,10 @@
     if (committer == NULL) {
         return;
     }
-    for (size_t i = 0; i < SENDINGS; i++) {
-        kv_destroy(committer->sendings[i].kv);
+    for (size_t i = 0; i < ATTEMPT_COUNT; i++) {
+        kv_destroy(committer->attempts[i].kv);
     }
-    event_free(committer->again);
+    event_free(committer->retry_timer);
     g_free(committer->body);
     g_free(committer);
 }
@@ -139,8 +141,8 @@
 {
     committer->body = kv_txn_encode(txn);
     committer->done = done;
-    committer->open = 0;
-    committer->unknown = false;
-    send_by(committer, least_busy(committer));
-    timer_set(committer->again, AGAIN_AFTER_MS);
+    committer->open_attempts = 0;
+    committer->outcome_unknown = false;
+    attempt_send(committer, least_busy(committer));
+    timer_set(committer->retry_timer, RETRY_AFTER_MS);
 }
--- a/egretjobd/config_feed.c
+++ b/egretjobd/config_feed.c
@@ -14,14 +14,14 @@
 enum {
     /* How long a call waits for a change; each answer proves how fresh the
      * orders are. */
-    WATCH_MS = 350,
-    NEXT_MS = 20,
+    WATCH_WAIT_MS = 350,
+    NEXT_CALL_MS = 20,
     RETRY_MS = 100,
     READ_TIMEOUT_MS = 900,
     /* Without an answer for this long the peers are asked. */
     ASK_PEERS_AFTER_MS = 700,
-    ASK_PEERS_MS = 200,
-    PEERS_PERIOD_MS = 5000,
+    ASK_PEERS_INTERVAL_MS = 200,
+    PEER_LIST_INTERVAL_MS = 5000,
 };
 
 struct config_feed {
@@ -34,15 +34,15 @@
     GPtrArray *next_items;
     GPtrArray *waves;
     GHashTable *wave_seen_ms;
-    char **out;
+    char **out_of_service;
     char **peers;
     int64_t as_of;
     int64_t watch_after;
     int64_t confirmed_ms;
     int64_t sent_ms;
-    int64_t asked_ms;
+    int64_t peer_asked_ms;
     int64_t peers_read_ms;
-    bool asking_peers;
+    bool asking_peer;
     size_t next_peer;
 };
 
@@ -55,7 +55,7 @@
 }
 
 static void
-take_config(struct config_feed *feed, const struct kv_item *item)
+activate_config(struct config_feed *feed, const struct kv_item *item)
 {
     int64_t held = feed->config == NULL ? 0 : feed->config->revision;
     if (item->revision <= held) {
@@ -75,7 +75,7 @@
               config->teams->len);
     struct fleet_config *before = feed->config;
     feed->config = config;
-    frontend_config_changed(feed->node->front, config);
+    frontend_config_changed(feed->node->frontend, config);
     leader_config_changed(feed->node->leader);
     fleet_config_destroy(before);
 }
@@ -94,7 +94,7 @@
 }
 
 static void
-take_others(struct config_feed *feed)
+apply_commands(struct config_feed *feed)
 {
     GPtrArray *out = g_ptr_array_new();
     g_ptr_array_set_size(feed->waves, 0);
@@ -116,13 +116,13 @@
         }
     }
     g_ptr_array_add(out, NULL);
-    g_strfreev(feed->out);
-    feed->out = (char **)g_ptr_array_free(out, FALSE);
+    g_strfreev(feed->out_of_service);
+    feed->out_of_service = (char **)g_ptr_array_free(out, FALSE);
 }
 
 /* Puts in force what was read as of a revision; never goes back. */
 static void
-take_items(struct config_feed *feed, int64_t as_of, int64_t confirmed_ms)
+apply_items(struct config_feed *feed, int64_t as_of, int64_t confirmed_ms)
 {
     if (as_of < feed->as_of) {
         g_ptr_array_set_size(feed->next_items, 0);
@@ -134,11 +134,11 @@
     feed->items = feed->next_items;
     feed->next_items = before;
     g_ptr_array_set_size(feed->next_items, 0);
-    take_others(feed);
+    apply_commands(feed);
     for (guint i = 0; i < feed->items->len; i++) {
         const struct kv_item *item = g_ptr_array_index(feed->items, i);
         if (strcmp(item->key, PLATFORM_CONFIG_KEY) == 0) {
-            take_config(feed, item);
+            activate_config(feed, item);
         }
     }
     leader_operator_records_changed(feed->node->leader);
@@ -148,10 +148,10 @@
 read_page(struct config_feed *feed, const char *after);
 
 static void
-on_peer_orders(void *ctx, const struct http_reply *reply)
+on_peer_records(void *ctx, const struct http_reply *reply)
 {
     struct config_feed *feed = ctx;
-    feed->asking_peers = false;
+    feed->asking_peer = false;
     if (reply->status != 200) {
         return;
     }
@@ -176,7 +176,7 @@
             };
             g_ptr_array_add(feed->next_items, kv_item_copy(&item));
         }
-        take_items(feed, as_of, feed->asked_ms - age_ms);
+        apply_items(feed, as_of, feed->peer_asked_ms - age_ms);
         feed->watch_after = 0;
     }
     cJSON_Delete(body);
@@ -186,13 +186,13 @@
 ask_peer(struct config_feed *feed)
 {
     size_t n_peers = feed->peers == NULL ? 0 : g_strv_length(feed->peers);
-    if (n_peers == 0 || feed->asking_peers) {
+    if (n_peers == 0 || feed->asking_peer) {
         return;
     }
     const char *peer = feed->peers[feed->next_peer++ % n_peers];
-    feed->asking_peers = true;
-    feed->asked_ms = node_now(feed->node);
-    peers_fetch_operator_records(feed->node->peers, peer, on_peer_orders,
+    feed->asking_peer = true;
+    feed->peer_asked_ms = node_now(feed->node);
+    peers_fetch_operator_records(feed->node->peers, peer, on_peer_records,
                                  feed);
 }
 
@@ -216,8 +216,8 @@
         return;
     }
     feed->watch_after = result->as_of;
-    take_items(feed, result->as_of, feed->sent_ms);
-    timer_set(feed->timer, NEXT_MS);
+    apply_items(feed, result->as_of, feed->sent_ms);
+    timer_set(feed->timer, NEXT_CALL_MS);
 }
 
 static void
@@ -229,7 +229,7 @@
 
 /* The orders as they are after the changes of a watch. */
 static void
-merge_events(struct config_feed *feed, const GPtrArray *events)
+merge_changes(struct config_feed *feed, const GPtrArray *events)
 {
     GHashTable *latest = g_hash_table_new(g_str_hash, g_str_equal);
     for (guint i = 0; i < feed->items->len; i++) {
@@ -272,11 +272,11 @@
         feed->confirmed_ms = MAX(feed->confirmed_ms, feed->sent_ms);
     }
     else {
-        merge_events(feed, result->items);
+        merge_changes(feed, result->items);
         feed->watch_after = result->as_of;
-        take_items(feed, result->as_of, feed->sent_ms);
+        apply_items(feed, result->as_of, feed->sent_ms);
     }
-    timer_set(feed->timer, NEXT_MS);
+    timer_set(feed->timer, NEXT_CALL_MS);
 }
 
 static void
@@ -303,7 +303,7 @@
 read_peers(struct config_feed *feed, int64_t now_ms)
 {
     if (feed->peers_read_ms != 0 &&
-        now_ms - feed->peers_read_ms < PEERS_PERIOD_MS) {
+        now_ms - feed->peers_read_ms < PEER_LIST_INTERVAL_MS) {
         return;
     }
     feed->peers_read_ms = now_ms;
@@ -325,8 +325,8 @@
         read_page(feed, NULL);
         return;
     }
-    kv_watch(feed->kv, PLATFORM_OPERATOR_PREFIX, feed->watch_after, WATCH_MS,
-             (struct kv_done){.call = on_watch, .ctx = feed});
+    kv_watch(feed->kv, PLATFORM_OPERATOR_PREFIX, feed->watch_after,
+             WATCH_WAIT_MS, (struct kv_done){.call = on_watch, .ctx = feed});
 }
 
 /* Apart from the store's calls: those may each wait for their timeout. */
@@ -340,7 +340,7 @@
         node_now(feed->node) - feed->confirmed_ms > ASK_PEERS_AFTER_MS) {
         ask_peer(feed);
     }
-    timer_set(feed->peer_timer, ASK_PEERS_MS);
+    timer_set(feed->peer_timer, ASK_PEERS_INTERVAL_MS);
 }
 
 struct config_feed *
@@ -356,11 +356,11 @@
     feed->waves = g_ptr_array_new_with_free_func(wave_destroy);
     feed->wave_seen_ms =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    feed->out = g_new0(char *, 1);
+    feed->out_of_service = g_new0(char *, 1);
     feed->timer = evtimer_new(node->base, on_timer, feed);
     feed->peer_timer = evtimer_new(node->base, on_peer_timer, feed);
     timer_set(feed->timer, 0);
-    timer_set(feed->peer_timer, ASK_PEERS_MS);
+    timer_set(feed->peer_timer, ASK_PEERS_INTERVAL_MS);
     return feed;
 }
 
@@ -378,7 +378,7 @@
     g_ptr_array_unref(feed->next_items);
     g_ptr_array_unref(feed->waves);
     g_hash_table_unref(feed->wave_seen_ms);
-    g_strfreev(feed->out);
+    g_strfreev(feed->out_of_service);
     g_strfreev(feed->peers);
     g_free(feed);
 }
@@ -401,7 +401,7 @@
 char **
 config_feed_out_of_service(const struct config_feed *feed)
 {
-    return feed->out;
+    return feed->out_of_service;
 }
 
 const GPtrArray *
--- a/egretjobd/frontend.c
+++ b/egretjobd/frontend.c
@@ -35,12 +35,12 @@
     struct http_server *callers;
     struct http_server *health;
     struct http_server *metrics;
-    struct frontend_counters figures;
+    struct frontend_counters counters;
 };
 
 /* A caller's request on its way; keeps its own copy of what it asks. */
-struct request {
-    struct frontend *front;
+struct caller_request {
+    struct frontend *frontend;
     struct http_exchange *exchange;
     struct job_call call;
     char *id;
@@ -51,7 +51,7 @@
 };
 
 static void
-request_free(struct request *request)
+request_free(struct caller_request *request)
 {
     g_free(request->id);
     g_free(request->queue);
@@ -71,26 +71,26 @@
 }
 
 static void
-request_answer(struct request *request, const struct job_answer *answer)
+request_answer(struct caller_request *request, const struct job_answer *answer)
 {
-    struct frontend *front = request->front;
+    struct frontend *frontend = request->frontend;
     int status = answer->status;
     if (status == 429 || status == 503) {
-        front->figures.refused++;
+        frontend->counters.refused++;
         add_retry_after(request->exchange, answer->retry_after_ms);
         event_log("request_refused",
                   "\"job\":\"%s\",\"queue\":\"%s\",\"status\":%d,"
                   "\"after_ms\":%" G_GINT64_FORMAT,
                   request->id, request->queue, status,
-                  node_now(front->node) - request->since_ms);
+                  node_now(frontend->node) - request->since_ms);
     }
     else if (status == 504) {
-        front->figures.unknown++;
+        frontend->counters.unknown++;
         event_log("request_unknown", "\"job\":\"%s\",\"queue\":\"%s\"",
                   request->id, request->queue);
     }
     else if (status == 200 && request->call.kind == JOB_CALL_SUBMIT) {
-        front->figures.accepted++;
+        frontend->counters.accepted++;
     }
     http_exchange_reply(request->exchange, status, answer->body);
     request_free(request);
@@ -104,9 +104,9 @@
 
 /* Without a scheduler that answers, the store itself is asked. */
 static void
-ask_store(struct request *request)
+ask_store(struct caller_request *request)
 {
-    struct node *node = request->front->node;
+    struct node *node = request->frontend->node;
     struct job_reply reply = {.call = on_store_answer, .ctx = request};
     struct job_answer refused = {.status = 503, .retry_after_ms = 200};
     switch (request->call.kind) {
@@ -128,7 +128,7 @@
 static void
 on_scheduler_answer(void *ctx, const struct job_answer *answer)
 {
-    struct request *request = ctx;
+    struct caller_request *request = ctx;
     if (answer->status == JOB_ANSWER_ASK_STORE ||
         answer->status == JOB_ANSWER_NONE) {
         request->call.uncertain = answer->status == JOB_ANSWER_NONE;
@@ -139,9 +139,9 @@
 }
 
 static void
-request_dispatch(struct request *request)
+request_dispatch(struct caller_request *request)
 {
-    struct node *node = request->front->node;
+    struct node *node = request->frontend->node;
     struct job_reply reply = {.call = on_scheduler_answer, .ctx = request};
     if (node->leader != NULL) {
         leader_handle_call(node->leader, &request->call, reply);
@@ -156,11 +156,11 @@
 }
 
 static void
-refuse(struct frontend *front, struct http_exchange *exchange, int status,
+refuse(struct frontend *frontend, struct http_exchange *exchange, int status,
        const char *why)
 {
     if (status == 503) {
-        front->figures.refused++;
+        frontend->counters.refused++;
         add_retry_after(exchange, 200);
     }
     event_log("request_rejected", "\"status\":%d,\"why\":\"%s\"", status, why);
@@ -220,10 +220,10 @@
 }
 
 static void
-answer_invalid(struct frontend *front, struct http_exchange *exchange,
+answer_invalid(struct frontend *frontend, struct http_exchange *exchange,
                const char *error)
 {
-    front->figures.invalid++;
+    frontend->counters.invalid++;
     event_log("request_invalid", "\"why\":\"%s\"", error);
     char *body = g_strdup_printf("{\"error\":\"%s\"}", error);
     http_exchange_reply(exchange, 400, body);
@@ -232,14 +232,14 @@
 
 /* Rejects a malformed job with the place of the error. */
 static bool
-check_body(struct frontend *front, struct http_exchange *exchange)
+check_body(struct frontend *frontend, struct http_exchange *exchange)
 {
     size_t bytes = 0;
     const char *body = http_exchange_body(exchange, &bytes);
     char *error = NULL;
     struct job *job = decode_job(body, bytes, &error);
     if (job == NULL) {
-        answer_invalid(front, exchange, error);
+        answer_invalid(frontend, exchange, error);
         g_free(error);
         return false;
     }
@@ -248,18 +248,18 @@
 }
 
 static void
-start_request(struct frontend *front, struct http_exchange *exchange,
+start_request(struct frontend *frontend, struct http_exchange *exchange,
               enum job_call_kind kind, const struct queue_config *queue,
               const char *team, const char *id)
 {
-    struct request *request = g_new0(struct request, 1);
-    request->front = front;
+    struct caller_request *request = g_new0(struct caller_request, 1);
+    request->frontend = frontend;
     request->exchange = exchange;
     request->id = g_strdup(id);
     request->queue = g_strdup(queue->name);
     request->pool = g_strdup(queue->pool);
     request->team = g_strdup(team);
-    request->since_ms = node_now(front->node);
+    request->since_ms = node_now(frontend->node);
     request->call = (struct job_call){
         .kind = kind,
         .id = request->id,
@@ -276,13 +276,14 @@
 static void
 on_caller(void *ctx, struct http_exchange *exchange)
 {
-    struct frontend *front = ctx;
-    front->figures.requests++;
-    if (!config_feed_fresh(front->node->feed)) {
-        refuse(front, exchange, 503, "no fresh configuration");
+    struct frontend *frontend = ctx;
+    frontend->counters.requests++;
+    if (!config_feed_fresh(frontend->node->feed)) {
+        refuse(frontend, exchange, 503, "no fresh configuration");
         return;
     }
-    const struct fleet_config *config = config_feed_current(front->node->feed);
+    const struct fleet_config *config =
+        config_feed_current(frontend->node->feed);
     char path[PATH_BYTES_MAX];
     char host[PATH_BYTES_MAX];
     copy_host(exchange, host);
@@ -291,7 +292,7 @@
             ? fleet_config_match(config, host, path)
             : NULL;
     if (queue == NULL) {
-        front->figures.not_found++;
+        frontend->counters.not_found++;
         http_exchange_reply(exchange, 404, NULL);
         return;
     }
@@ -299,7 +300,7 @@
     const struct team_config *team =
         key == NULL ? NULL : fleet_config_key_owner(config, key);
     if (!queue->open && team == NULL) {
-        front->figures.unauthorized++;
+        frontend->counters.unauthorized++;
         http_exchange_reply(exchange, 401, NULL);
         return;
     }
@@ -307,33 +308,33 @@
     enum job_call_kind kind;
     if (!find_kind(http_exchange_method(exchange), rest, &kind) ||
         (kind != JOB_CALL_QUEUE_LENGTH && !is_job_id(rest))) {
-        answer_invalid(front, exchange, "not a job's id in the path");
+        answer_invalid(frontend, exchange, "not a job's id in the path");
         return;
     }
-    if (kind == JOB_CALL_SUBMIT && !check_body(front, exchange)) {
+    if (kind == JOB_CALL_SUBMIT && !check_body(frontend, exchange)) {
         return;
     }
-    start_request(front, exchange, kind, queue, team == NULL ? "" : team->name,
-                  rest);
+    start_request(frontend, exchange, kind, queue,
+                  team == NULL ? "" : team->name, rest);
 }
 
 static void
 on_health(void *ctx, struct http_exchange *exchange)
 {
-    struct frontend *front = ctx;
+    struct frontend *frontend = ctx;
     bool ready =
         strcmp(http_exchange_path(exchange), PLATFORM_READY_PATH) == 0 &&
-        !front->node->stopping && config_feed_fresh(front->node->feed);
+        !frontend->node->stopping && config_feed_fresh(frontend->node->feed);
     http_exchange_reply(exchange, ready ? 200 : 503, NULL);
 }
 
 static void
 on_metrics(void *ctx, struct http_exchange *exchange)
 {
-    struct frontend *front = ctx;
-    const struct frontend_counters *f = &front->figures;
+    struct frontend *frontend = ctx;
+    const struct frontend_counters *f = &frontend->counters;
     struct sched_figures s;
-    leader_stats(front->node->leader, &s);
+    leader_stats(frontend->node->leader, &s);
     char text[METRICS_BYTES];
     g_snprintf(
         text, sizeof(text),
@@ -353,8 +354,8 @@
         "runs_failed_total %" G_GUINT64_FORMAT "\n"
         "runs_lost_total %" G_GUINT64_FORMAT "\n",
         f->requests, f->accepted, f->refused, f->unauthorized, f->not_found,
-        f->invalid, f->unknown, leadership_held(front->node->leadership),
-        config_feed_fresh(front->node->feed), s.jobs_active, s.runs,
+        f->invalid, f->unknown, leadership_held(frontend->node->leadership),
+        config_feed_fresh(frontend->node->feed), s.jobs_active, s.runs,
         s.backends, s.backends_unsettled, s.started, s.done, s.failed, s.lost);
     http_exchange_reply(exchange, 200, text);
 }
@@ -362,51 +363,51 @@
 struct frontend *
 frontend_create(struct node *node)
 {
-    struct frontend *front = g_new0(struct frontend, 1);
-    front->node = node;
-    front->callers = http_server_create(
-        node->base, node->settings->caller_address, on_caller, front);
-    front->health = http_server_create(
-        node->base, node->settings->health_address, on_health, front);
-    front->metrics = http_server_create(
-        node->base, node->settings->metrics_address, on_metrics, front);
-    if (front->callers == NULL || front->health == NULL ||
-        front->metrics == NULL) {
-        frontend_destroy(front);
+    struct frontend *frontend = g_new0(struct frontend, 1);
+    frontend->node = node;
+    frontend->callers = http_server_create(
+        node->base, node->settings->caller_address, on_caller, frontend);
+    frontend->health = http_server_create(
+        node->base, node->settings->health_address, on_health, frontend);
+    frontend->metrics = http_server_create(
+        node->base, node->settings->metrics_address, on_metrics, frontend);
+    if (frontend->callers == NULL || frontend->health == NULL ||
+        frontend->metrics == NULL) {
+        frontend_destroy(frontend);
         return NULL;
     }
-    return front;
+    return frontend;
 }
 
 void
-frontend_destroy(struct frontend *front)
+frontend_destroy(struct frontend *frontend)
 {
-    if (front == NULL) {
+    if (frontend == NULL) {
         return;
     }
-    http_server_destroy(front->callers);
-    http_server_destroy(front->health);
-    http_server_destroy(front->metrics);
-    g_free(front);
+    http_server_destroy(frontend->callers);
+    http_server_destroy(frontend->health);
+    http_server_destroy(frontend->metrics);
+    g_free(frontend);
 }
 
 void
-frontend_config_changed(struct frontend *front,
+frontend_config_changed(struct frontend *frontend,
                         const struct fleet_config *config)
 {
     const struct ingress_limits *limits = &config->limits;
-    http_server_limit(front->callers, limits->header_bytes, limits->body_bytes,
-                      limits->idle_timeout_ms);
+    http_server_limit(frontend->callers, limits->header_bytes,
+                      limits->body_bytes, limits->idle_timeout_ms);
 }
 
 void
-frontend_begin_shutdown(struct frontend *front)
+frontend_begin_shutdown(struct frontend *frontend)
 {
-    http_server_disable_keep_alive(front->callers);
+    http_server_disable_keep_alive(frontend->callers);
 }
 
 bool
-frontend_idle(const struct frontend *front)
+frontend_idle(const struct frontend *frontend)
 {
-    return http_server_open_exchanges(front->callers) == 0;
+    return http_server_open_exchanges(frontend->callers) == 0;
 }
--- a/egretjobd/job_queries.c
+++ b/egretjobd/job_queries.c
@@ -18,7 +18,7 @@
     struct job_queries *queries;
     char *id;
     enum job_state state;
-    bool begun;
+    bool started;
     struct job_reply reply;
 };
 
@@ -63,7 +63,7 @@
         query_finish(query, 503, NULL);
         return;
     }
-    query_finish(query, 200, encode_job_state(query->state, query->begun));
+    query_finish(query, 200, encode_job_state(query->state, query->started));
 }
 
 static void
@@ -76,7 +76,7 @@
     }
     if (result->outcome == KV_OK && result->items->len > 0) {
         const struct kv_item *item = g_ptr_array_index(result->items, 0);
-        query->begun = true;
+        query->started = true;
         record_progress_state(item->value, item->value_bytes, &query->state);
     }
     char *key = g_strconcat(RECORD_JOB_PREFIX, query->id, NULL);
@@ -100,7 +100,7 @@
 }
 
 static void
-on_cancel_noted(void *ctx, const struct kv_result *result)
+on_cancel_stored(void *ctx, const struct kv_result *result)
 {
     struct job_query *query = ctx;
     if (result->outcome == KV_OK) {
@@ -138,7 +138,7 @@
         .n_puts = 1,
     };
     kv_commit(query->queries->kv, &txn,
-              (struct kv_done){.call = on_cancel_noted, .ctx = query});
+              (struct kv_done){.call = on_cancel_stored, .ctx = query});
     g_free(inbox_key);
 }
 
--- a/egretjobd/leader.c
+++ b/egretjobd/leader.c
@@ -22,7 +22,7 @@
 };
 
 void
-leader_enter(struct leader *leader)
+leader_update_validity(struct leader *leader)
 {
     struct leadership *leadership = leader->node->leadership;
     scheduler_set_valid(leader->sched, leadership_valid(leadership));
@@ -50,7 +50,7 @@
     if (leader->stage < STAGE_READY) {
         return;
     }
-    leader_enter(leader);
+    leader_update_validity(leader);
     int64_t next_ms = scheduler_tick(leader->sched);
     if (scheduler_fenced(leader->sched)) {
         leadership_lose(leader->node->leadership,
@@ -58,7 +58,7 @@
         return;
     }
     leader_flush(leader);
-    host_orders_flush(leader->host_orders);
+    host_commands_flush(leader->host_commands);
     leader_report_waves(leader);
     if (!leader->tick_soon) {
         timer_set(leader->tick, MAX(next_ms - node_now(leader->node), 1));
@@ -96,7 +96,7 @@
     (void)events;
     struct leader *leader = ctx;
     hosts_api_list(leader->hosts);
-    leader_trim_links(leader);
+    leader_drop_unused_clients(leader);
     timer_set(leader->hosts_timer, HOSTS_PERIOD_MS);
 }
 
@@ -105,17 +105,17 @@
 {
     struct leader *leader = ctx;
     if (hosts != NULL) {
-        leader_enter(leader);
+        leader_update_validity(leader);
         scheduler_hosts_read(leader->sched, hosts, n_hosts);
     }
 }
 
 static void
-on_host_order(void *ctx, const char *host, int64_t wave,
-              enum host_answer answer)
+on_host_command(void *ctx, const char *host, int64_t wave,
+                enum host_answer answer)
 {
     struct leader *leader = ctx;
-    leader_enter(leader);
+    leader_update_validity(leader);
     scheduler_on_host_order(leader->sched, host, wave, answer);
     leader_tick_soon(leader);
 }
@@ -124,13 +124,13 @@
 on_advice(void *ctx, const struct advice_answer *answer)
 {
     struct leader *leader = ctx;
-    leader_enter(leader);
+    leader_update_validity(leader);
     scheduler_on_advice(leader->sched, answer);
     leader_tick_soon(leader);
 }
 
 static void
-link_destroy(void *data)
+client_destroy(void *data)
 {
     backend_client_destroy(data);
 }
@@ -146,8 +146,8 @@
                               store_route_any(node->store_route));
     leader->writes = kv_create(node->base, store, WRITE_TIMEOUT_MS,
                                store_route_any(node->store_route));
-    for (size_t i = 0; i < PROGRESS_LANES; i++) {
-        leader->lanes[i] = (struct progress_lane){
+    for (size_t i = 0; i < PROGRESS_TXN_COUNT; i++) {
+        leader->progress_txns[i] = (struct progress_txn){
             .leader = leader,
             .committer = committer_create(node->base, store, WRITE_TIMEOUT_MS,
                                           store_route_any(node->store_route)),
@@ -160,7 +160,7 @@
                               store_route_any(node->store_route));
     struct hosts_events events = {
         .on_list = on_hosts,
-        .on_order = on_host_order,
+        .on_command = on_host_command,
         .ctx = leader,
     };
     leader->hosts =
@@ -176,12 +176,12 @@
     leader->inbox_timer = evtimer_new(node->base, on_inbox_timer, leader);
     leader->hosts_timer = evtimer_new(node->base, on_hosts_timer, leader);
     leader->flush_timer = evtimer_new(node->base, on_flush_timer, leader);
-    leader->links =
-        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, link_destroy);
+    leader->backend_clients =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, client_destroy);
     leader->progress = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
                                              kv_item_destroy);
-    leader->early = g_ptr_array_new_with_free_func(kv_item_destroy);
-    leader->listed_now =
+    leader->early_jobs = g_ptr_array_new_with_free_func(kv_item_destroy);
+    leader->registered_ids =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     leader->cancels = g_ptr_array_new();
     leader->wave_status =
@@ -189,14 +189,14 @@
     struct sched_ops ops = leader_ops(leader);
     leader->sched = scheduler_create(&node->settings->timings, &ops, term,
                                      node->clock, node->unix_clock);
-    leader->host_orders = host_orders_create(leader);
+    leader->host_commands = host_commands_create(leader);
     leader_load(leader);
     timer_set(leader->hosts_timer, 0);
     return leader;
 }
 
 static void
-answer_open_cancels(struct leader *leader)
+answer_pending_cancels(struct leader *leader)
 {
     for (guint i = 0; i < leader->cancels->len; i++) {
         struct cancel_waiter *waiter = g_ptr_array_index(leader->cancels, i);
@@ -221,7 +221,7 @@
     for (size_t i = 0; i < G_N_ELEMENTS(timers); i++) {
         event_free(timers[i]);
     }
-    answer_open_cancels(leader);
+    answer_pending_cancels(leader);
     kv_destroy(leader->reads);
     kv_destroy(leader->writes);
     kv_destroy(leader->backend_watch);
@@ -229,18 +229,18 @@
     leader_load_clear(leader);
     hosts_api_destroy(leader->hosts);
     advice_api_destroy(leader->advice);
-    host_orders_destroy(leader->host_orders);
-    g_hash_table_unref(leader->links);
+    host_commands_destroy(leader->host_commands);
+    g_hash_table_unref(leader->backend_clients);
     g_hash_table_unref(leader->progress);
-    g_ptr_array_unref(leader->early);
-    g_hash_table_unref(leader->listed_now);
+    g_ptr_array_unref(leader->early_jobs);
+    g_hash_table_unref(leader->registered_ids);
     g_hash_table_unref(leader->wave_status);
     g_free(leader->wave_status_sent);
-    for (size_t i = 0; i < PROGRESS_LANES; i++) {
-        committer_destroy(leader->lanes[i].committer);
-        if (leader->lanes[i].batch != NULL) {
-            scheduler_batch_stored(leader->sched, leader->lanes[i].batch,
-                                   false, 0);
+    for (size_t i = 0; i < PROGRESS_TXN_COUNT; i++) {
+        committer_destroy(leader->progress_txns[i].committer);
+        if (leader->progress_txns[i].batch != NULL) {
+            scheduler_batch_stored(leader->sched,
+                                   leader->progress_txns[i].batch, false, 0);
         }
     }
     scheduler_destroy(leader->sched);
@@ -286,7 +286,7 @@
         /* It may be a job sent again that has a stored progress. */
         struct kv_item early = {
             .key = (char *)id, .value = (char *)value, .value_bytes = bytes};
-        g_ptr_array_add(leader->early, kv_item_copy(&early));
+        g_ptr_array_add(leader->early_jobs, kv_item_copy(&early));
         return;
     }
     if (scheduler_find_job(leader->sched, id) != NULL) {
@@ -310,13 +310,13 @@
 }
 
 void
-leader_take_early(struct leader *leader)
+leader_add_early_jobs(struct leader *leader)
 {
-    for (guint i = 0; i < leader->early->len; i++) {
-        const struct kv_item *item = g_ptr_array_index(leader->early, i);
+    for (guint i = 0; i < leader->early_jobs->len; i++) {
+        const struct kv_item *item = g_ptr_array_index(leader->early_jobs, i);
         leader_job_stored(leader, item->key, item->value, item->value_bytes);
     }
-    g_ptr_array_set_size(leader->early, 0);
+    g_ptr_array_set_size(leader->early_jobs, 0);
 }
 
 static void
@@ -382,7 +382,7 @@
         reply_with(&reply, JOB_ANSWER_ASK_STORE, NULL);
         return;
     }
-    leader_enter(leader);
+    leader_update_validity(leader);
     char *body;
     switch (call->kind) {
     case JOB_CALL_SUBMIT:
--- a/egretjobd/leader_commands.c
+++ b/egretjobd/leader_commands.c
@@ -16,7 +16,7 @@
          int64_t clock_ms)
 {
     struct leader *leader = ctx;
-    leader_enter(leader);
+    leader_update_validity(leader);
     scheduler_on_start(leader->sched, handle, answer, clock_ms);
     if (answer != START_DONE) {
         leader_tick_soon(leader);
@@ -27,57 +27,58 @@
 on_stop(void *ctx, uint64_t handle, bool acked)
 {
     struct leader *leader = ctx;
-    leader_enter(leader);
+    leader_update_validity(leader);
     scheduler_on_stop(leader->sched, handle, acked);
     leader_tick_soon(leader);
 }
 
 static void
-on_pace(void *ctx, uint64_t handle, int32_t percent, bool acked)
+on_throttle(void *ctx, uint64_t handle, int32_t percent, bool acked)
 {
     struct leader *leader = ctx;
-    leader_enter(leader);
+    leader_update_validity(leader);
     scheduler_on_pace(leader->sched, handle, percent, acked);
 }
 
 static void
-on_lists(void *ctx, const char *backend_id, const struct backend_lists *lists)
+on_report(void *ctx, const char *backend_id, const struct backend_lists *lists)
 {
     struct leader *leader = ctx;
-    leader_enter(leader);
+    leader_update_validity(leader);
     scheduler_on_list(leader->sched, backend_id, lists);
     leader_tick_soon(leader);
 }
 
 static struct backend_client *
-link_of(struct leader *leader, const struct backend *backend)
+client_of(struct leader *leader, const struct backend *backend)
 {
-    struct backend_client *link =
-        g_hash_table_lookup(leader->links, backend->entry.id);
-    if (link != NULL &&
-        strcmp(backend_client_address(link), backend->entry.address) == 0) {
-        return link;
+    struct backend_client *client =
+        g_hash_table_lookup(leader->backend_clients, backend->entry.id);
+    if (client != NULL &&
+        strcmp(backend_client_address(client), backend->entry.address) == 0) {
+        return client;
     }
     struct backend_events events = {
         .on_start = on_start,
         .on_stop = on_stop,
-        .on_pace = on_pace,
-        .on_lists = on_lists,
+        .on_throttle = on_throttle,
+        .on_report = on_report,
         .ctx = leader,
     };
-    link = backend_client_create(leader->node->base, backend->entry.id,
-                                 backend->entry.address, &events);
-    g_hash_table_replace(leader->links, g_strdup(backend->entry.id), link);
-    return link;
+    client = backend_client_create(leader->node->base, backend->entry.id,
+                                   backend->entry.address, &events);
+    g_hash_table_replace(leader->backend_clients, g_strdup(backend->entry.id),
+                         client);
+    return client;
 }
 
 /* Drops the connections to backend servers that the scheduler forgot. */
 void
-leader_trim_links(struct leader *leader)
+leader_drop_unused_clients(struct leader *leader)
 {
     GHashTableIter iter;
     void *key;
-    g_hash_table_iter_init(&iter, leader->links);
+    g_hash_table_iter_init(&iter, leader->backend_clients);
     while (g_hash_table_iter_next(&iter, &key, NULL)) {
         if (scheduler_find_backend(leader->sched, key) == NULL) {
             g_hash_table_iter_remove(&iter);
@@ -107,7 +108,7 @@
         .saved = run_task(run)->saved,
         .ticket = order->ticket,
     };
-    backend_client_start(link_of(leader, order->backend), &call);
+    backend_client_start(client_of(leader, order->backend), &call);
 }
 
 static void
@@ -116,24 +117,24 @@
     struct leader *leader = ctx;
     event_log("task_stop", "\"task\":\"%s\",\"run\":%u,\"backend\":\"%s\"",
               order->task, order->number, order->backend->entry.id);
-    backend_client_stop(link_of(leader, order->backend), order->handle,
+    backend_client_stop(client_of(leader, order->backend), order->handle,
                         order->task, order->number, leader->token);
 }
 
 static void
-op_pace(void *ctx, const struct pace_order *order)
+op_throttle(void *ctx, const struct pace_order *order)
 {
     struct leader *leader = ctx;
-    backend_client_throttle(link_of(leader, order->backend), order,
+    backend_client_throttle(client_of(leader, order->backend), order,
                             leader->token);
 }
 
 static void
-op_list(void *ctx, struct backend *backend, int64_t until_ms,
-        int64_t acked_end, int64_t wait_ms)
+op_request_report(void *ctx, struct backend *backend, int64_t until_ms,
+                  int64_t acked_end, int64_t wait_ms)
 {
     struct leader *leader = ctx;
-    backend_client_request_report(link_of(leader, backend), until_ms,
+    backend_client_request_report(client_of(leader, backend), until_ms,
                                   leader->token, acked_end, wait_ms);
 }
 
@@ -148,7 +149,7 @@
 {
     struct leader *leader = ctx;
     event_log("host_move", "\"host\":\"%s\",\"pool\":\"%s\"", host, pool);
-    host_orders_add(leader->host_orders, host, pool, 0);
+    host_commands_add(leader->host_commands, host, pool, 0);
 }
 
 static void
@@ -157,7 +158,7 @@
     struct leader *leader = ctx;
     event_log("host_reboot", "\"host\":\"%s\",\"wave\":%" G_GINT64_FORMAT,
               host, wave);
-    host_orders_add(leader->host_orders, host, NULL, wave);
+    host_commands_add(leader->host_commands, host, NULL, wave);
 }
 
 static void
@@ -168,7 +169,7 @@
 }
 
 static void
-op_note(void *ctx, const char *event, const char *fields)
+op_log_event(void *ctx, const char *event, const char *fields)
 {
     (void)ctx;
     event_log(event, "%s", fields);
@@ -180,13 +181,13 @@
     return (struct sched_ops){
         .start = op_start,
         .stop = op_stop,
-        .pace = op_pace,
-        .list = op_list,
+        .pace = op_throttle,
+        .list = op_request_report,
         .store = op_store,
         .move = op_move,
         .reboot = op_reboot,
         .advise = leader->advice == NULL ? NULL : op_advise,
-        .note = op_note,
+        .note = op_log_event,
         .ctx = leader,
     };
 }
--- a/egretjobd/leader_host_commands.c
+++ b/egretjobd/leader_host_commands.c
@@ -18,21 +18,22 @@
     WRITE_TIMEOUT_MS = 1200,
 };
 
-/** struct queued_order - an order that waits for its host to be recorded */
-struct queued_order {
+/** struct queued_host_command - an order that waits for its host to be
+ * recorded */
+struct queued_host_command {
     char *host;
     char *pool;
     int64_t wave;
 };
 
 /**
- * struct host_orders - orders not sent yet and hosts ordered lately
- * @queue: struct queued_order
+ * struct host_commands - orders not sent yet and hosts ordered lately
+ * @queue: struct queued_host_command
  * @recorded: how many at the head of the queue the open write covers
  * @recent: host to the time of its last order, on the leader's clock
  * @revision: revision of the record; 0: there is none
  */
-struct host_orders {
+struct host_commands {
     struct leader *leader;
     struct committer *committer;
     GPtrArray *queue;
@@ -43,116 +44,120 @@
 };
 
 static void
-queued_order_free(void *data)
+queued_host_command_free(void *data)
 {
-    struct queued_order *order = data;
-    g_free(order->host);
-    g_free(order->pool);
-    g_free(order);
+    struct queued_host_command *command = data;
+    g_free(command->host);
+    g_free(command->pool);
+    g_free(command);
 }
 
-struct host_orders *
-host_orders_create(struct leader *leader)
+struct host_commands *
+host_commands_create(struct leader *leader)
 {
-    struct host_orders *orders = g_new0(struct host_orders, 1);
+    struct host_commands *commands = g_new0(struct host_commands, 1);
     struct node *node = leader->node;
-    orders->leader = leader;
-    orders->committer =
+    commands->leader = leader;
+    commands->committer =
         committer_create(node->base, node->settings->store_address,
                          WRITE_TIMEOUT_MS, store_route_any(node->store_route));
-    orders->queue = g_ptr_array_new_with_free_func(queued_order_free);
-    orders->recent =
+    commands->queue = g_ptr_array_new_with_free_func(queued_host_command_free);
+    commands->recent =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    return orders;
+    return commands;
 }
 
 void
-host_orders_destroy(struct host_orders *orders)
+host_commands_destroy(struct host_commands *commands)
 {
-    committer_destroy(orders->committer);
-    g_ptr_array_unref(orders->queue);
-    g_hash_table_unref(orders->recent);
-    g_free(orders);
+    committer_destroy(commands->committer);
+    g_ptr_array_unref(commands->queue);
+    g_hash_table_unref(commands->recent);
+    g_free(commands);
 }
 
 void
-host_orders_load(struct host_orders *orders, const struct kv_item *item)
+host_commands_load(struct host_commands *commands, const struct kv_item *item)
 {
     if (strcmp(item->key, RECORD_HOST_COMMANDS_KEY) != 0 ||
         item->value == NULL) {
         return;
     }
-    orders->revision = item->revision;
+    commands->revision = item->revision;
     char **hosts = g_strsplit(item->value, " ", 0);
     for (char **host = hosts; *host != NULL; host++) {
         if ((*host)[0] != '\0') {
-            scheduler_host_ordered_before(orders->leader->sched, *host);
+            scheduler_host_ordered_before(commands->leader->sched, *host);
         }
     }
     g_strfreev(hosts);
 }
 
 void
-host_orders_add(struct host_orders *orders, const char *host, const char *pool,
-                int64_t wave)
+host_commands_add(struct host_commands *commands, const char *host,
+                  const char *pool, int64_t wave)
 {
-    struct queued_order *order = g_new0(struct queued_order, 1);
-    order->host = g_strdup(host);
-    order->pool = g_strdup(pool);
-    order->wave = wave;
-    g_ptr_array_add(orders->queue, order);
+    struct queued_host_command *command =
+        g_new0(struct queued_host_command, 1);
+    command->host = g_strdup(host);
+    command->pool = g_strdup(pool);
+    command->wave = wave;
+    g_ptr_array_add(commands->queue, command);
 }
 
 static void
-send_order(struct host_orders *orders, const struct queued_order *order)
+send_command(struct host_commands *commands,
+             const struct queued_host_command *command)
 {
-    struct leader *leader = orders->leader;
-    if (order->pool != NULL) {
-        hosts_api_move(leader->hosts, order->host, order->pool, leader->token);
+    struct leader *leader = commands->leader;
+    if (command->pool != NULL) {
+        hosts_api_move(leader->hosts, command->host, command->pool,
+                       leader->token);
     }
     else {
-        hosts_api_reboot(leader->hosts, order->host, order->wave,
+        hosts_api_reboot(leader->hosts, command->host, command->wave,
                          leader->token);
     }
 }
 
 /* Sends what was recorded, or gives it back to the scheduler as not sent. */
 static void
-settle_recorded(struct host_orders *orders, bool recorded)
+finish_recorded(struct host_commands *commands, bool recorded)
 {
-    struct leader *leader = orders->leader;
-    leader_enter(leader);
+    struct leader *leader = commands->leader;
+    leader_update_validity(leader);
     bool send = recorded && leadership_valid(leader->node->leadership);
-    for (guint i = 0; i < orders->recorded; i++) {
-        const struct queued_order *order = g_ptr_array_index(orders->queue, i);
+    for (guint i = 0; i < commands->recorded; i++) {
+        const struct queued_host_command *command =
+            g_ptr_array_index(commands->queue, i);
         if (send) {
-            send_order(orders, order);
+            send_command(commands, command);
         }
         else {
-            scheduler_on_host_order(leader->sched, order->host, order->wave,
-                                    HOST_ORDER_REFUSED);
+            scheduler_on_host_order(leader->sched, command->host,
+                                    command->wave, HOST_ORDER_REFUSED);
         }
     }
-    g_ptr_array_remove_range(orders->queue, 0, orders->recorded);
-    orders->recorded = 0;
+    g_ptr_array_remove_range(commands->queue, 0, commands->recorded);
+    commands->recorded = 0;
 }
 
 static void
 on_recorded(void *ctx, const struct kv_result *result)
 {
-    struct host_orders *orders = ctx;
-    struct leader *leader = orders->leader;
-    orders->writing = false;
+    struct host_commands *commands = ctx;
+    struct leader *leader = commands->leader;
+    commands->writing = false;
     if (result->outcome == KV_OK) {
-        orders->revision = result->revision;
-        settle_recorded(orders, true);
-        host_orders_flush(orders);
+        commands->revision = result->revision;
+        finish_recorded(commands, true);
+        host_commands_flush(commands);
         return;
     }
     if (result->outcome != KV_CONFLICT) {
         event_log("store_failed", "\"what\":\"host orders\",\"status\":%d",
                   result->status);
-        settle_recorded(orders, false);
+        finish_recorded(commands, false);
         return;
     }
     /* Another holder, or an earlier write of our own without an answer. */
@@ -165,29 +170,30 @@
             return;
         }
         if (strcmp(item->key, RECORD_HOST_COMMANDS_KEY) == 0) {
-            orders->revision = item->revision;
+            commands->revision = item->revision;
         }
     }
-    orders->recorded = 0;
-    host_orders_flush(orders);
+    commands->recorded = 0;
+    host_commands_flush(commands);
 }
 
 static char *
-encode_recent(struct host_orders *orders)
+encode_recent(struct host_commands *commands)
 {
-    int64_t now_ms = node_now(orders->leader->node);
-    int64_t keep_ms = orders->leader->node->settings->timings.order_gap_ms +
+    int64_t now_ms = node_now(commands->leader->node);
+    int64_t keep_ms = commands->leader->node->settings->timings.order_gap_ms +
                       RECORD_MARGIN_MS;
-    for (guint i = 0; i < orders->queue->len; i++) {
-        const struct queued_order *order = g_ptr_array_index(orders->queue, i);
-        g_hash_table_replace(orders->recent, g_strdup(order->host),
+    for (guint i = 0; i < commands->queue->len; i++) {
+        const struct queued_host_command *command =
+            g_ptr_array_index(commands->queue, i);
+        g_hash_table_replace(commands->recent, g_strdup(command->host),
                              g_memdup2(&now_ms, sizeof(now_ms)));
     }
     GString *text = g_string_new(NULL);
     GHashTableIter iter;
     void *host;
     void *at_ms;
-    g_hash_table_iter_init(&iter, orders->recent);
+    g_hash_table_iter_init(&iter, commands->recent);
     while (g_hash_table_iter_next(&iter, &host, &at_ms)) {
         if (now_ms - *(const int64_t *)at_ms > keep_ms) {
             g_hash_table_iter_remove(&iter);
@@ -200,15 +206,15 @@
 }
 
 void
-host_orders_flush(struct host_orders *orders)
+host_commands_flush(struct host_commands *commands)
 {
-    if (orders->writing || orders->queue->len == 0) {
+    if (commands->writing || commands->queue->len == 0) {
         return;
     }
-    char *value = encode_recent(orders);
+    char *value = encode_recent(commands);
     struct kv_condition conditions[] = {
-        {.key = RECORD_LEADER_KEY, .revision = orders->leader->token},
-        {.key = RECORD_HOST_COMMANDS_KEY, .revision = orders->revision},
+        {.key = RECORD_LEADER_KEY, .revision = commands->leader->token},
+        {.key = RECORD_HOST_COMMANDS_KEY, .revision = commands->revision},
     };
     struct kv_put put = {.key = RECORD_HOST_COMMANDS_KEY, .value = value};
     struct kv_txn txn = {
@@ -217,9 +223,9 @@
         .puts = &put,
         .n_puts = 1,
     };
-    orders->writing = true;
-    orders->recorded = orders->queue->len;
-    committer_commit(orders->committer, &txn,
-                     (struct kv_done){.call = on_recorded, .ctx = orders});
+    commands->writing = true;
+    commands->recorded = commands->queue->len;
+    committer_commit(commands->committer, &txn,
+                     (struct kv_done){.call = on_recorded, .ctx = commands});
     g_free(value);
 }
--- a/egretjobd/leader_inbox.c
+++ b/egretjobd/leader_inbox.c
@@ -22,7 +22,8 @@
     leader->inbox_fetching = false;
     if (result->outcome == KV_OK && result->items->len > 0) {
         const struct kv_item *item = g_ptr_array_index(result->items, 0);
-        leader_take_job(leader, item->key + strlen(RECORD_JOB_PREFIX), item);
+        leader_add_stored_job(leader, item->key + strlen(RECORD_JOB_PREFIX),
+                              item);
         timer_set(leader->inbox_timer, 0);
     }
 }
@@ -42,7 +43,7 @@
 
 /* Whether nothing is left to do about one message. */
 static bool
-message_settled(struct leader *leader, const char *id,
+message_handled(struct leader *leader, const char *id,
                 const struct kv_item *item)
 {
     const struct job *job = scheduler_find_job(leader->sched, id);
@@ -86,7 +87,7 @@
     if (result->outcome != KV_OK) {
         return;
     }
-    leader_enter(leader);
+    leader_update_validity(leader);
     struct kv_condition conditions[DELETES_MAX + 1];
     const char *keys[DELETES_MAX];
     size_t n_keys = 0;
@@ -95,7 +96,7 @@
     for (guint i = 0; i < result->items->len; i++) {
         const struct kv_item *item = g_ptr_array_index(result->items, i);
         const char *id = item->key + strlen(RECORD_INBOX_PREFIX);
-        if (item->value == NULL || !message_settled(leader, id, item) ||
+        if (item->value == NULL || !message_handled(leader, id, item) ||
             n_keys == DELETES_MAX) {
             continue;
         }
--- a/egretjobd/leader_load.c
+++ b/egretjobd/leader_load.c
@@ -23,13 +23,13 @@
     [STAGE_JOBS] = RECORD_JOB_PREFIX,
     [STAGE_REGISTERED] = RECORD_BACKEND_PREFIX,
     [STAGE_WAVES] = RECORD_WAVE_PREFIX,
-    [STAGE_HOST_ORDERS] = RECORD_HOSTS_PREFIX,
+    [STAGE_HOST_COMMANDS] = RECORD_HOSTS_PREFIX,
     [STAGE_BACKENDS] = PLATFORM_BACKEND_PREFIX,
 };
 
 void
-leader_take_job(struct leader *leader, const char *id,
-                const struct kv_item *item)
+leader_add_stored_job(struct leader *leader, const char *id,
+                      const struct kv_item *item)
 {
     if (item->value == NULL || scheduler_find_job(leader->sched, id) != NULL) {
         return;
@@ -51,8 +51,8 @@
 
 /* Progress is read before the jobs: only a holder of the duty writes it. */
 static void
-take_progress(struct leader *leader, const char *id,
-              const struct kv_item *item)
+apply_progress(struct leader *leader, const char *id,
+               const struct kv_item *item)
 {
     if (item->value == NULL) {
         return;
@@ -61,14 +61,15 @@
 }
 
 static void
-take_entry(struct leader *leader, const char *id, const struct kv_item *item)
+apply_backend(struct leader *leader, const char *id,
+              const struct kv_item *item)
 {
     struct backend_entry entry;
     if (item->deleted || item->value == NULL) {
         scheduler_backend_gone(leader->sched, id);
         return;
     }
-    g_hash_table_add(leader->listed_now, g_strdup(id));
+    g_hash_table_add(leader->registered_ids, g_strdup(id));
     if (!decode_backend(id, item->value, item->value_bytes, &entry)) {
         return;
     }
@@ -77,8 +78,8 @@
 }
 
 static void
-take_registered(struct leader *leader, const char *id,
-                const struct kv_item *item)
+apply_inherited_backend(struct leader *leader, const char *id,
+                        const struct kv_item *item)
 {
     struct backend_entry entry;
     if (item->value != NULL &&
@@ -92,8 +93,8 @@
 
 /* Hosts of a wave whose maintenance an earlier holder had accepted. */
 static void
-take_wave(struct leader *leader, const char *number,
-          const struct kv_item *item)
+apply_wave_hosts(struct leader *leader, const char *number,
+                 const struct kv_item *item)
 {
     char **hosts = g_strsplit(item->value == NULL ? "" : item->value, " ", 0);
     for (char **host = hosts; *host != NULL; host++) {
@@ -106,28 +107,28 @@
 }
 
 static void
-take_item(struct leader *leader, enum leader_stage kind,
-          const struct kv_item *item)
+apply_record(struct leader *leader, enum leader_stage kind,
+             const struct kv_item *item)
 {
     const char *id = item->key + strlen(stage_prefixes[kind]);
     switch (kind) {
     case STAGE_PROGRESS:
-        take_progress(leader, id, item);
+        apply_progress(leader, id, item);
         break;
     case STAGE_JOBS:
-        leader_take_job(leader, id, item);
+        leader_add_stored_job(leader, id, item);
         break;
     case STAGE_REGISTERED:
-        take_registered(leader, id, item);
+        apply_inherited_backend(leader, id, item);
         break;
     case STAGE_WAVES:
-        take_wave(leader, id, item);
+        apply_wave_hosts(leader, id, item);
         break;
-    case STAGE_HOST_ORDERS:
-        host_orders_load(leader->host_orders, item);
+    case STAGE_HOST_COMMANDS:
+        host_commands_load(leader->host_commands, item);
         break;
     case STAGE_BACKENDS:
-        take_entry(leader, id, item);
+        apply_backend(leader, id, item);
         break;
     case STAGE_READY:
         break;
@@ -138,11 +139,11 @@
 finish_load(struct leader *leader)
 {
     for (int stage = 0; stage < STAGE_READY; stage++) {
-        struct leader_range *range = &leader->ranges[stage];
+        struct record_range *range = &leader->ranges[stage];
         leader->stage = (enum leader_stage)stage;
         for (guint i = 0; i < range->items->len; i++) {
-            take_item(leader, leader->stage,
-                      g_ptr_array_index(range->items, i));
+            apply_record(leader, leader->stage,
+                         g_ptr_array_index(range->items, i));
         }
         g_ptr_array_set_size(range->items, 0);
     }
@@ -156,19 +157,19 @@
               figures.backends_unsettled);
     leader_config_changed(leader);
     leader_operator_records_changed(leader);
-    leader_take_early(leader);
+    leader_add_early_jobs(leader);
     leader_watch_backends(leader);
     leader_read_inbox(leader);
     leader_tick_soon(leader);
 }
 
 static void
-load_page(struct leader_range *range, const char *after);
+load_page(struct record_range *range, const char *after);
 
 static void
 on_page(void *ctx, const struct kv_result *result)
 {
-    struct leader_range *range = ctx;
+    struct record_range *range = ctx;
     struct leader *leader = range->leader;
     if (result->outcome != KV_OK) {
         g_ptr_array_set_size(range->items, 0);
@@ -186,9 +187,9 @@
         return;
     }
     range->as_of = result->as_of;
-    range->whole = true;
+    range->complete = true;
     for (int stage = 0; stage < STAGE_READY; stage++) {
-        if (!leader->ranges[stage].whole) {
+        if (!leader->ranges[stage].complete) {
             return;
         }
     }
@@ -196,7 +197,7 @@
 }
 
 static void
-load_page(struct leader_range *range, const char *after)
+load_page(struct record_range *range, const char *after)
 {
     kv_range(range->kv, stage_prefixes[range->stage], after,
              (struct kv_done){.call = on_page, .ctx = range});
@@ -218,7 +219,7 @@
 {
     struct node *node = leader->node;
     for (int stage = 0; stage < STAGE_READY; stage++) {
-        struct leader_range *range = &leader->ranges[stage];
+        struct record_range *range = &leader->ranges[stage];
         range->leader = leader;
         range->stage = (enum leader_stage)stage;
         range->kv =
@@ -234,7 +235,7 @@
 leader_load_clear(struct leader *leader)
 {
     for (int stage = 0; stage < STAGE_READY; stage++) {
-        struct leader_range *range = &leader->ranges[stage];
+        struct record_range *range = &leader->ranges[stage];
         kv_destroy(range->kv);
         g_ptr_array_unref(range->items);
         event_free(range->retry);
@@ -243,12 +244,12 @@
 
 /* After lost history: what is not in the whole list any more is gone. */
 static void
-drop_unlisted(struct leader *leader)
+drop_unregistered(struct leader *leader)
 {
     GPtrArray *ids = scheduler_list_backends(leader->sched);
     for (guint i = 0; i < ids->len; i++) {
         const char *id = g_ptr_array_index(ids, i);
-        if (!g_hash_table_contains(leader->listed_now, id)) {
+        if (!g_hash_table_contains(leader->registered_ids, id)) {
             scheduler_backend_gone(leader->sched, id);
         }
     }
@@ -275,7 +276,8 @@
         return;
     }
     for (guint i = 0; i < result->items->len; i++) {
-        take_item(leader, STAGE_BACKENDS, g_ptr_array_index(result->items, i));
+        apply_record(leader, STAGE_BACKENDS,
+                     g_ptr_array_index(result->items, i));
     }
     if (result->has_more && result->items->len > 0) {
         const struct kv_item *last =
@@ -283,7 +285,7 @@
         read_backends(leader, last->key);
         return;
     }
-    drop_unlisted(leader);
+    drop_unregistered(leader);
     leader->backends_as_of = result->as_of;
     leader_tick_soon(leader);
     timer_set(leader->watch_timer, 0);
@@ -295,8 +297,8 @@
     struct leader *leader = ctx;
     if (result->outcome == KV_OK) {
         for (guint i = 0; i < result->items->len; i++) {
-            take_item(leader, STAGE_BACKENDS,
-                      g_ptr_array_index(result->items, i));
+            apply_record(leader, STAGE_BACKENDS,
+                         g_ptr_array_index(result->items, i));
         }
         leader->backends_as_of = MAX(leader->backends_as_of, result->as_of);
         leader_tick_soon(leader);
@@ -311,7 +313,7 @@
 void
 leader_watch_backends(struct leader *leader)
 {
-    g_hash_table_remove_all(leader->listed_now);
+    g_hash_table_remove_all(leader->registered_ids);
     if (leader->backends_as_of == 0) {
         read_backends(leader, NULL);
         return;
--- a/egretjobd/leader_state.h
+++ b/egretjobd/leader_state.h
@@ -15,25 +15,25 @@
     STAGE_JOBS,
     STAGE_REGISTERED,
     STAGE_WAVES,
-    STAGE_HOST_ORDERS,
+    STAGE_HOST_COMMANDS,
     STAGE_BACKENDS,
     STAGE_READY,
 };
 
 /**
- * struct leader_range - one kind of record on its way after a takeover
+ * struct record_range - one kind of record on its way after a takeover
  * @items: struct kv_item read so far
  * @as_of: revision of the store at the last page
- * @whole: all pages are read
+ * @complete: all pages are read
  */
-struct leader_range {
+struct record_range {
     struct leader *leader;
     enum leader_stage stage;
     struct kv *kv;
     struct event *retry;
     GPtrArray *items;
     int64_t as_of;
-    bool whole;
+    bool complete;
 };
 
 /** struct cancel_waiter - a caller that waits for a cancel to be stored */
@@ -44,15 +44,15 @@
 
 enum {
     /* Transactions at once; a slow store takes 50 to 100 times as long. */
-    PROGRESS_LANES = 8,
+    PROGRESS_TXN_COUNT = 8,
 };
 
 /**
- * struct progress_lane - one transaction of what the scheduler decided
+ * struct progress_txn - one transaction of what the scheduler decided
  * @batch: what is in it, or NULL
  * @sent_ms: when it was sent
  */
-struct progress_lane {
+struct progress_txn {
     struct leader *leader;
     struct committer *committer;
     struct store_batch *batch;
@@ -66,25 +66,25 @@
     enum leader_stage stage;
     struct kv *reads;
     struct kv *writes;
-    struct progress_lane lanes[PROGRESS_LANES];
+    struct progress_txn progress_txns[PROGRESS_TXN_COUNT];
     struct kv *backend_watch;
     struct kv *inbox;
     struct hosts_api *hosts;
     struct advice_api *advice;
-    struct host_orders *host_orders;
+    struct host_commands *host_commands;
     struct event *tick;
     struct event *watch_timer;
     struct event *inbox_timer;
     struct event *hosts_timer;
     struct event *flush_timer;
     bool tick_soon;
-    GHashTable *links;
+    GHashTable *backend_clients;
     GHashTable *progress;
-    GPtrArray *early;
-    GHashTable *listed_now;
+    GPtrArray *early_jobs;
+    GHashTable *registered_ids;
     int64_t backends_as_of;
     bool inbox_fetching;
-    struct leader_range ranges[STAGE_READY];
+    struct record_range ranges[STAGE_READY];
     GPtrArray *cancels;
     GHashTable *wave_status;
     char *wave_status_sent;
@@ -94,11 +94,11 @@
 /* leader.c */
 /* Takes the jobs that were accepted while the records were read. */
 void
-leader_take_early(struct leader *leader);
+leader_add_early_jobs(struct leader *leader);
 void
 leader_tick_soon(struct leader *leader);
 void
-leader_enter(struct leader *leader);
+leader_update_validity(struct leader *leader);
 
 /* leader_load.c */
 void
@@ -108,8 +108,8 @@
 void
 leader_load_clear(struct leader *leader);
 void
-leader_take_job(struct leader *leader, const char *id,
-                const struct kv_item *item);
+leader_add_stored_job(struct leader *leader, const char *id,
+                      const struct kv_item *item);
 
 /* leader_inbox.c */
 void
@@ -122,25 +122,25 @@
 leader_report_waves(struct leader *leader);
 
 /* leader_host_commands.c */
-struct host_orders *
-host_orders_create(struct leader *leader);
+struct host_commands *
+host_commands_create(struct leader *leader);
 void
-host_orders_destroy(struct host_orders *orders);
+host_commands_destroy(struct host_commands *commands);
 /* Takes the record of the holder before. */
 void
-host_orders_load(struct host_orders *orders, const struct kv_item *item);
+host_commands_load(struct host_commands *commands, const struct kv_item *item);
 /* Queues a move, or with @pool NULL a reboot. */
 void
-host_orders_add(struct host_orders *orders, const char *host, const char *pool,
-                int64_t wave);
+host_commands_add(struct host_commands *commands, const char *host,
+                  const char *pool, int64_t wave);
 /* Records the hosts of what is queued; the orders go out afterwards. */
 void
-host_orders_flush(struct host_orders *orders);
+host_commands_flush(struct host_commands *commands);
 
 /* leader_commands.c */
 struct sched_ops
 leader_ops(struct leader *leader);
 void
-leader_trim_links(struct leader *leader);
+leader_drop_unused_clients(struct leader *leader);
 
 #endif
--- a/egretjobd/leader_store.c
+++ b/egretjobd/leader_store.c
@@ -11,10 +11,10 @@
 
 enum {
     /* A condition and a write per job, and the duty, in one transaction. */
-    BATCH_CHANGES = 15,
+    BATCH_CHANGES_MAX = 15,
     /* What comes while one transaction is on its way goes together with the
      * next, unless the store is slow. */
-    NEXT_LANE_AFTER_MS = 30,
+    NEXT_TXN_AFTER_MS = 30,
     FLUSH_RETRY_MS = 60,
     STATUS_RETRY_MS = 500,
 };
@@ -142,8 +142,8 @@
 /* A conflict comes from a new holder, or from an earlier write of our own
  * that got no answer; then its revision is taken over. */
 static bool
-learn_conflict(struct leader *leader, const struct store_batch *batch,
-               const struct kv_result *result)
+handle_conflict(struct leader *leader, const struct store_batch *batch,
+                const struct kv_result *result)
 {
     for (guint i = 0; i < result->items->len; i++) {
         const struct kv_item *item = g_ptr_array_index(result->items, i);
@@ -168,15 +168,15 @@
 static void
 on_flushed(void *ctx, const struct kv_result *result)
 {
-    struct progress_lane *lane = ctx;
-    struct leader *leader = lane->leader;
-    struct store_batch *batch = lane->batch;
+    struct progress_txn *slot = ctx;
+    struct leader *leader = slot->leader;
+    struct store_batch *batch = slot->batch;
     if (result->outcome == KV_CONFLICT &&
-        !learn_conflict(leader, batch, result)) {
+        !handle_conflict(leader, batch, result)) {
         leadership_lose(leader->node->leadership, "another holder was found");
         return;
     }
-    lane->batch = NULL;
+    slot->batch = NULL;
     bool stored = result->outcome == KV_OK;
     scheduler_batch_stored(leader->sched, batch, stored, result->revision);
     answer_cancels(leader);
@@ -191,17 +191,17 @@
 }
 
 static void
-send_lane(struct progress_lane *lane)
+send_txn(struct progress_txn *slot)
 {
-    struct leader *leader = lane->leader;
+    struct leader *leader = slot->leader;
     struct txn_text text = txn_text_create();
     add_condition(&text, RECORD_LEADER_KEY, leader->token);
-    add_jobs(&text, lane->batch);
-    add_registrations(leader, &text, lane->batch);
+    add_jobs(&text, slot->batch);
+    add_registrations(leader, &text, slot->batch);
     struct kv_txn txn = txn_of(&text);
-    lane->sent_ms = node_now(leader->node);
-    committer_commit(lane->committer, &txn,
-                     (struct kv_done){.call = on_flushed, .ctx = lane});
+    slot->sent_ms = node_now(leader->node);
+    committer_commit(slot->committer, &txn,
+                     (struct kv_done){.call = on_flushed, .ctx = slot});
     txn_text_clear(&text);
 }
 
@@ -214,26 +214,26 @@
         return;
     }
     int64_t latest_ms = 0;
-    struct progress_lane *idle = NULL;
-    for (size_t i = 0; i < PROGRESS_LANES; i++) {
-        struct progress_lane *lane = &leader->lanes[i];
-        if (lane->batch != NULL) {
-            latest_ms = MAX(latest_ms, lane->sent_ms);
+    struct progress_txn *idle = NULL;
+    for (size_t i = 0; i < PROGRESS_TXN_COUNT; i++) {
+        struct progress_txn *slot = &leader->progress_txns[i];
+        if (slot->batch != NULL) {
+            latest_ms = MAX(latest_ms, slot->sent_ms);
         }
         else if (idle == NULL) {
-            idle = lane;
+            idle = slot;
         }
     }
-    bool first = idle == &leader->lanes[0];
+    bool first = idle == &leader->progress_txns[0];
     if (idle == NULL ||
-        (!first && node_now(leader->node) - latest_ms < NEXT_LANE_AFTER_MS)) {
+        (!first && node_now(leader->node) - latest_ms < NEXT_TXN_AFTER_MS)) {
         return;
     }
-    idle->batch = first
-                      ? scheduler_take_batch(leader->sched, BATCH_CHANGES)
-                      : scheduler_take_progress(leader->sched, BATCH_CHANGES);
+    idle->batch =
+        first ? scheduler_take_batch(leader->sched, BATCH_CHANGES_MAX)
+              : scheduler_take_progress(leader->sched, BATCH_CHANGES_MAX);
     if (idle->batch != NULL) {
-        send_lane(idle);
+        send_txn(idle);
     }
 }
 
--- a/egretjobd/leadership.c
+++ b/egretjobd/leadership.c
@@ -15,23 +15,23 @@
 enum {
     /* Bounds how long work waits after a holder's host is gone; several
      * renewals may fail before it ends. */
-    DUTY_TTL_MS = 3000,
-    RENEW_MS = 700,
+    LEADER_LEASE_TTL_MS = 3000,
+    RENEW_INTERVAL_MS = 700,
     RENEW_RETRY_MS = 100,
     /* Without a renewal for this long the store is taken to be in trouble. */
-    TROUBLE_MS = 1300,
+    RENEWAL_OVERDUE_MS = 1300,
     CALL_TIMEOUT_MS = 900,
-    WATCH_MS = 1500,
+    WATCH_WAIT_MS = 1500,
     WATCH_TIMEOUT_MS = 2300,
-    LOOK_RETRY_MS = 150,
+    READ_RETRY_MS = 150,
     /* Our clock against the store's: 2 % over the time to live. */
-    TTL_MARGIN_MS = 60,
+    CLOCK_DRIFT_MARGIN_MS = 60,
 };
 
-enum duty_state {
-    DUTY_LOOKING,
-    DUTY_CLAIMING,
-    DUTY_HELD,
+enum leadership_state {
+    LEADERSHIP_WATCHING,
+    LEADERSHIP_CLAIMING,
+    LEADERSHIP_HELD,
 };
 
 struct leadership {
@@ -39,56 +39,56 @@
     struct kv *kv;
     struct kv *watch;
     struct event *timer;
-    enum duty_state state;
+    enum leadership_state state;
     char *claim_value;
-    char *holder_peer;
-    char *holder_node;
-    uint32_t claims;
-    int64_t revision;
-    int64_t watch_from;
+    char *leader_peer;
+    char *leader_node;
+    uint32_t claim_count;
+    int64_t record_revision;
+    int64_t watch_after_revision;
     int64_t lease;
-    int64_t lease_sent_ms;
+    int64_t lease_requested_ms;
     int64_t renew_sent_ms;
     int64_t valid_until_ms;
     int64_t renewed_ms;
     int64_t token;
     int64_t term_revision;
-    int64_t token_before;
+    int64_t previous_token;
     int64_t handover_token;
     int64_t handover_lease_ms;
     uint32_t term;
     bool watching;
-    struct claim_turn turn;
+    struct claim_turn backoff;
     bool call_in_flight;
 };
 
 static void
-look(struct leadership *leadership);
+read_record(struct leadership *leadership);
 static void
 claim(struct leadership *leadership);
 
 static void
-look_later(struct leadership *leadership, int64_t delay_ms)
+read_record_later(struct leadership *leadership, int64_t delay_ms)
 {
-    leadership->state = DUTY_LOOKING;
+    leadership->state = LEADERSHIP_WATCHING;
     timer_set(leadership->timer, delay_ms);
 }
 
 static void
-set_holder(struct leadership *leadership, const struct kv_item *item)
+set_leader(struct leadership *leadership, const struct kv_item *item)
 {
-    g_free(leadership->holder_peer);
-    g_free(leadership->holder_node);
-    leadership->holder_peer = NULL;
-    leadership->holder_node = NULL;
-    leadership->revision = 0;
+    g_free(leadership->leader_peer);
+    g_free(leadership->leader_node);
+    leadership->leader_peer = NULL;
+    leadership->leader_node = NULL;
+    leadership->record_revision = 0;
     if (item == NULL || item->deleted || item->value == NULL) {
         return;
     }
     cJSON *value = cJSON_ParseWithLength(item->value, item->value_bytes);
-    leadership->holder_peer = g_strdup(json_text_get(value, "peer"));
-    leadership->holder_node = g_strdup(json_text_get(value, "node"));
-    leadership->revision = item->revision;
+    leadership->leader_peer = g_strdup(json_text_get(value, "peer"));
+    leadership->leader_node = g_strdup(json_text_get(value, "node"));
+    leadership->record_revision = item->revision;
     cJSON_Delete(value);
 }
 
@@ -96,8 +96,8 @@
 static bool
 claimable(const struct leadership *leadership)
 {
-    return leadership->revision == 0 ||
-           g_strcmp0(leadership->holder_node,
+    return leadership->record_revision == 0 ||
+           g_strcmp0(leadership->leader_node,
                      leadership->node->settings->node_name) == 0;
 }
 
@@ -106,7 +106,7 @@
 set_term(struct leadership *leadership, const struct kv_item *item)
 {
     /* The record is written with each claim, so it has its token. */
-    leadership->token_before = item->revision;
+    leadership->previous_token = item->revision;
     leadership->term_revision = item->revision;
     leadership->term = (uint32_t)g_ascii_strtoull(item->value, NULL, 10) + 1;
 }
@@ -120,12 +120,12 @@
 }
 
 static void
-take_items(struct leadership *leadership, const struct kv_result *result)
+apply_records(struct leadership *leadership, const struct kv_result *result)
 {
     for (guint i = 0; i < result->items->len; i++) {
         const struct kv_item *item = g_ptr_array_index(result->items, i);
         if (strcmp(item->key, RECORD_LEADER_KEY) == 0) {
-            set_holder(leadership, item);
+            set_leader(leadership, item);
         }
         else if (strcmp(item->key, RECORD_TERM_KEY) == 0 &&
                  item->value != NULL) {
@@ -136,7 +136,8 @@
             set_handover(leadership, item);
         }
     }
-    leadership->watch_from = MAX(leadership->watch_from, result->as_of);
+    leadership->watch_after_revision =
+        MAX(leadership->watch_after_revision, result->as_of);
 }
 
 static void
@@ -147,48 +148,48 @@
 {
     struct leadership *leadership = ctx;
     leadership->watching = false;
-    if (leadership->state != DUTY_LOOKING) {
+    if (leadership->state != LEADERSHIP_WATCHING) {
         return;
     }
     if (result->outcome != KV_OK) {
-        look_later(leadership, LOOK_RETRY_MS);
+        read_record_later(leadership, READ_RETRY_MS);
         return;
     }
-    take_items(leadership, result);
-    if (leadership->revision == 0) {
+    apply_records(leadership, result);
+    if (leadership->record_revision == 0) {
         claim_or_watch(leadership);
         return;
     }
     /* Reads the record as well: a watch may have missed a change. */
-    look_later(leadership, 0);
+    read_record_later(leadership, 0);
 }
 
 static void
-watch(struct leadership *leadership)
+watch_record(struct leadership *leadership)
 {
     if (leadership->watching) {
         return;
     }
     leadership->watching = true;
     kv_watch(leadership->watch, RECORD_LEADERSHIP_PREFIX,
-             leadership->watch_from, WATCH_MS,
+             leadership->watch_after_revision, WATCH_WAIT_MS,
              (struct kv_done){.call = on_watch, .ctx = leadership});
 }
 
 static void
-on_look(void *ctx, const struct kv_result *result)
+on_record(void *ctx, const struct kv_result *result)
 {
     struct leadership *leadership = ctx;
     leadership->call_in_flight = false;
-    if (leadership->state != DUTY_LOOKING) {
+    if (leadership->state != LEADERSHIP_WATCHING) {
         return;
     }
     if (result->outcome != KV_OK) {
-        look_later(leadership, LOOK_RETRY_MS);
+        read_record_later(leadership, READ_RETRY_MS);
         return;
     }
-    set_holder(leadership, NULL);
-    take_items(leadership, result);
+    set_leader(leadership, NULL);
+    apply_records(leadership, result);
     claim_or_watch(leadership);
 }
 
@@ -197,15 +198,16 @@
 {
     int64_t delay_ms = 0;
     switch (claim_turn_next(
-        &leadership->turn,
+        &leadership->backoff,
         claimable(leadership) && !leadership->node->stopping,
         leadership->node->settings->cores, g_random_double(), &delay_ms)) {
     case CLAIM_LEAVE:
-        watch(leadership);
+        watch_record(leadership);
         break;
     case CLAIM_WAIT:
         /* An earlier incarnation's duty of this very process has no rival. */
-        look_later(leadership, leadership->revision == 0 ? delay_ms : 0);
+        read_record_later(leadership,
+                          leadership->record_revision == 0 ? delay_ms : 0);
         break;
     case CLAIM_NOW:
         claim(leadership);
@@ -214,28 +216,28 @@
 }
 
 static void
-look(struct leadership *leadership)
+read_record(struct leadership *leadership)
 {
     if (leadership->call_in_flight) {
         return;
     }
     leadership->call_in_flight = true;
     kv_range(leadership->kv, RECORD_LEADERSHIP_PREFIX, NULL,
-             (struct kv_done){.call = on_look, .ctx = leadership});
+             (struct kv_done){.call = on_record, .ctx = leadership});
 }
 
 static void
-won(struct leadership *leadership, int64_t revision)
+become_leader(struct leadership *leadership, int64_t revision)
 {
-    leadership->state = DUTY_HELD;
+    leadership->state = LEADERSHIP_HELD;
     leadership->token = revision;
-    leadership->revision = revision;
-    leadership->renewed_ms = leadership->lease_sent_ms;
-    leadership->valid_until_ms =
-        leadership->lease_sent_ms + DUTY_TTL_MS - TTL_MARGIN_MS;
+    leadership->record_revision = revision;
+    leadership->renewed_ms = leadership->lease_requested_ms;
+    leadership->valid_until_ms = leadership->lease_requested_ms +
+                                 LEADER_LEASE_TTL_MS - CLOCK_DRIFT_MARGIN_MS;
     event_log("duty_won", "\"token\":%" G_GINT64_FORMAT ",\"term\":%u",
               leadership->token, leadership->term);
-    timer_set(leadership->timer, RENEW_MS);
+    timer_set(leadership->timer, RENEW_INTERVAL_MS);
     leadership->node->leader =
         leader_create(leadership->node, leadership->token, leadership->term);
 }
@@ -249,10 +251,10 @@
             ? g_ptr_array_index(result->items, 0)
             : NULL;
     if (item != NULL && g_strcmp0(item->value, leadership->claim_value) == 0) {
-        won(leadership, item->revision);
+        become_leader(leadership, item->revision);
         return;
     }
-    look_later(leadership, LOOK_RETRY_MS);
+    read_record_later(leadership, READ_RETRY_MS);
 }
 
 static void
@@ -260,7 +262,7 @@
 {
     struct leadership *leadership = ctx;
     if (result->outcome == KV_OK) {
-        won(leadership, result->revision);
+        become_leader(leadership, result->revision);
     }
     else if (result->outcome == KV_UNKNOWN) {
         kv_get(
@@ -268,7 +270,7 @@
             (struct kv_done){.call = on_claim_read_back, .ctx = leadership});
     }
     else {
-        look_later(leadership, LOOK_RETRY_MS);
+        read_record_later(leadership, READ_RETRY_MS);
     }
 }
 
@@ -281,13 +283,13 @@
     g_string_append(value, ",\"peer\":");
     json_text_add(value, settings->peer_address);
     g_string_append_printf(value, ",\"claim\":\"%d-%u\"}", (int)getpid(),
-                           ++leadership->claims);
+                           ++leadership->claim_count);
     g_free(leadership->claim_value);
     leadership->claim_value = g_string_free(value, FALSE);
     char term[16];
     g_snprintf(term, sizeof(term), "%u", leadership->term);
     struct kv_condition conditions[] = {
-        {.key = RECORD_LEADER_KEY, .revision = leadership->revision},
+        {.key = RECORD_LEADER_KEY, .revision = leadership->record_revision},
         {.key = RECORD_TERM_KEY, .revision = leadership->term_revision},
     };
     struct kv_put puts[] = {
@@ -311,7 +313,7 @@
 {
     struct leadership *leadership = ctx;
     if (result->outcome != KV_OK) {
-        look_later(leadership, LOOK_RETRY_MS);
+        read_record_later(leadership, READ_RETRY_MS);
         return;
     }
     leadership->lease = result->lease;
@@ -321,16 +323,16 @@
 static void
 claim(struct leadership *leadership)
 {
-    leadership->state = DUTY_CLAIMING;
-    leadership->lease_sent_ms = node_now(leadership->node);
-    kv_lease_grant(leadership->kv, DUTY_TTL_MS,
+    leadership->state = LEADERSHIP_CLAIMING;
+    leadership->lease_requested_ms = node_now(leadership->node);
+    kv_lease_grant(leadership->kv, LEADER_LEASE_TTL_MS,
                    (struct kv_done){.call = on_lease, .ctx = leadership});
 }
 
 void
 leadership_lose(struct leadership *leadership, const char *why)
 {
-    if (leadership->state != DUTY_HELD) {
+    if (leadership->state != LEADERSHIP_HELD) {
         return;
     }
     event_log("duty_lost", "\"token\":%" G_GINT64_FORMAT ",\"why\":\"%s\"",
@@ -338,8 +340,8 @@
     struct leader *leader = leadership->node->leader;
     leadership->node->leader = NULL;
     leader_destroy(leader);
-    set_holder(leadership, NULL);
-    look_later(leadership, LOOK_RETRY_MS);
+    set_leader(leadership, NULL);
+    read_record_later(leadership, READ_RETRY_MS);
 }
 
 static void
@@ -347,7 +349,7 @@
 {
     struct leadership *leadership = ctx;
     leadership->call_in_flight = false;
-    if (leadership->state != DUTY_HELD) {
+    if (leadership->state != LEADERSHIP_HELD) {
         return;
     }
     if (result->outcome == KV_NOT_FOUND) {
@@ -359,9 +361,9 @@
         return;
     }
     leadership->renewed_ms = leadership->renew_sent_ms;
-    leadership->valid_until_ms =
-        leadership->renew_sent_ms + DUTY_TTL_MS - TTL_MARGIN_MS;
-    timer_set(leadership->timer, RENEW_MS);
+    leadership->valid_until_ms = leadership->renew_sent_ms +
+                                 LEADER_LEASE_TTL_MS - CLOCK_DRIFT_MARGIN_MS;
+    timer_set(leadership->timer, RENEW_INTERVAL_MS);
 }
 
 static void
@@ -382,11 +384,11 @@
     (void)fd;
     (void)events;
     struct leadership *leadership = ctx;
-    if (leadership->state == DUTY_HELD) {
+    if (leadership->state == LEADERSHIP_HELD) {
         renew(leadership);
     }
-    else if (leadership->state == DUTY_LOOKING) {
-        look(leadership);
+    else if (leadership->state == LEADERSHIP_WATCHING) {
+        read_record(leadership);
     }
 }
 
@@ -402,7 +404,7 @@
         kv_create(node->base, node->settings->store_address, WATCH_TIMEOUT_MS,
                   store_route_any(node->store_route));
     leadership->timer = evtimer_new(node->base, on_timer, leadership);
-    look_later(leadership, 0);
+    read_record_later(leadership, 0);
     return leadership;
 }
 
@@ -416,28 +418,29 @@
     kv_destroy(leadership->kv);
     kv_destroy(leadership->watch);
     g_free(leadership->claim_value);
-    g_free(leadership->holder_peer);
-    g_free(leadership->holder_node);
+    g_free(leadership->leader_peer);
+    g_free(leadership->leader_node);
     g_free(leadership);
 }
 
 bool
 leadership_held(const struct leadership *leadership)
 {
-    return leadership->state == DUTY_HELD;
+    return leadership->state == LEADERSHIP_HELD;
 }
 
 bool
 leadership_valid(const struct leadership *leadership)
 {
-    return leadership->state == DUTY_HELD &&
+    return leadership->state == LEADERSHIP_HELD &&
            node_now(leadership->node) < leadership->valid_until_ms;
 }
 
 bool
 leadership_renewal_overdue(const struct leadership *leadership)
 {
-    return node_now(leadership->node) - leadership->renewed_ms > TROUBLE_MS;
+    return node_now(leadership->node) - leadership->renewed_ms >
+           RENEWAL_OVERDUE_MS;
 }
 
 int64_t
@@ -449,7 +452,7 @@
 const char *
 leadership_leader_address(const struct leadership *leadership)
 {
-    return leadership->holder_peer;
+    return leadership->leader_peer;
 }
 
 static void
@@ -482,7 +485,7 @@
 void
 leadership_release(struct leadership *leadership)
 {
-    if (leadership->state != DUTY_HELD) {
+    if (leadership->state != LEADERSHIP_HELD) {
         return;
     }
     int64_t lease = leadership->lease;
@@ -497,7 +500,7 @@
 leadership_inherited_lease_ms(const struct leadership *leadership)
 {
     return leadership->handover_token != 0 &&
-                   leadership->handover_token == leadership->token_before
+                   leadership->handover_token == leadership->previous_token
                ? leadership->handover_lease_ms
                : leadership->node->settings->timings.lease_max_ms;
 }
--- a/egretjobd/node.c
+++ b/egretjobd/node.c
@@ -19,27 +19,27 @@
 #include "platform/kv.h"
 
 enum {
-    LEAVE_POLL_MS = 50,
+    SHUTDOWN_POLL_MS = 50,
     /* Part of the grace period kept for the end of the process itself. */
-    LEAVE_MARGIN_MS = 700,
+    SHUTDOWN_MARGIN_MS = 700,
     /* Answers need this long to leave the process. */
-    LEAVE_ANSWER_MS = 200,
+    SHUTDOWN_ANSWER_MS = 200,
     /* Callers already on their way are still served after the health check
      * has failed twice, a second apart. */
-    LEAVE_LINGER_MS = 2500,
+    SHUTDOWN_LINGER_MS = 2500,
     REGISTER_TIMEOUT_MS = 1000,
     REGISTER_RETRY_MS = 300,
 };
 
 struct node_process {
     struct node node;
-    struct event *term;
-    struct event *interrupt;
-    struct event *hangup;
-    struct event *leave_timer;
+    struct event *sigterm;
+    struct event *sigint;
+    struct event *sighup;
+    struct event *shutdown_timer;
     struct event *register_timer;
     struct kv *registry;
-    int64_t leave_since_ms;
+    int64_t shutdown_start_ms;
 };
 
 static int64_t
@@ -71,27 +71,28 @@
 }
 
 static void
-on_leave_timer(evutil_socket_t fd, short events, void *ctx)
+on_shutdown_timer(evutil_socket_t fd, short events, void *ctx)
 {
     (void)fd;
     (void)events;
     struct node_process *state = ctx;
     struct node *node = &state->node;
-    int64_t passed_ms = node_now(node) - state->leave_since_ms;
-    int64_t end_ms = node->settings->stop_grace_ms - LEAVE_MARGIN_MS;
-    bool done = passed_ms >= LEAVE_LINGER_MS && frontend_idle(node->front);
+    int64_t passed_ms = node_now(node) - state->shutdown_start_ms;
+    int64_t end_ms = node->settings->stop_grace_ms - SHUTDOWN_MARGIN_MS;
+    bool done =
+        passed_ms >= SHUTDOWN_LINGER_MS && frontend_idle(node->frontend);
     if (done || passed_ms >= end_ms) {
         event_base_loopbreak(node->base);
         return;
     }
-    if (passed_ms >= end_ms - LEAVE_ANSWER_MS) {
+    if (passed_ms >= end_ms - SHUTDOWN_ANSWER_MS) {
         acceptor_answer_pending(node->acceptor);
     }
-    timer_set(state->leave_timer, LEAVE_POLL_MS);
+    timer_set(state->shutdown_timer, SHUTDOWN_POLL_MS);
 }
 
 static void
-on_term(evutil_socket_t fd, short events, void *ctx)
+on_stop_signal(evutil_socket_t fd, short events, void *ctx)
 {
     (void)fd;
     (void)events;
@@ -101,14 +102,14 @@
     }
     event_log("stopping", "\"signal\":\"TERM\"");
     state->node.stopping = true;
-    state->leave_since_ms = node_now(&state->node);
+    state->shutdown_start_ms = node_now(&state->node);
     leadership_release(state->node.leadership);
-    frontend_begin_shutdown(state->node.front);
-    timer_set(state->leave_timer, LEAVE_POLL_MS);
+    frontend_begin_shutdown(state->node.frontend);
+    timer_set(state->shutdown_timer, SHUTDOWN_POLL_MS);
 }
 
 static void
-on_hangup(evutil_socket_t fd, short events, void *ctx)
+on_reload_signal(evutil_socket_t fd, short events, void *ctx)
 {
     (void)fd;
     (void)events;
@@ -144,12 +145,12 @@
 }
 
 static bool
-start_parts(struct node *node)
+start_components(struct node *node)
 {
     node->store_route = store_route_create(node);
     node->peers = peers_create(node);
-    node->front = frontend_create(node);
-    if (node->peers == NULL || node->front == NULL) {
+    node->frontend = frontend_create(node);
+    if (node->peers == NULL || node->frontend == NULL) {
         event_log("start_failed", "\"why\":\"an address can't be had\"");
         return false;
     }
@@ -161,7 +162,7 @@
 }
 
 static void
-stop_parts(struct node *node)
+stop_components(struct node *node)
 {
     struct leader *leader = node->leader;
     node->leader = NULL;
@@ -170,7 +171,7 @@
     config_feed_destroy(node->feed);
     acceptor_destroy(node->acceptor);
     job_queries_destroy(node->job_queries);
-    frontend_destroy(node->front);
+    frontend_destroy(node->frontend);
     peers_destroy(node->peers);
     store_route_destroy(node->store_route);
 }
@@ -180,21 +181,21 @@
 {
     struct event_base *base = state->node.base;
     signal(SIGPIPE, SIG_IGN);
-    state->term = evsignal_new(base, SIGTERM, on_term, state);
-    state->interrupt = evsignal_new(base, SIGINT, on_term, state);
-    state->hangup = evsignal_new(base, SIGHUP, on_hangup, state);
-    evsignal_add(state->term, NULL);
-    evsignal_add(state->interrupt, NULL);
-    evsignal_add(state->hangup, NULL);
+    state->sigterm = evsignal_new(base, SIGTERM, on_stop_signal, state);
+    state->sigint = evsignal_new(base, SIGINT, on_stop_signal, state);
+    state->sighup = evsignal_new(base, SIGHUP, on_reload_signal, state);
+    evsignal_add(state->sigterm, NULL);
+    evsignal_add(state->sigint, NULL);
+    evsignal_add(state->sighup, NULL);
 }
 
 static void
 free_events(struct node_process *state)
 {
-    event_free(state->term);
-    event_free(state->interrupt);
-    event_free(state->hangup);
-    event_free(state->leave_timer);
+    event_free(state->sigterm);
+    event_free(state->sigint);
+    event_free(state->sighup);
+    event_free(state->shutdown_timer);
     event_free(state->register_timer);
 }
 
@@ -213,10 +214,10 @@
     struct node *node = &state.node;
     event_log("start", "\"data_centre\":\"%s\",\"version\":\"%s\"",
               settings->data_centre, EGRET_VERSION);
-    state.leave_timer = evtimer_new(node->base, on_leave_timer, &state);
+    state.shutdown_timer = evtimer_new(node->base, on_shutdown_timer, &state);
     state.register_timer = evtimer_new(node->base, on_register_timer, &state);
     add_signals(&state);
-    bool started = start_parts(node);
+    bool started = start_components(node);
     if (started) {
         state.registry =
             kv_create(node->base, settings->store_address, REGISTER_TIMEOUT_MS,
@@ -225,7 +226,7 @@
         event_base_dispatch(node->base);
         kv_destroy(state.registry);
     }
-    stop_parts(node);
+    stop_components(node);
     free_events(&state);
     event_log("stop", "\"code\":%d", started ? 0 : 1);
     /* Frees connections that were closed during the last turn. */
--- a/egretjobd/peers.c
+++ b/egretjobd/peers.c
@@ -13,18 +13,18 @@
     CALL_TIMEOUT_MS = 700,
     /* Opened as they are needed: a job waits at the holder for its
      * write, which a slow store answers in a quarter of a second. */
-    CONNECTIONS = 8,
+    CONNECTION_COUNT = 8,
     /* Longer than the longest wait that is relayed. */
     RELAY_TIMEOUT_MS = 2500,
-    RELAY_NO_ANSWER = 504,
-    RELAY_NOT_SENT = 503,
+    RELAY_STATUS_NO_ANSWER = 504,
+    RELAY_STATUS_NOT_SENT = 503,
 };
 
 #define PATH_SUBMIT "/submit"
 #define PATH_STATE "/state"
 #define PATH_CANCEL "/cancel"
 #define PATH_WAITING "/waiting"
-#define PATH_ORDERS "/orders"
+#define PATH_OPERATOR_RECORDS "/orders"
 #define HEADER_JOB "Egret-Job"
 #define HEADER_QUEUE "Egret-Queue"
 #define HEADER_POOL "Egret-Pool"
@@ -40,7 +40,7 @@
 
 /* Connections to one peer; the least busy is used. */
 struct peer {
-    struct http_client *clients[CONNECTIONS];
+    struct http_client *clients[CONNECTION_COUNT];
 };
 
 struct peers {
@@ -49,12 +49,12 @@
     GHashTable *by_address;
 };
 
-struct relayed {
+struct relayed_call {
     struct http_exchange *exchange;
     struct http_client *client;
 };
 
-struct forwarded {
+struct forwarded_call {
     struct job_reply reply;
 };
 
@@ -62,7 +62,7 @@
 peer_destroy(void *data)
 {
     struct peer *peer = data;
-    for (size_t i = 0; i < CONNECTIONS; i++) {
+    for (size_t i = 0; i < CONNECTION_COUNT; i++) {
         http_client_destroy(peer->clients[i]);
     }
     g_free(peer);
@@ -89,7 +89,7 @@
 }
 
 static void
-serve_orders(struct peers *peers, struct http_exchange *exchange)
+serve_operator_records(struct peers *peers, struct http_exchange *exchange)
 {
     char *body = config_feed_encode(peers->node->feed);
     http_exchange_reply(exchange, body == NULL ? 503 : 200, body);
@@ -99,14 +99,15 @@
 static void
 on_relayed(void *ctx, const struct http_reply *reply)
 {
-    struct relayed *relayed = ctx;
+    struct relayed_call *relayed = ctx;
     char *body = reply->body_bytes == 0
                      ? NULL
                      : g_strndup(reply->body, reply->body_bytes);
     /* A peer that gets no answer tells so by giving none that counts. */
     int status = reply->status;
     if (status == 0) {
-        status = reply->never_sent ? RELAY_NOT_SENT : RELAY_NO_ANSWER;
+        status =
+            reply->never_sent ? RELAY_STATUS_NOT_SENT : RELAY_STATUS_NO_ANSWER;
     }
     http_exchange_reply(relayed->exchange, status, body);
     g_free(body);
@@ -117,9 +118,10 @@
 /* Passes a call on to the store, which serves this process but not the peer.
  * Each has a connection of its own: a long wait delays no other. */
 static void
-relay(struct peers *peers, struct http_exchange *exchange, const char *path)
+relay_call(struct peers *peers, struct http_exchange *exchange,
+           const char *path)
 {
-    struct relayed *relayed = g_new0(struct relayed, 1);
+    struct relayed_call *relayed = g_new0(struct relayed_call, 1);
     relayed->exchange = exchange;
     relayed->client = http_client_create(peers->node->base,
                                          peers->node->settings->store_address,
@@ -143,11 +145,11 @@
     struct peers *peers = ctx;
     const char *path = http_exchange_path(exchange);
     if (g_str_has_prefix(path, KV_RELAY_PREFIX "/")) {
-        relay(peers, exchange, path + strlen(KV_RELAY_PREFIX));
+        relay_call(peers, exchange, path + strlen(KV_RELAY_PREFIX));
         return;
     }
-    if (strcmp(path, PATH_ORDERS) == 0) {
-        serve_orders(peers, exchange);
+    if (strcmp(path, PATH_OPERATOR_RECORDS) == 0) {
+        serve_operator_records(peers, exchange);
         return;
     }
     struct job_call call = {
@@ -204,19 +206,19 @@
     struct peer *peer = g_hash_table_lookup(peers->by_address, address);
     if (peer == NULL) {
         peer = g_new0(struct peer, 1);
-        for (size_t i = 0; i < CONNECTIONS; i++) {
+        for (size_t i = 0; i < CONNECTION_COUNT; i++) {
             peer->clients[i] = http_client_create(peers->node->base, address,
                                                   CALL_TIMEOUT_MS);
         }
         g_hash_table_insert(peers->by_address, g_strdup(address), peer);
     }
-    return http_client_least_busy(peer->clients, CONNECTIONS);
+    return http_client_least_busy(peer->clients, CONNECTION_COUNT);
 }
 
 static void
 on_reply(void *ctx, const struct http_reply *reply)
 {
-    struct forwarded *forwarded = ctx;
+    struct forwarded_call *forwarded = ctx;
     char *body = reply->body_bytes == 0
                      ? NULL
                      : g_strndup(reply->body, reply->body_bytes);
@@ -244,7 +246,7 @@
         {.name = HEADER_ATTEMPTS, .value = attempts},
         {0},
     };
-    struct forwarded *forwarded = g_new0(struct forwarded, 1);
+    struct forwarded_call *forwarded = g_new0(struct forwarded_call, 1);
     forwarded->reply = reply;
     struct http_call http = {
         .method = "POST",
@@ -266,7 +268,7 @@
 {
     struct http_call http = {
         .method = "GET",
-        .path = PATH_ORDERS,
+        .path = PATH_OPERATOR_RECORDS,
         .done = done,
         .ctx = ctx,
     };
--- a/egretjobd/store_route.c
+++ b/egretjobd/store_route.c
@@ -9,8 +9,8 @@
 enum {
     /* One refusal may be the rate limit; two in a row are more. */
     REFUSALS_MAX = 2,
-    STATUS_BUSY = 503,
-    STATUS_MANY = 429,
+    STATUS_UNAVAILABLE = 503,
+    STATUS_TOO_MANY_REQUESTS = 429,
     STATUS_RELAY_NO_ANSWER = 504,
 };
 
@@ -22,83 +22,84 @@
 };
 
 static bool
-served(int status)
+answered_by_store(int status)
 {
-    return status != 0 && status != STATUS_BUSY && status != STATUS_MANY &&
+    return status != 0 && status != STATUS_UNAVAILABLE &&
+           status != STATUS_TOO_MANY_REQUESTS &&
            status != STATUS_RELAY_NO_ANSWER;
 }
 
 static void
-set_relaying(struct store_route *path, bool relaying)
+set_relaying(struct store_route *route, bool relaying)
 {
-    if (path->relaying == relaying) {
+    if (route->relaying == relaying) {
         return;
     }
-    path->relaying = relaying;
+    route->relaying = relaying;
     if (relaying) {
-        relay_peer_choose(&path->peer, config_feed_peers(path->node->feed));
+        relay_peer_choose(&route->peer, config_feed_peers(route->node->feed));
     }
     event_log(relaying ? "store_relayed" : "store_direct", "\"peer\":\"%s\"",
-              path->peer.address == NULL ? "" : path->peer.address);
+              route->peer.address == NULL ? "" : route->peer.address);
 }
 
 static const char *
-relay_any(void *ctx)
+current_relay(void *ctx)
 {
-    const struct store_route *path = ctx;
-    return path->relaying ? path->peer.address : NULL;
+    const struct store_route *route = ctx;
+    return route->relaying ? route->peer.address : NULL;
 }
 
 static void
 report(void *ctx, const char *relay, int status)
 {
-    struct store_route *path = ctx;
+    struct store_route *route = ctx;
     if (relay != NULL) {
-        if (!served(status)) {
-            relay_peer_failed(&path->peer, relay,
-                              config_feed_peers(path->node->feed));
+        if (!answered_by_store(status)) {
+            relay_peer_failed(&route->peer, relay,
+                              config_feed_peers(route->node->feed));
         }
         return;
     }
-    if (served(status)) {
-        path->refusals = 0;
-        set_relaying(path, false);
+    if (answered_by_store(status)) {
+        route->refusals = 0;
+        set_relaying(route, false);
         return;
     }
-    path->refusals++;
-    if (status == 0 || path->refusals >= REFUSALS_MAX) {
-        set_relaying(path, true);
+    route->refusals++;
+    if (status == 0 || route->refusals >= REFUSALS_MAX) {
+        set_relaying(route, true);
     }
 }
 
 struct store_route *
 store_route_create(struct node *node)
 {
-    struct store_route *path = g_new0(struct store_route, 1);
-    path->node = node;
-    path->peer.turn = g_random_int();
-    return path;
+    struct store_route *route = g_new0(struct store_route, 1);
+    route->node = node;
+    route->peer.turn = g_random_int();
+    return route;
 }
 
 void
-store_route_destroy(struct store_route *path)
+store_route_destroy(struct store_route *route)
 {
-    if (path == NULL) {
+    if (route == NULL) {
         return;
     }
-    relay_peer_clear(&path->peer);
-    g_free(path);
+    relay_peer_clear(&route->peer);
+    g_free(route);
 }
 
 struct kv_route
-store_route_any(struct store_route *path)
+store_route_any(struct store_route *route)
 {
     return (struct kv_route){
-        .relay = relay_any, .report = report, .ctx = path};
+        .relay = current_relay, .report = report, .ctx = route};
 }
 
 struct kv_route
-store_route_direct(struct store_route *path)
+store_route_direct(struct store_route *route)
 {
-    return (struct kv_route){.report = report, .ctx = path};
+    return (struct kv_route){.report = report, .ctx = route};
 }
--- a/include/egretjobd/committer.h
+++ b/include/egretjobd/committer.h
@@ -18,7 +18,7 @@
  */
 struct committer *
 committer_create(struct event_base *base, const char *address,
-                 int64_t timeout_ms, struct kv_route path);
+                 int64_t timeout_ms, struct kv_route route);
 void
 committer_destroy(struct committer *committer);
 
--- a/include/egretjobd/frontend.h
+++ b/include/egretjobd/frontend.h
@@ -9,20 +9,20 @@
 struct frontend *
 frontend_create(struct node *node);
 void
-frontend_destroy(struct frontend *front);
+frontend_destroy(struct frontend *frontend);
 
 /** frontend_config_changed() - put the bounds of requests in force. */
 void
-frontend_config_changed(struct frontend *front,
+frontend_config_changed(struct frontend *frontend,
                         const struct fleet_config *config);
 
 /** frontend_begin_shutdown() - fail the health check and finish what is open.
  */
 void
-frontend_begin_shutdown(struct frontend *front);
+frontend_begin_shutdown(struct frontend *frontend);
 
 /** frontend_idle() - whether no request is open. */
 bool
-frontend_idle(const struct frontend *front);
+frontend_idle(const struct frontend *frontend);
 
 #endif
--- a/include/egretjobd/node.h
+++ b/include/egretjobd/node.h
@@ -35,7 +35,7 @@
     struct acceptor *acceptor;
     struct job_queries *job_queries;
     struct peers *peers;
-    struct frontend *front;
+    struct frontend *frontend;
     bool stopping;
 };
 
--- a/include/egretjobd/store_route.h
+++ b/include/egretjobd/store_route.h
@@ -11,15 +11,15 @@
 struct store_route *
 store_route_create(struct node *node);
 void
-store_route_destroy(struct store_route *path);
+store_route_destroy(struct store_route *route);
 
 /** store_route_any() - for calls that may go through a peer. */
 struct kv_route
-store_route_any(struct store_route *path);
+store_route_any(struct store_route *route);
 
 /** store_route_direct() - for calls that find out whether the direct way
  * works. */
 struct kv_route
-store_route_direct(struct store_route *path);
+store_route_direct(struct store_route *route);
 
 #endif
--- a/include/platform/backend_client.h
+++ b/include/platform/backend_client.h
@@ -13,16 +13,17 @@
  * struct backend_events - where answers of all links go; share @ctx
  * @on_start: answer to a start; @clock_ms 0: not told
  * @on_stop: answer to a stop
- * @on_pace: answer to a change of pace
- * @on_lists: lists, or why there are none
+ * @on_throttle: answer to a change of pace
+ * @on_report: lists, or why there are none
  */
 struct backend_events {
     void (*on_start)(void *ctx, uint64_t handle, enum start_answer answer,
                      int64_t clock_ms);
     void (*on_stop)(void *ctx, uint64_t handle, bool acked);
-    void (*on_pace)(void *ctx, uint64_t handle, int32_t percent, bool acked);
-    void (*on_lists)(void *ctx, const char *backend_id,
-                     const struct backend_lists *lists);
+    void (*on_throttle)(void *ctx, uint64_t handle, int32_t percent,
+                        bool acked);
+    void (*on_report)(void *ctx, const char *backend_id,
+                      const struct backend_lists *lists);
     void *ctx;
 };
 
--- a/include/platform/hosts_api.h
+++ b/include/platform/hosts_api.h
@@ -12,19 +12,19 @@
 /**
  * struct hosts_events - where answers go
  * @on_list: the whole list; @hosts NULL if it could not be read
- * @on_order: answer to a move (@wave 0) or a reboot
+ * @on_command: answer to a move (@wave 0) or a reboot
  */
 struct hosts_events {
     void (*on_list)(void *ctx, const struct host_fact *hosts, size_t n_hosts);
-    void (*on_order)(void *ctx, const char *host, int64_t wave,
-                     enum host_answer answer);
+    void (*on_command)(void *ctx, const char *host, int64_t wave,
+                       enum host_answer answer);
     void *ctx;
 };
 
-/** hosts_api_create() - @holder names this process in orders. */
+/** hosts_api_create() - @leader_name names this process in orders. */
 struct hosts_api *
 hosts_api_create(struct event_base *base, const char *address,
-                 const char *holder, const struct hosts_events *events);
+                 const char *leader_name, const struct hosts_events *events);
 void
 hosts_api_destroy(struct hosts_api *api);
 
