--- a/include/egretjobd/acceptor.h
+++ b/include/egretjobd/acceptor.h
@@ -1,4 +1,4 @@
-/* Stores accepted jobs, several in one transaction. */
+/* Writes submitted jobs to the store, several per transaction. */
 #ifndef EGRETJOBD_ACCEPTOR_H
 #define EGRETJOBD_ACCEPTOR_H
 
@@ -11,15 +11,19 @@
 acceptor_destroy(struct acceptor *acceptor);
 
 /**
- * acceptor_submit() - store a job; answers 200 once it is stored, 503 if it
- * certainly never will be, 504 if that is not known
+ * acceptor_submit() - write a job to the store
+ *
+ * Replies 200 once the job is stored, 503 if it certainly will not be stored,
+ * and 504 if the outcome is unknown.
  */
 void
 acceptor_submit(struct acceptor *acceptor, const struct job_call *call,
                 struct job_reply reply);
 
-/** acceptor_answer_pending() - answer everything that is open, truly, before
- * the process ends. */
+/**
+ * acceptor_answer_pending() - reply to all open submissions before the process
+ * exits: 504 if the job may be stored, else 503
+ */
 void
 acceptor_answer_pending(struct acceptor *acceptor);
 
--- a/include/egretjobd/committer.h
+++ b/include/egretjobd/committer.h
@@ -1,9 +1,9 @@
 /*
- * Transactions that are sent twice when the first sending gets no answer in
- * the usual time. Each has conditions that hold only before it was carried
- * out, so a second sending changes nothing more; it tells sooner than a
- * timeout what became of the first when answers are lost or a connection has
- * gone silent.
+ * Commits transactions, with a second attempt on another connection if the
+ * first one is not answered in the usual time. The conditions of a transaction
+ * no longer hold once it has been carried out, so the second attempt is
+ * idempotent. If an answer is lost or a connection is unresponsive, it gives
+ * the outcome of the first attempt sooner than the timeout would.
  */
 #ifndef EGRETJOBD_COMMITTER_H
 #define EGRETJOBD_COMMITTER_H
@@ -14,7 +14,7 @@
 
 /**
  * committer_create() - commits one transaction at a time
- * @timeout_ms: silence after which a sending has no answer
+ * @timeout_ms: time after which an attempt counts as unanswered
  */
 struct committer *
 committer_create(struct event_base *base, const char *address,
@@ -23,10 +23,10 @@
 committer_destroy(struct committer *committer);
 
 /**
- * committer_commit() - send @txn; not while another one is open
+ * committer_commit() - send @txn; only when no other one is open
  *
- * The outcome is KV_UNKNOWN only if no sending got an answer, and KV_REFUSED
- * only if none may have been carried out.
+ * The outcome is KV_UNKNOWN only if no attempt got an answer, and KV_REFUSED
+ * only if no attempt can have been carried out.
  */
 void
 committer_commit(struct committer *committer, const struct kv_txn *txn,
--- a/include/egretjobd/config_feed.h
+++ b/include/egretjobd/config_feed.h
@@ -1,4 +1,5 @@
-/* The operator's orders: configuration, data centres out, waves. */
+/* Follows the operator's records in the store: configuration, data centres out
+ * of service, maintenance waves. */
 #ifndef EGRETJOBD_CONFIG_FEED_H
 #define EGRETJOBD_CONFIG_FEED_H
 
@@ -15,30 +16,37 @@
 void
 config_feed_destroy(struct config_feed *feed);
 
-/** config_feed_current() - configuration in force, or NULL. */
+/** config_feed_current() - active configuration, or NULL. */
 const struct fleet_config *
 config_feed_current(const struct config_feed *feed);
 
-/** config_feed_fresh() - whether nothing newer can be in force for long
- * enough to matter; without it no keyed work is taken. */
+/**
+ * config_feed_fresh() - whether the active configuration was confirmed within
+ * the age limit of the settings
+ *
+ * While it is not, callers' requests are refused.
+ */
 bool
 config_feed_fresh(const struct config_feed *feed);
 
-/** config_feed_out_of_service() - data centres that are out; NULL-terminated.
+/** config_feed_out_of_service() - names of data centres that are out of
+ * service; NULL-terminated.
  */
 char **
 config_feed_out_of_service(const struct config_feed *feed);
 
-/** config_feed_waves() - struct host_wave, all that are ordered. */
+/** config_feed_waves() - maintenance waves as struct host_wave. */
 const GPtrArray *
 config_feed_waves(const struct config_feed *feed);
 
-/** config_feed_encode() - what a peer needs to take over the operator's
- * orders from here; g_free(); NULL if not fresh. */
+/** config_feed_encode() - the operator's records as JSON for a peer that
+ * can't read the store; g_free(); NULL if they are
+ * not fresh. */
 char *
 config_feed_encode(const struct config_feed *feed);
 
-/** config_feed_peers() - addresses of other processes; NULL-terminated. */
+/** config_feed_peers() - peer addresses of the other processes;
+ * NULL-terminated. */
 char **
 config_feed_peers(const struct config_feed *feed);
 
--- a/include/egretjobd/frontend.h
+++ b/include/egretjobd/frontend.h
@@ -1,22 +1,23 @@
-/* Callers' requests, health check and metrics. */
+/* HTTP servers for callers' requests, the health check and metrics. */
 #ifndef EGRETJOBD_FRONTEND_H
 #define EGRETJOBD_FRONTEND_H
 
 #include "core/jobs/fleet_config.h"
 #include "egretjobd/node.h"
 
-/** frontend_create() - listen for callers; NULL if an address can't be had. */
+/** frontend_create() - start listening; NULL if an address can't be bound. */
 struct frontend *
 frontend_create(struct node *node);
 void
 frontend_destroy(struct frontend *frontend);
 
-/** frontend_config_changed() - put the bounds of requests in force. */
+/** frontend_config_changed() - apply the request limits of @config. */
 void
 frontend_config_changed(struct frontend *frontend,
                         const struct fleet_config *config);
 
-/** frontend_begin_shutdown() - fail the health check and finish what is open.
+/** frontend_begin_shutdown() - fail the health check and close each
+ * connection after its next reply.
  */
 void
 frontend_begin_shutdown(struct frontend *frontend);
--- a/include/egretjobd/job_call.h
+++ b/include/egretjobd/job_call.h
@@ -1,4 +1,4 @@
-/* What callers ask about jobs, and what they are told. */
+/* Callers' requests about jobs, and the replies to them. */
 #ifndef EGRETJOBD_JOB_CALL_H
 #define EGRETJOBD_JOB_CALL_H
 
@@ -6,7 +6,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** enum job_call_kind - what is asked */
+/** enum job_call_kind - operation that a caller requests */
 enum job_call_kind {
     JOB_CALL_SUBMIT,
     JOB_CALL_STATE,
@@ -16,13 +16,13 @@
 
 /**
  * struct job_call - a checked request of a caller
- * @id: id of the job; empty when a queue's length is asked for
+ * @id: id of the job; empty for JOB_CALL_QUEUE_LENGTH
  * @queue: name of the queue
  * @pool: pool of the queue
  * @team: client account, empty on an open queue
- * @attempts: attempts of the queue
- * @body: job as sent
- * @uncertain: another process may be storing it already
+ * @attempts: attempts per task, set by the queue
+ * @body: job as the caller sent it
+ * @uncertain: another process may have stored it or be storing it
  */
 struct job_call {
     enum job_call_kind kind;
@@ -37,9 +37,10 @@
 };
 
 enum {
-    /* Internal: the process asked can't tell; ask the store. */
+    /* Internal: the process that was called can't answer; use the store. */
     JOB_ANSWER_ASK_STORE = 421,
-    /* Internal: the process asked gave no answer and may still act. */
+    /* Internal: the process that was called did not answer, and may still
+     * carry the call out. */
     JOB_ANSWER_NONE = 424,
 };
 
@@ -47,7 +48,7 @@
  * struct job_answer - answer to a call
  * @status: HTTP status for the caller, or JOB_ANSWER_ASK_STORE
  * @body: JSON text, or NULL
- * @retry_after_ms: when a refused caller may come back; 0: not told
+ * @retry_after_ms: when a refused caller may retry; 0: not given
  */
 struct job_answer {
     int status;
@@ -55,7 +56,7 @@
     int64_t retry_after_ms;
 };
 
-/** struct job_reply - where an answer goes; called once */
+/** struct job_reply - callback that receives the answer; called once */
 struct job_reply {
     void (*call)(void *ctx, const struct job_answer *answer);
     void *ctx;
--- a/include/egretjobd/job_queries.h
+++ b/include/egretjobd/job_queries.h
@@ -1,4 +1,4 @@
-/* Questions about jobs that the store answers when no scheduler does. */
+/* Reads and cancels jobs in the store when the leader can't be reached. */
 #ifndef EGRETJOBD_JOB_QUERIES_H
 #define EGRETJOBD_JOB_QUERIES_H
 
@@ -10,13 +10,15 @@
 void
 job_queries_destroy(struct job_queries *queries);
 
-/** job_queries_state() - state of a job: 200, 410 if there is none, 503. */
+/** job_queries_state() - state of a job: 200, 410 if there is no such job,
+ * 503 if the store could not be read. */
 void
 job_queries_state(struct job_queries *queries, const char *id,
                   struct job_reply reply);
 
-/** job_queries_cancel() - leave a note for the scheduler that a job is
- * cancelled: 200, 410 if there is none, 503 if nothing was done, 504. */
+/** job_queries_cancel() - store a cancel message for the scheduler: 200, 410
+ * if there is no such job, 503 if nothing was stored, 504 if the outcome is
+ * unknown. */
 void
 job_queries_cancel(struct job_queries *queries, const char *id,
                    struct job_reply reply);
--- a/include/egretjobd/leader.h
+++ b/include/egretjobd/leader.h
@@ -1,4 +1,5 @@
-/* Carries out what the scheduler decides while this process has the duty. */
+/* Runs the scheduler and carries out its decisions while this process is the
+ * leader. */
 #ifndef EGRETJOBD_LEADER_H
 #define EGRETJOBD_LEADER_H
 
@@ -10,11 +11,12 @@
 #include "egretjobd/job_call.h"
 #include "egretjobd/node.h"
 
-/** leader_create() - read the stored state, then schedule. */
+/** leader_create() - read the stored state, then start scheduling;
+ * @term counts leaderships and keeps their run numbers apart. */
 struct leader *
 leader_create(struct node *node, int64_t token, uint32_t term);
 
-/** leader_destroy() - stop at once; NULL is fine. */
+/** leader_destroy() - stop at once; NULL is allowed. */
 void
 leader_destroy(struct leader *leader);
 
@@ -22,30 +24,31 @@
 bool
 leader_ready(const struct leader *leader);
 
-/** leader_config_changed() - the feed has another configuration. */
+/** leader_config_changed() - the active configuration has changed. */
 void
 leader_config_changed(struct leader *leader);
 
-/** leader_operator_records_changed() - data centres out or waves may have
- * changed. */
+/** leader_operator_records_changed() - data centres out of service or
+ * maintenance waves may have changed. */
 void
 leader_operator_records_changed(struct leader *leader);
 
-/** leader_job_stored() - a job was accepted by this process. */
+/** leader_job_stored() - this process has stored a new job. */
 void
 leader_job_stored(struct leader *leader, const char *id, const char *value,
                   size_t bytes);
 
-/** leader_handle_call() - answer a caller's request. */
+/** leader_handle_call() - handle a caller's request. */
 void
 leader_handle_call(struct leader *leader, const struct job_call *call,
                    struct job_reply reply);
 
-/** leader_longest_lease_ms() - longest lease that may be open now. */
+/** leader_longest_lease_ms() - longest lease that a backend server may
+ * hold now. */
 int64_t
 leader_longest_lease_ms(const struct leader *leader);
 
-/** leader_stats() - figures of its scheduler. */
+/** leader_stats() - statistics of its scheduler. */
 void
 leader_stats(const struct leader *leader, struct sched_figures *figures);
 
--- a/include/egretjobd/leadership.h
+++ b/include/egretjobd/leadership.h
@@ -1,4 +1,8 @@
-/* The duty to schedule: who holds it, and for how long that is certain. */
+/*
+ * Leader election among the egretjobd processes. One process at a time is the
+ * leader and runs the scheduler; its leadership is a leased record in the
+ * store.
+ */
 #ifndef EGRETJOBD_LEADERSHIP_H
 #define EGRETJOBD_LEADERSHIP_H
 
@@ -12,39 +16,41 @@
 void
 leadership_destroy(struct leadership *leadership);
 
-/** leadership_held() - whether this process holds the duty, valid or not. */
+/** leadership_held() - whether this process is the leader, even if its
+ * lease may have expired. */
 bool
 leadership_held(const struct leadership *leadership);
 
-/** leadership_valid() - whether no other process can hold it at this moment.
+/** leadership_valid() - whether no other process can be the leader now.
  */
 bool
 leadership_valid(const struct leadership *leadership);
 
-/** leadership_renewal_overdue() - whether renewals have begun to fail. */
+/** leadership_renewal_overdue() - whether the last successful renewal is
+ * longer ago than renewals usually take. */
 bool
 leadership_renewal_overdue(const struct leadership *leadership);
 
-/** leadership_token() - fencing token: revision of the store that won the
- * duty. */
+/** leadership_token() - fencing token: store revision at which this process
+ * became the leader. */
 int64_t
 leadership_token(const struct leadership *leadership);
 
-/** leadership_inherited_lease_ms() - longest lease that the holder before may
- * have left open. */
+/** leadership_inherited_lease_ms() - longest lease that the previous leader
+ * may have left open on a backend server. */
 int64_t
 leadership_inherited_lease_ms(const struct leadership *leadership);
 
-/** leadership_leader_address() - peer address of the process that holds it, or
- * NULL. */
+/** leadership_leader_address() - peer address of the leader, or NULL. */
 const char *
 leadership_leader_address(const struct leadership *leadership);
 
-/** leadership_lose() - another holder was met: stop at once. */
+/** leadership_lose() - give up leadership at once: another leader was found
+ * or the lease ended. */
 void
 leadership_lose(struct leadership *leadership, const char *why);
 
-/** leadership_release() - hand the duty over before leaving. */
+/** leadership_release() - hand over leadership before the process exits. */
 void
 leadership_release(struct leadership *leadership);
 
--- a/include/egretjobd/node.h
+++ b/include/egretjobd/node.h
@@ -1,4 +1,4 @@
-/* One process of the job subsystem and the parts it is made of. */
+/* One egretjobd process and its components. */
 #ifndef EGRETJOBD_NODE_H
 #define EGRETJOBD_NODE_H
 
@@ -18,10 +18,11 @@
 struct store_route;
 
 /**
- * struct node - what all parts share
- * @clock: time that also counts while the machine is frozen
+ * struct node - state shared by all components
+ * @clock: monotonic time that includes time suspended
  * @unix_clock: Unix time in ms
- * @leader: the scheduler's carrier while this process holds the duty
+ * @leader: the scheduler with its connections while this process is the
+ *          leader, else NULL
  */
 struct node {
     struct event_base *base;
@@ -39,20 +40,18 @@
     bool stopping;
 };
 
-/** node_now() - the node's clock. */
+/** node_now() - time of the node's monotonic clock in ms. */
 static inline int64_t
 node_now(const struct node *node)
 {
     return ms_clock_now(&node->clock);
 }
 
-/** node_run() - serve until told to stop; returns the exit status. */
+/** node_run() - serve until a stop signal; returns the exit status. */
 int
 node_run(const struct job_settings *settings);
 
-/**
- * timer_set() - arm @timer to fire in @delay_ms
- */
+/** timer_set() - arm @timer to fire in @delay_ms. */
 void
 timer_set(struct event *timer, int64_t delay_ms);
 
--- a/include/egretjobd/peers.h
+++ b/include/egretjobd/peers.h
@@ -1,4 +1,4 @@
-/* Calls between the processes of the job subsystem. */
+/* Calls between the egretjobd processes. */
 #ifndef EGRETJOBD_PEERS_H
 #define EGRETJOBD_PEERS_H
 
@@ -6,20 +6,20 @@
 #include "egretjobd/node.h"
 #include "net/http_client.h"
 
-/** peers_create() - serve peers; NULL if the address can't be had. */
+/** peers_create() - listen for peers; NULL if the address can't be
+ * bound. */
 struct peers *
 peers_create(struct node *node);
 void
 peers_destroy(struct peers *peers);
 
-/** peers_call() - let the process at @address answer a caller's request;
- * JOB_ANSWER_ASK_STORE if it can't, JOB_ANSWER_NONE if it is silent. */
+/** peers_call() - forward a caller's request to the process at @address;
+ * JOB_ANSWER_ASK_STORE if it can't answer, JOB_ANSWER_NONE if it doesn't. */
 void
 peers_call(struct peers *peers, const char *address,
            const struct job_call *call, struct job_reply reply);
 
-/** peers_fetch_operator_records() - ask for the operator's orders as the peer
- * knows them. */
+/** peers_fetch_operator_records() - ask a peer for the operator's records. */
 void
 peers_fetch_operator_records(struct peers *peers, const char *address,
                              void (*done)(void *ctx,
--- a/include/egretjobd/records.h
+++ b/include/egretjobd/records.h
@@ -1,4 +1,4 @@
-/* Records of the job subsystem in the platform's store. */
+/* Keys and values of egretjobd in the key-value store. */
 #ifndef EGRETJOBD_RECORDS_H
 #define EGRETJOBD_RECORDS_H
 
@@ -15,15 +15,15 @@
 #define RECORD_PEER_PREFIX "eg/peer/"
 #define RECORD_WAVE_PREFIX "eg/wave/"
 #define RECORD_HOSTS_PREFIX "eg/hosts/"
-/* Hosts that the holder gave orders about lately, separated by spaces. */
+/* Hosts that the leader sent commands about recently, separated by spaces. */
 #define RECORD_HOST_COMMANDS_KEY "eg/hosts/ordered"
 #define RECORD_LEADER_KEY "eg/duty/scheduler"
 #define RECORD_LEADERSHIP_PREFIX "eg/duty/"
-/* Longest lease that the last holder left open when it handed over. */
+/* Longest lease that the previous leader left open when it handed over. */
 #define RECORD_HANDOVER_KEY "eg/duty/handover"
 #define RECORD_TERM_KEY "eg/duty/term"
 
-/* Values under RECORD_INBOX_PREFIX: what the scheduler has to look at. */
+/* Values under RECORD_INBOX_PREFIX: messages for the scheduler. */
 #define INBOX_JOB "job"
 #define INBOX_CANCEL "cancel"
 
@@ -45,7 +45,7 @@
 char *
 record_job_encode(const struct job_envelope *envelope);
 
-/** record_job_decode() - job of a record without progress, or NULL. */
+/** record_job_decode() - job of a record, without its progress, or NULL. */
 struct job *
 record_job_decode(const char *id, const char *value, size_t bytes);
 
@@ -53,17 +53,23 @@
 char *
 record_progress_encode(const struct job *job);
 
-/** record_progress_apply() - put a stored progress into @job. */
+/** record_progress_apply() - apply a stored progress record to @job; false if
+ * its state is not known. */
 bool
 record_progress_apply(struct job *job, const char *value, size_t bytes);
 
-/** record_progress_state() - state that a progress record tells. */
+/** record_progress_state() - state in a progress record; false if it is not
+ * known. */
 bool
 record_progress_state(const char *value, size_t bytes, enum job_state *state);
 
-/** record_backend_encode() - value of a registered backend server. */
+/** record_backend_encode() - value of a registered backend server; g_free().
+ */
 char *
 record_backend_encode(const struct backend_entry *entry);
+
+/** record_backend_decode() - backend server of a record; false if a field is
+ * missing. Clear @entry afterwards. */
 bool
 record_backend_decode(const char *id, const char *value, size_t bytes,
                       struct backend_entry *entry);
