--- a/core/dispatch_share.c
+++ b/core/dispatch_share.c
@@ -244,7 +244,7 @@
 }
 
 void
-pool_plan(struct dispatch *dispatch, struct pool *pool)
+pool_moves_plan(struct dispatch *dispatch, struct pool *pool)
 {
     drop_idle(pool);
     fade_runs(dispatch, pool);
@@ -280,7 +280,7 @@
     struct pool *pool;
     while ((pool = deadline_heap_pop(dispatch->plans, dispatch->now_ms)) !=
            NULL) {
-        pool_plan(dispatch, pool);
+        pool_moves_plan(dispatch, pool);
     }
     struct pool_team *pool_team;
     while ((pool_team = deadline_heap_pop(dispatch->unblocks,
--- a/core/dispatch_state.h
+++ b/core/dispatch_state.h
@@ -366,7 +366,7 @@
 
 /* dispatch_share.c */
 void
-pool_plan(struct dispatch *dispatch, struct pool *pool);
+pool_moves_plan(struct dispatch *dispatch, struct pool *pool);
 /* Gives a team that comes into a contended pool its part until the next
  * plan. */
 void
--- a/core/disruption_budget.c
+++ b/core/disruption_budget.c
@@ -1,13 +1,13 @@
 #include "core/fleet_pass.h"
 
 static uint32_t
-largest_rack(const struct pool_tally *pool)
+largest_rack(const struct pass_pool *pool)
 {
     uint32_t largest = 0;
     for (guint i = 0; i < pool->racks->len; i++) {
         largest =
             MAX(largest,
-                g_array_index(pool->racks, struct rack_tally, i).available);
+                g_array_index(pool->racks, struct pass_rack, i).available);
     }
     return largest;
 }
@@ -15,9 +15,9 @@
 /* The reserve leaves room for one disruption at least, so that maintenance
  * ends in small pools too. */
 static uint32_t
-reserve_of(const struct pool_tally *pool)
+reserve_of(const struct pass_pool *pool)
 {
-    uint32_t sound = pool->members->len - pool->written_off;
+    uint32_t sound = pool->members->len - pool->long_unavailable;
     uint32_t budget = pool->config->min_available_hosts;
     if (sound <= budget + 1) {
         return 0;
@@ -26,7 +26,7 @@
 }
 
 uint32_t
-budget_floor(const struct pool_tally *pool)
+budget_min_available(const struct pass_pool *pool)
 {
     if (pool->config == NULL) {
         return 0;
@@ -34,12 +34,12 @@
     return pool->config->min_available_hosts + reserve_of(pool);
 }
 
-static struct rack_tally *
-find_rack(const struct pool_tally *pool, const struct pass_host *host)
+static struct pass_rack *
+find_rack(const struct pass_pool *pool, const struct pass_host *host)
 {
     for (guint i = 0; i < pool->racks->len; i++) {
-        struct rack_tally *rack =
-            &g_array_index(pool->racks, struct rack_tally, i);
+        struct pass_rack *rack =
+            &g_array_index(pool->racks, struct pass_rack, i);
         if (rack->rack == host->rack) {
             return rack;
         }
@@ -50,14 +50,14 @@
 /* A data centre that is out comes back at any moment: at most half of the
  * pool's hosts there are disrupted meanwhile. */
 static bool
-allows_in_out_dc(const struct fleet_pass *pass, struct pool_tally *pool,
+allows_in_out_dc(const struct fleet_pass *pass, struct pass_pool *pool,
                  const struct pass_host *host)
 {
     uint32_t members = 0;
     uint32_t disrupted = 0;
     for (guint i = 0; i < pool->racks->len; i++) {
-        const struct rack_tally *rack =
-            &g_array_index(pool->racks, struct rack_tally, i);
+        const struct pass_rack *rack =
+            &g_array_index(pool->racks, struct pass_rack, i);
         if (rack->dc == host->dc) {
             members += rack->n_members;
             disrupted += rack->disrupted;
@@ -73,7 +73,7 @@
 }
 
 static bool
-allows_in_dc(const struct fleet_pass *pass, struct pool_tally *pool,
+allows_in_dc(const struct fleet_pass *pass, struct pass_pool *pool,
              const struct pass_host *host)
 {
     uint32_t least = pool->config->min_available_per_dc_hosts;
@@ -89,11 +89,11 @@
 }
 
 static bool
-allows_in_pool(struct pool_tally *pool, const struct pass_host *host)
+allows_in_pool(struct pass_pool *pool, const struct pass_host *host)
 {
-    struct rack_tally *rack = find_rack(pool, host);
+    struct pass_rack *rack = find_rack(pool, host);
     rack->available--;
-    uint32_t floor_hosts = budget_floor(pool);
+    uint32_t floor_hosts = budget_min_available(pool);
     rack->available++;
     if (pool->available > floor_hosts) {
         return true;
@@ -106,19 +106,21 @@
 }
 
 bool
-budget_allows(const struct fleet_pass *pass, struct pool_tally *pool,
+budget_allows(const struct fleet_pass *pass, struct pass_pool *pool,
               const struct pass_host *host)
 {
-    if (!pass->facts->list_fresh || !pool->facts->current) {
+    if (!pass->snapshot->host_list_fresh ||
+        !pool->info->host_records_current) {
         g_snprintf(pool->report->waits_for, FLEET_TEXT_BYTES,
                    "the %s to be read anew",
-                   pool->facts->current ? "host list" : "host records");
+                   pool->info->host_records_current ? "host list"
+                                                    : "host records");
         return false;
     }
     if (pool->config == NULL) {
         return true;
     }
-    if (!pass_dc_in(pass, host)) {
+    if (!pass_dc_in_service(pass, host)) {
         return allows_in_out_dc(pass, pool, host);
     }
     return !host->available ||
@@ -126,24 +128,24 @@
 }
 
 void
-pass_admit(struct fleet_pass *pass, struct pass_host *host,
-           const struct disruption_entry *entry, const char *why)
+pass_add_admission(struct fleet_pass *pass, struct pass_host *host,
+                   const struct disruption_entry *entry, const char *why)
 {
-    struct pool_tally *pool = &pass->pools[host->pool];
+    struct pass_pool *pool = &pass->pools[host->pool];
     struct fleet_action *action = g_new0(struct fleet_action, 1);
     action->kind = FLEET_ADMIT;
-    action->pool = g_strdup(pool->facts->name);
-    action->host = g_strdup(host->facts->name);
+    action->pool = g_strdup(pool->info->name);
+    action->host = g_strdup(host->info->name);
     action->entry = *entry;
     action->entry.admission = host->record->admission + 1;
-    action->entry.since_s = pass->facts->now_s;
+    action->entry.admitted_s = pass->snapshot->now_s;
     action->entry.reason = g_strdup(entry->reason);
     action->entry.target = g_strdup(entry->target);
     action->why = g_strdup(why);
     g_ptr_array_add(pass->plan->actions, action);
     g_snprintf(pool->report->next_step, FLEET_TEXT_BYTES, "%s of %s",
-               entry->reason, host->facts->name);
-    struct rack_tally *rack = find_rack(pool, host);
+               entry->reason, host->info->name);
+    struct pass_rack *rack = find_rack(pool, host);
     if (host->available) {
         rack->available--;
         pool->available--;
@@ -152,13 +154,13 @@
     rack->disrupted++;
     pool->disrupted++;
     host->available = false;
-    host->acted = true;
+    host->has_action = true;
 }
 
 static bool
 can_give_back(const struct pass_host *host)
 {
-    if (host->acted || !host->healthy) {
+    if (host->has_action || !host->healthy) {
         return false;
     }
     if (host->pending) {
@@ -179,14 +181,14 @@
 }
 
 static struct pass_host *
-choose_to_give_back(struct fleet_pass *pass, struct pool_tally *pool,
+choose_to_give_back(struct fleet_pass *pass, struct pass_pool *pool,
                     uint32_t dc)
 {
     struct pass_host *best = NULL;
     for (guint i = 0; i < pool->members->len; i++) {
         struct pass_host *host = pass_member(pass, pool, i);
-        bool wanted =
-            dc == FLEET_NONE ? pass_dc_in(pass, host) : host->dc == dc;
+        bool wanted = dc == FLEET_INDEX_NONE ? pass_dc_in_service(pass, host)
+                                             : host->dc == dc;
         if (wanted && can_give_back(host) && is_better(host, best)) {
             best = host;
         }
@@ -198,7 +200,7 @@
 give_back(struct fleet_pass *pass, struct pass_host *host)
 {
     struct host_record *record =
-        pass_write_host(pass, host, HOST_SERVING, "cancelled");
+        pass_add_host_write(pass, host, HOST_SERVING, "cancelled");
     g_clear_pointer(&record->target, g_free);
     if (host->pending) {
         record->admission = host->entry->admission;
@@ -207,7 +209,7 @@
 
 /* Returns how many of @wanted hosts were given back. */
 static uint32_t
-give_back_some(struct fleet_pass *pass, struct pool_tally *pool, uint32_t dc,
+give_back_some(struct fleet_pass *pass, struct pass_pool *pool, uint32_t dc,
                uint32_t wanted)
 {
     uint32_t given = 0;
@@ -223,7 +225,7 @@
 }
 
 void
-budget_cancel(struct fleet_pass *pass, struct pool_tally *pool)
+budget_cancel_disruptions(struct fleet_pass *pass, struct pass_pool *pool)
 {
     if (pool->config == NULL || pool->disrupted == 0) {
         return;
@@ -231,15 +233,15 @@
     uint32_t given = 0;
     uint32_t least = pool->config->min_available_per_dc_hosts;
     for (guint dc = 0; dc < pass->dc_names->len; dc++) {
-        if (g_array_index(pass->dc_in, bool, dc) &&
+        if (g_array_index(pass->dc_in_service, bool, dc) &&
             pool->dc_available[dc] < least) {
             given +=
                 give_back_some(pass, pool, dc, least - pool->dc_available[dc]);
         }
     }
-    uint32_t floor_hosts = budget_floor(pool);
+    uint32_t floor_hosts = budget_min_available(pool);
     uint32_t available = pool->available + given;
     if (available < floor_hosts) {
-        give_back_some(pass, pool, FLEET_NONE, floor_hosts - available);
+        give_back_some(pass, pool, FLEET_INDEX_NONE, floor_hosts - available);
     }
 }
--- a/core/disruption_record.c
+++ b/core/disruption_record.c
@@ -27,7 +27,7 @@
     if (record == NULL) {
         return;
     }
-    g_free(record->write);
+    g_free(record->write_id);
     g_hash_table_destroy(record->entries);
     g_free(record);
 }
@@ -47,8 +47,9 @@
 disruption_record_copy(const struct disruption_record *record)
 {
     struct disruption_record *copy = disruption_record_create();
-    copy->write = g_strdup(record->write);
-    memcpy(copy->seen, record->seen, sizeof(copy->seen));
+    copy->write_id = g_strdup(record->write_id);
+    memcpy(copy->min_shard_versions, record->min_shard_versions,
+           sizeof(copy->min_shard_versions));
     GHashTableIter iter;
     void *host = NULL;
     void *entry = NULL;
@@ -80,7 +81,7 @@
                                              0, true),
         .wave =
             (uint64_t)json_read_int(&place, "wave", 0, INT64_MAX, 0, false),
-        .since_s = json_read_int(&place, "since_s", 0, INT64_MAX, 0, false),
+        .admitted_s = json_read_int(&place, "since_s", 0, INT64_MAX, 0, false),
         .reason = (char *)json_read_string(&place, "reason", true),
         .target = (char *)json_read_string(&place, "target", false),
     };
@@ -98,7 +99,7 @@
     for (uint32_t i = 0; i < HOST_SHARDS; i++) {
         char member[16];
         g_snprintf(member, sizeof(member), "%02u", i);
-        record->seen[i] =
+        record->min_shard_versions[i] =
             (uint64_t)json_read_int(&below, member, 0, INT64_MAX, 0, false);
     }
 }
@@ -119,7 +120,7 @@
         .findings = findings,
     };
     struct disruption_record *record = disruption_record_create();
-    record->write = g_strdup(json_read_string(&place, "write", false));
+    record->write_id = g_strdup(json_read_string(&place, "write", false));
     parse_seen(record, &place);
     JsonObject *entries = json_read_object(&place, "disrupted", true);
     if (entries != NULL) {
@@ -144,7 +145,7 @@
     json_builder_begin_object(builder);
     json_write_nonzero(builder, "admission", (int64_t)entry->admission);
     json_write_nonzero(builder, "wave", (int64_t)entry->wave);
-    json_write_nonzero(builder, "since_s", entry->since_s);
+    json_write_nonzero(builder, "since_s", entry->admitted_s);
     json_write_text(builder, "reason", entry->reason);
     json_write_text(builder, "target", entry->target);
     json_builder_end_object(builder);
@@ -156,13 +157,14 @@
 {
     JsonBuilder *builder = json_builder_new();
     json_builder_begin_object(builder);
-    json_write_text(builder, "write", record->write);
+    json_write_text(builder, "write", record->write_id);
     json_builder_set_member_name(builder, "seen");
     json_builder_begin_object(builder);
     for (uint32_t i = 0; i < HOST_SHARDS; i++) {
         char member[16];
         g_snprintf(member, sizeof(member), "%02u", i);
-        json_write_nonzero(builder, member, (int64_t)record->seen[i]);
+        json_write_nonzero(builder, member,
+                           (int64_t)record->min_shard_versions[i]);
     }
     json_builder_end_object(builder);
     json_builder_set_member_name(builder, "disrupted");
--- a/core/fleet_index.c
+++ b/core/fleet_index.c
@@ -23,29 +23,29 @@
 static void
 index_pools(struct fleet_pass *pass)
 {
-    const struct fleet_facts *facts = pass->facts;
+    const struct fleet_snapshot *facts = pass->snapshot;
     pass->n_pools = facts->n_pools;
-    pass->pools = g_new0(struct pool_tally, facts->n_pools + 1);
+    pass->pools = g_new0(struct pass_pool, facts->n_pools + 1);
     pass->pool_index = g_hash_table_new(g_str_hash, g_str_equal);
     for (size_t i = 0; i < facts->n_pools; i++) {
-        struct pool_tally *pool = &pass->pools[i];
-        pool->facts = &facts->pools[i];
+        struct pass_pool *pool = &pass->pools[i];
+        pool->info = &facts->pools[i];
         pool->members = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-        pool->racks = g_array_new(FALSE, TRUE, sizeof(struct rack_tally));
+        pool->racks = g_array_new(FALSE, TRUE, sizeof(struct pass_rack));
         g_hash_table_insert(pass->pool_index, (char *)facts->pools[i].name,
                             GUINT_TO_POINTER(i + 1));
     }
     const struct config *config = facts->config;
     for (size_t i = 0; i < config->n_pools; i++) {
         uint32_t index = fleet_index_pool(pass, config->pools[i].name);
-        if (index != FLEET_NONE) {
+        if (index != FLEET_INDEX_NONE) {
             pass->pools[index].config = &config->pools[i];
         }
     }
     for (size_t i = 0; i < config->n_queues; i++) {
         uint32_t index = fleet_index_pool(pass, config->queues[i].pool);
-        if (index != FLEET_NONE) {
-            struct pool_tally *pool = &pass->pools[index];
+        if (index != FLEET_INDEX_NONE) {
+            struct pass_pool *pool = &pass->pools[index];
             pool->longest_run_ms =
                 MAX(pool->longest_run_ms, config->queues[i].max_run_ms);
         }
@@ -56,7 +56,7 @@
 fleet_index_pool(const struct fleet_pass *pass, const char *name)
 {
     if (name == NULL) {
-        return FLEET_NONE;
+        return FLEET_INDEX_NONE;
     }
     return GPOINTER_TO_UINT(g_hash_table_lookup(pass->pool_index, name)) - 1;
 }
@@ -66,7 +66,7 @@
 {
     uint32_t index = pass->dc_names->len;
     g_ptr_array_add(pass->dc_names, (char *)name);
-    g_array_append_val(pass->dc_in, in);
+    g_array_append_val(pass->dc_in_service, in);
     g_hash_table_insert(dcs, (char *)name, GUINT_TO_POINTER(index + 1));
     return index;
 }
@@ -74,9 +74,9 @@
 static GHashTable *
 index_dcs(struct fleet_pass *pass)
 {
-    const struct config *config = pass->facts->config;
+    const struct config *config = pass->snapshot->config;
     pass->dc_names = g_ptr_array_new();
-    pass->dc_in = g_array_new(FALSE, FALSE, sizeof(bool));
+    pass->dc_in_service = g_array_new(FALSE, FALSE, sizeof(bool));
     GHashTable *dcs = g_hash_table_new(g_str_hash, g_str_equal);
     for (size_t i = 0; i < config->n_dcs; i++) {
         add_dc(pass, dcs, config->dcs[i].name, config->dcs[i].state == DC_IN);
@@ -96,9 +96,9 @@
 static void
 count_start(struct fleet_pass *pass, const struct pass_host *host)
 {
-    uint32_t pool = fleet_index_pool(pass, host->facts->start_pool);
-    if (host->record == NULL && !host->facts->damaged && host->healthy &&
-        pool != FLEET_NONE && pass_dc_in(pass, host)) {
+    uint32_t pool = fleet_index_pool(pass, host->info->initial_pool);
+    if (host->record == NULL && !host->info->damaged && host->healthy &&
+        pool != FLEET_INDEX_NONE && pass_dc_in_service(pass, host)) {
         pass->pools[pool].incoming++;
         pass->pools[pool].dc_usable[host->dc]++;
     }
@@ -108,26 +108,26 @@
 index_host(struct fleet_pass *pass, struct pass_host *host, uint32_t index)
 {
     host->healthy =
-        host->facts->listed && host->facts->live && !host->facts->leaving;
-    host->pool = FLEET_NONE;
+        host->info->listed && host->info->live && !host->info->leaving;
+    host->pool = FLEET_INDEX_NONE;
     if (host->record == NULL) {
         return;
     }
     host->pool = fleet_index_pool(pass, host->record->pool);
-    if (host->pool == FLEET_NONE) {
+    if (host->pool == FLEET_INDEX_NONE) {
         return;
     }
-    struct pool_tally *pool = &pass->pools[host->pool];
+    struct pass_pool *pool = &pass->pools[host->pool];
     const struct disruption_record *disruptions =
-        pass->facts->pools[host->pool].disruptions;
+        pass->snapshot->pools[host->pool].disruptions;
     if (disruptions != NULL) {
         host->entry =
-            g_hash_table_lookup(disruptions->entries, host->facts->name);
+            g_hash_table_lookup(disruptions->entries, host->info->name);
     }
     host->pending = host->entry != NULL &&
                     host->entry->admission > host->record->admission;
     host->available = host->record->state == HOST_SERVING && host->healthy &&
-                      !host->pending && pass_dc_in(pass, host);
+                      !host->pending && pass_dc_in_service(pass, host);
     uint64_t member = (uint64_t)host->rack << 32 | index;
     g_array_append_val(pool->members, member);
 }
@@ -135,17 +135,17 @@
 static void
 index_hosts(struct fleet_pass *pass, GHashTable *dcs)
 {
-    size_t n = pass->facts->n_hosts;
+    size_t n = pass->snapshot->n_hosts;
     pass->hosts = g_new0(struct pass_host, n + 1);
     struct rack_key *keys = g_new(struct rack_key, n + 1);
     GHashTable *racks = g_hash_table_new(rack_key_hash, rack_key_equal);
     for (size_t i = 0; i < n; i++) {
         struct pass_host *host = &pass->hosts[i];
-        host->facts = &pass->facts->hosts[i];
-        host->record = host->facts->record;
+        host->info = &pass->snapshot->hosts[i];
+        host->record = host->info->record;
         const struct host_record *record = host->record;
-        const char *dc = record != NULL ? record->dc : host->facts->dc;
-        const char *rack = record != NULL ? record->rack : host->facts->rack;
+        const char *dc = record != NULL ? record->dc : host->info->dc;
+        const char *rack = record != NULL ? record->rack : host->info->rack;
         host->dc = find_dc(pass, dcs, dc != NULL ? dc : "");
         keys[i] = (struct rack_key){
             .dc = host->dc,
@@ -176,8 +176,8 @@
 is_written_off(const struct fleet_pass *pass, const struct pass_host *host)
 {
     enum host_state state = host->record->state;
-    return state == HOST_FAILED || host->facts->leaving ||
-           !pass_dc_in(pass, host) ||
+    return state == HOST_FAILED || host->info->leaving ||
+           !pass_dc_in_service(pass, host) ||
            (state == HOST_RETURNING && host->entry == NULL);
 }
 
@@ -200,11 +200,11 @@
 }
 
 static void
-count_usable(struct fleet_pass *pass, struct pool_tally *pool,
+count_usable(struct fleet_pass *pass, struct pass_pool *pool,
              const struct pass_host *host)
 {
-    if (host->record->state == HOST_FAILED || host->facts->leaving ||
-        !pass_dc_in(pass, host)) {
+    if (host->record->state == HOST_FAILED || host->info->leaving ||
+        !pass_dc_in_service(pass, host)) {
         return;
     }
     const char *target = move_target(host);
@@ -215,41 +215,40 @@
     }
     pool->outgoing++;
     uint32_t index = fleet_index_pool(pass, target);
-    if (index != FLEET_NONE) {
+    if (index != FLEET_INDEX_NONE) {
         pass->pools[index].incoming++;
         pass->pools[index].dc_usable[host->dc]++;
     }
 }
 
-static struct rack_tally *
-rack_of(struct pool_tally *pool, const struct pass_host *host, guint member)
+static struct pass_rack *
+rack_of(struct pass_pool *pool, const struct pass_host *host, guint member)
 {
-    struct rack_tally *last = NULL;
+    struct pass_rack *last = NULL;
     if (pool->racks->len > 0) {
-        last = &g_array_index(pool->racks, struct rack_tally,
+        last = &g_array_index(pool->racks, struct pass_rack,
                               pool->racks->len - 1);
     }
     if (last != NULL && last->rack == host->rack) {
         return last;
     }
-    struct rack_tally rack = {
+    struct pass_rack rack = {
         .rack = host->rack,
         .dc = host->dc,
         .first_member = member,
     };
     g_array_append_val(pool->racks, rack);
-    return &g_array_index(pool->racks, struct rack_tally,
-                          pool->racks->len - 1);
+    return &g_array_index(pool->racks, struct pass_rack, pool->racks->len - 1);
 }
 
 static void
-count_member(struct fleet_pass *pass, struct pool_tally *pool, guint i)
+count_member(struct fleet_pass *pass, struct pass_pool *pool, guint i)
 {
     const struct pass_host *host = pass_member(pass, pool, i);
     if (host->record == NULL) {
         return;
     }
-    struct rack_tally *rack = rack_of(pool, host, i);
+    struct pass_rack *rack = rack_of(pool, host, i);
     rack->n_members++;
     if (host->available) {
         rack->available++;
@@ -263,7 +262,7 @@
     else if (!host->healthy || host->record->state == HOST_FAILED) {
         pool->failed++;
     }
-    pool->written_off += is_written_off(pass, host);
+    pool->long_unavailable += is_written_off(pass, host);
     pool->last_moved_s = MAX(pool->last_moved_s, host->record->moved_s);
     count_usable(pass, pool, host);
 }
@@ -279,11 +278,11 @@
         pass->pools[i].dc_available = g_new0(uint32_t, pass->dc_names->len);
         pass->pools[i].dc_usable = g_new0(uint32_t, pass->dc_names->len);
     }
-    for (size_t i = 0; i < pass->facts->n_hosts; i++) {
+    for (size_t i = 0; i < pass->snapshot->n_hosts; i++) {
         count_start(pass, &pass->hosts[i]);
     }
     for (size_t i = 0; i < pass->n_pools; i++) {
-        struct pool_tally *pool = &pass->pools[i];
+        struct pass_pool *pool = &pass->pools[i];
         g_array_sort(pool->members, compare_members);
         for (guint k = 0; k < pool->members->len; k++) {
             count_member(pass, pool, k);
@@ -304,17 +303,17 @@
     g_free(pass->hosts);
     g_hash_table_destroy(pass->pool_index);
     g_ptr_array_unref(pass->dc_names);
-    g_array_unref(pass->dc_in);
+    g_array_unref(pass->dc_in_service);
 }
 
 struct pass_host *
-pass_member(struct fleet_pass *pass, const struct pool_tally *pool, guint i)
+pass_member(struct fleet_pass *pass, const struct pass_pool *pool, guint i)
 {
     return &pass->hosts[(uint32_t)g_array_index(pool->members, uint64_t, i)];
 }
 
 bool
-pass_dc_in(const struct fleet_pass *pass, const struct pass_host *host)
+pass_dc_in_service(const struct fleet_pass *pass, const struct pass_host *host)
 {
-    return g_array_index(pass->dc_in, bool, host->dc);
+    return g_array_index(pass->dc_in_service, bool, host->dc);
 }
--- a/core/host_shard.c
+++ b/core/host_shard.c
@@ -33,7 +33,7 @@
     if (shard == NULL) {
         return;
     }
-    g_free(shard->write);
+    g_free(shard->write_id);
     g_hash_table_destroy(shard->hosts);
     g_hash_table_destroy(shard->damaged);
     g_free(shard);
@@ -43,7 +43,7 @@
 host_shard_copy(const struct host_shard *shard)
 {
     struct host_shard *copy = host_shard_create();
-    copy->write = g_strdup(shard->write);
+    copy->write_id = g_strdup(shard->write_id);
     GHashTableIter iter;
     void *name = NULL;
     void *record = NULL;
@@ -98,7 +98,7 @@
     record->moved_s = read_time(place, "moved_s");
     record->admission = (uint64_t)read_time(place, "admission");
     record->wave = (uint64_t)read_time(place, "wave");
-    record->gone = json_read_bool(place, "gone", false);
+    record->seen_down = json_read_bool(place, "gone", false);
     const char *state = json_read_string(place, "state", true);
     if (state != NULL && !host_state_parse(state, &record->state)) {
         findings_add(place->findings, place->file, place->path,
@@ -166,7 +166,7 @@
         .findings = findings,
     };
     struct host_shard *shard = host_shard_create();
-    shard->write = read_text(&place, "write", false);
+    shard->write_id = read_text(&place, "write", false);
     JsonObject *hosts = json_read_object(&place, "hosts", true);
     if (hosts != NULL) {
         parse_hosts(shard, hosts, file, findings);
@@ -190,7 +190,7 @@
     json_write_nonzero(builder, "moved_s", record->moved_s);
     json_write_nonzero(builder, "admission", (int64_t)record->admission);
     json_write_nonzero(builder, "wave", (int64_t)record->wave);
-    if (record->gone) {
+    if (record->seen_down) {
         json_builder_set_member_name(builder, "gone");
         json_builder_add_boolean_value(builder, TRUE);
     }
@@ -221,7 +221,7 @@
 {
     JsonBuilder *builder = json_builder_new();
     json_builder_begin_object(builder);
-    json_write_text(builder, "write", shard->write);
+    json_write_text(builder, "write", shard->write_id);
     json_builder_set_member_name(builder, "hosts");
     json_builder_begin_object(builder);
     add_hosts(builder, shard);
--- a/core/host_state.c
+++ b/core/host_state.c
@@ -2,7 +2,7 @@
 
 #include <glib.h>
 
-static const char *const state_names[HOST_STATES] = {
+static const char *const state_names[HOST_STATE_COUNT] = {
     [HOST_SERVING] = "serving",     [HOST_DRAINING] = "draining",
     [HOST_REBOOTING] = "rebooting", [HOST_RETURNING] = "returning",
     [HOST_FAILED] = "failed",
@@ -44,7 +44,7 @@
 bool
 host_state_parse(const char *name, enum host_state *state)
 {
-    for (int i = 0; i < HOST_STATES; i++) {
+    for (int i = 0; i < HOST_STATE_COUNT; i++) {
         if (g_strcmp0(name, state_names[i]) == 0) {
             *state = (enum host_state)i;
             return true;
@@ -54,7 +54,7 @@
 }
 
 bool
-host_state_takes_work(enum host_state state)
+host_state_accepts_work(enum host_state state)
 {
     return state == HOST_SERVING || state == HOST_RETURNING;
 }
--- a/core/host_steps.c
+++ b/core/host_steps.c
@@ -4,21 +4,21 @@
 static int64_t
 state_ms(const struct fleet_pass *pass, const struct pass_host *host)
 {
-    return pass->facts->now_ms - host->memory->state_since_ms;
+    return pass->snapshot->now_ms - host->history->state_since_ms;
 }
 
 static int64_t
 health_ms(const struct fleet_pass *pass, const struct pass_host *host)
 {
-    return pass->facts->now_ms - host->memory->health_since_ms;
+    return pass->snapshot->now_ms - host->history->health_since_ms;
 }
 
 static const struct wave_record *
 find_wave(const struct fleet_pass *pass, uint64_t number)
 {
-    for (size_t i = 0; i < pass->facts->n_waves; i++) {
-        if (pass->facts->waves[i]->number == number) {
-            return pass->facts->waves[i];
+    for (size_t i = 0; i < pass->snapshot->n_waves; i++) {
+        if (pass->snapshot->waves[i]->number == number) {
+            return pass->snapshot->waves[i];
         }
     }
     return NULL;
@@ -34,7 +34,8 @@
     }
     if (entry->target != NULL) {
         uint32_t target = fleet_index_pool(pass, entry->target);
-        return target != FLEET_NONE && pass->pools[target].config != NULL;
+        return target != FLEET_INDEX_NONE &&
+               pass->pools[target].config != NULL;
     }
     if (entry->wave == 0) {
         return true;
@@ -50,7 +51,7 @@
         return false;
     }
     struct host_record *record =
-        pass_write_host(pass, host, HOST_FAILED, "lost");
+        pass_add_host_write(pass, host, HOST_FAILED, "lost");
     g_clear_pointer(&record->target, g_free);
     return true;
 }
@@ -60,7 +61,7 @@
 use_up_entry(struct fleet_pass *pass, struct pass_host *host)
 {
     struct host_record *record =
-        pass_write_host(pass, host, host->record->state, "cancelled");
+        pass_add_host_write(pass, host, host->record->state, "cancelled");
     record->admission = host->entry->admission;
 }
 
@@ -68,7 +69,7 @@
 start_drain(struct fleet_pass *pass, struct pass_host *host)
 {
     struct host_record *record =
-        pass_write_host(pass, host, HOST_DRAINING, host->entry->reason);
+        pass_add_host_write(pass, host, HOST_DRAINING, host->entry->reason);
     record->admission = host->entry->admission;
     g_free(record->target);
     record->target = g_strdup(host->entry->target);
@@ -86,13 +87,13 @@
         }
         return;
     }
-    if (lost(pass, host) || !host->facts->suspect || host->entry != NULL) {
+    if (lost(pass, host) || !host->info->suspect || host->entry != NULL) {
         return;
     }
-    struct pool_tally *pool = &pass->pools[host->pool];
+    struct pass_pool *pool = &pass->pools[host->pool];
     if (host->available && budget_allows(pass, pool, host)) {
         struct disruption_entry entry = {.reason = "suspect"};
-        pass_admit(pass, host, &entry, "fails every task");
+        pass_add_admission(pass, host, &entry, "fails every task");
     }
 }
 
@@ -103,26 +104,26 @@
     int64_t longest_ms = pass->pools[host->pool].longest_run_ms + margin_ms;
     int64_t since_ms = state_ms(pass, host);
     return since_ms >= longest_ms ||
-           (host->facts->drained && since_ms >= margin_ms);
+           (host->info->drained && since_ms >= margin_ms);
 }
 
 static void
 finish_move(struct fleet_pass *pass, struct pass_host *host)
 {
     struct host_record *record =
-        pass_write_host(pass, host, HOST_SERVING, "moved");
+        pass_add_host_write(pass, host, HOST_SERVING, "moved");
     g_free(record->pool);
     record->pool = record->target;
     record->target = NULL;
-    record->moved_s = pass->facts->now_s;
+    record->moved_s = pass->snapshot->now_s;
 }
 
 static void
 start_reboot(struct fleet_pass *pass, struct pass_host *host)
 {
     struct host_record *record =
-        pass_write_host(pass, host, HOST_REBOOTING, host->record->reason);
-    record->gone = false;
+        pass_add_host_write(pass, host, HOST_REBOOTING, host->record->reason);
+    record->seen_down = false;
     record->wave = MAX(record->wave, host->entry->wave);
 }
 
@@ -134,7 +135,7 @@
     }
     if (!still_wanted(pass, host)) {
         struct host_record *record =
-            pass_write_host(pass, host, HOST_SERVING, "cancelled");
+            pass_add_host_write(pass, host, HOST_SERVING, "cancelled");
         g_clear_pointer(&record->target, g_free);
         return;
     }
@@ -152,27 +153,27 @@
 static void
 step_rebooting(struct fleet_pass *pass, struct pass_host *host)
 {
-    bool up = host->facts->listed && host->facts->live;
-    if (!host->record->gone && !up) {
-        pass_write_host(pass, host, HOST_REBOOTING, host->record->reason)
-            ->gone = true;
+    bool up = host->info->listed && host->info->live;
+    if (!host->record->seen_down && !up) {
+        pass_add_host_write(pass, host, HOST_REBOOTING, host->record->reason)
+            ->seen_down = true;
         return;
     }
-    if (host->record->gone && host->healthy) {
+    if (host->record->seen_down && host->healthy) {
         struct host_record *record =
-            pass_write_host(pass, host, HOST_RETURNING, "rebooted");
-        record->maintained_s = pass->facts->now_s;
-        record->gone = false;
+            pass_add_host_write(pass, host, HOST_RETURNING, "rebooted");
+        record->maintained_s = pass->snapshot->now_s;
+        record->seen_down = false;
         return;
     }
     if (state_ms(pass, host) < pass->timings->return_ms) {
         return;
     }
     if (up) {
-        pass_write_host(pass, host, HOST_RETURNING, "reboot-unseen");
+        pass_add_host_write(pass, host, HOST_RETURNING, "reboot-unseen");
     }
     else {
-        pass_write_host(pass, host, HOST_FAILED, "no-return");
+        pass_add_host_write(pass, host, HOST_FAILED, "no-return");
     }
 }
 
@@ -182,30 +183,30 @@
     if (lost(pass, host)) {
         return;
     }
-    if (host->facts->suspect) {
-        pass_write_host(pass, host, HOST_FAILED, "suspect");
+    if (host->info->suspect) {
+        pass_add_host_write(pass, host, HOST_FAILED, "suspect");
         return;
     }
     int64_t proven_ms = MIN(state_ms(pass, host), health_ms(pass, host));
     if (host->healthy && proven_ms >= pass->timings->prove_ms) {
-        pass_write_host(pass, host, HOST_SERVING, host->record->reason);
+        pass_add_host_write(pass, host, HOST_SERVING, host->record->reason);
     }
 }
 
 static void
 retire(struct fleet_pass *pass, struct pass_host *host)
 {
-    if (host->facts->listed || host->entry != NULL ||
+    if (host->info->listed || host->entry != NULL ||
         state_ms(pass, host) < pass->timings->retire_ms) {
         return;
     }
     struct fleet_action *action = g_new0(struct fleet_action, 1);
     action->kind = FLEET_REMOVE_HOST;
     action->pool = g_strdup(host->record->pool);
-    action->host = g_strdup(host->facts->name);
+    action->host = g_strdup(host->info->name);
     action->why = g_strdup("gone for good");
     g_ptr_array_add(pass->plan->actions, action);
-    host->acted = true;
+    host->has_action = true;
 }
 
 static void
@@ -213,13 +214,13 @@
 {
     if (g_strcmp0(host->record->reason, "suspect") == 0 && host->healthy) {
         if (state_ms(pass, host) >= pass->timings->repair_ms) {
-            pass_write_host(pass, host, HOST_REBOOTING, "suspect")->gone =
-                false;
+            pass_add_host_write(pass, host, HOST_REBOOTING, "suspect")
+                ->seen_down = false;
         }
         return;
     }
     if (host->healthy) {
-        pass_write_host(pass, host, HOST_RETURNING, "back");
+        pass_add_host_write(pass, host, HOST_RETURNING, "back");
         return;
     }
     retire(pass, host);
@@ -265,11 +266,11 @@
 static void
 adopt(struct fleet_pass *pass, struct pass_host *host)
 {
-    const char *pool = host->facts->start_pool;
+    const char *pool = host->info->initial_pool;
     uint32_t index = fleet_index_pool(pass, pool);
     const char *reason = "adopted";
-    if (index == FLEET_NONE || pass->pools[index].config == NULL) {
-        pool = spare_pool(pass->facts->config);
+    if (index == FLEET_INDEX_NONE || pass->pools[index].config == NULL) {
+        pool = spare_pool(pass->snapshot->config);
         reason = "adopted-unknown-pool";
     }
     if (pool == NULL || !host->healthy) {
@@ -278,45 +279,45 @@
     struct fleet_action *action = g_new0(struct fleet_action, 1);
     action->kind = FLEET_WRITE_HOST;
     action->pool = g_strdup(pool);
-    action->host = g_strdup(host->facts->name);
+    action->host = g_strdup(host->info->name);
     action->why = g_strdup(reason);
     action->record = g_new0(struct host_record, 1);
     *action->record = (struct host_record){
         .pool = g_strdup(pool),
-        .dc = g_strdup(host->facts->dc),
-        .rack = g_strdup(host->facts->rack),
+        .dc = g_strdup(host->info->dc),
+        .rack = g_strdup(host->info->rack),
         .reason = g_strdup(reason),
         .state = HOST_SERVING,
-        .since_s = pass->facts->now_s,
-        .maintained_s = pass->facts->now_s,
+        .since_s = pass->snapshot->now_s,
+        .maintained_s = pass->snapshot->now_s,
     };
     g_ptr_array_add(pass->plan->actions, action);
 }
 
 void
-host_steps(struct fleet_pass *pass)
+host_transitions_plan(struct fleet_pass *pass)
 {
-    for (size_t i = 0; i < pass->facts->n_hosts; i++) {
+    for (size_t i = 0; i < pass->snapshot->n_hosts; i++) {
         struct pass_host *host = &pass->hosts[i];
-        if (host->facts->damaged || host->acted) {
+        if (host->info->damaged || host->has_action) {
             continue;
         }
         if (host->record == NULL) {
             adopt(pass, host);
         }
-        else if (host->pool != FLEET_NONE) {
+        else if (host->pool != FLEET_INDEX_NONE) {
             step_recorded(pass, host);
         }
     }
 }
 
 static void
-release(struct fleet_pass *pass, const struct pool_tally *pool,
+release(struct fleet_pass *pass, const struct pass_pool *pool,
         const char *host, const struct disruption_entry *entry)
 {
     struct fleet_action *action = g_new0(struct fleet_action, 1);
     action->kind = FLEET_RELEASE;
-    action->pool = g_strdup(pool->facts->name);
+    action->pool = g_strdup(pool->info->name);
     action->host = g_strdup(host);
     action->entry.admission = entry->admission;
     action->why = g_strdup("served");
@@ -327,43 +328,43 @@
 compare_host_name(const void *key, const void *element)
 {
     const struct pass_host *host = element;
-    return g_strcmp0(key, host->facts->name);
+    return g_strcmp0(key, host->info->name);
 }
 
 /* Only the host's record tells that an entry was taken up: the pool or the
  * absence of a record may be out of date as read here. */
 static bool
 has_served(const struct fleet_pass *pass, const struct pass_host *host,
-           const struct pool_tally *pool, const struct disruption_entry *entry)
+           const struct pass_pool *pool, const struct disruption_entry *entry)
 {
     if (host == NULL || host->record == NULL) {
-        int64_t age_s = pass->facts->now_s - entry->since_s;
+        int64_t age_s = pass->snapshot->now_s - entry->admitted_s;
         return age_s * 1000 > pass->timings->retire_ms &&
-               (host == NULL || !host->facts->damaged);
+               (host == NULL || !host->info->damaged);
     }
     if (entry->admission > host->record->admission) {
         return false;
     }
-    return g_strcmp0(host->record->pool, pool->facts->name) != 0 ||
+    return g_strcmp0(host->record->pool, pool->info->name) != 0 ||
            host->record->state == HOST_SERVING ||
            host->record->state == HOST_FAILED;
 }
 
 void
-host_steps_release(struct fleet_pass *pass)
+host_transitions_release(struct fleet_pass *pass)
 {
     for (size_t i = 0; i < pass->n_pools; i++) {
-        const struct pool_tally *pool = &pass->pools[i];
-        if (pool->facts->disruptions == NULL) {
+        const struct pass_pool *pool = &pass->pools[i];
+        if (pool->info->disruptions == NULL) {
             continue;
         }
         GHashTableIter iter;
         void *name = NULL;
         void *entry = NULL;
-        g_hash_table_iter_init(&iter, pool->facts->disruptions->entries);
+        g_hash_table_iter_init(&iter, pool->info->disruptions->entries);
         while (g_hash_table_iter_next(&iter, &name, &entry)) {
             const struct pass_host *host =
-                bsearch(name, pass->hosts, pass->facts->n_hosts,
+                bsearch(name, pass->hosts, pass->snapshot->n_hosts,
                         sizeof(pass->hosts[0]), compare_host_name);
             if (has_served(pass, host, pool, entry)) {
                 release(pass, pool, name, entry);
--- a/core/maintenance_plan.c
+++ b/core/maintenance_plan.c
@@ -48,10 +48,10 @@
 }
 
 const struct wave_record *
-maintenance_wave(struct fleet_pass *pass, const struct pool_tally *pool)
+maintenance_active_wave(struct fleet_pass *pass, const struct pass_pool *pool)
 {
-    for (size_t w = 0; w < pass->facts->n_waves; w++) {
-        const struct wave_record *wave = pass->facts->waves[w];
+    for (size_t w = 0; w < pass->snapshot->n_waves; w++) {
+        const struct wave_record *wave = pass->snapshot->waves[w];
         if (!wave_is_open(wave)) {
             continue;
         }
@@ -69,14 +69,14 @@
 is_candidate(const struct wave_record *wave, const struct pass_host *host)
 {
     return host->record->state == HOST_SERVING && host->healthy &&
-           host->entry == NULL && !host->acted && is_due(wave, host);
+           host->entry == NULL && !host->has_action && is_due(wave, host);
 }
 
 static int
 compare_racks(gconstpointer a, gconstpointer b, gpointer data)
 {
-    const struct rack_tally *left = *(struct rack_tally *const *)a;
-    const struct rack_tally *right = *(struct rack_tally *const *)b;
+    const struct pass_rack *left = *(struct pass_rack *const *)a;
+    const struct pass_rack *right = *(struct pass_rack *const *)b;
     uint32_t room = *(const uint32_t *)data;
     bool left_begun = left->disrupted > 0;
     bool right_begun = right->disrupted > 0;
@@ -97,13 +97,13 @@
 /* Racks already begun come first, then those that fit as a whole: hosts of
  * one rack that are out together leave the reserve for the other racks. */
 static GPtrArray *
-order_racks(struct fleet_pass *pass, struct pool_tally *pool,
+order_racks(struct fleet_pass *pass, struct pass_pool *pool,
             const struct wave_record *wave)
 {
     GPtrArray *racks = g_ptr_array_new();
     for (guint i = 0; i < pool->racks->len; i++) {
-        struct rack_tally *rack =
-            &g_array_index(pool->racks, struct rack_tally, i);
+        struct pass_rack *rack =
+            &g_array_index(pool->racks, struct pass_rack, i);
         rack->due = 0;
         for (uint32_t k = 0; k < rack->n_members; k++) {
             rack->due += is_candidate(
@@ -113,7 +113,7 @@
             g_ptr_array_add(racks, rack);
         }
     }
-    uint32_t floor_hosts = budget_floor(pool);
+    uint32_t floor_hosts = budget_min_available(pool);
     uint32_t room =
         pool->available > floor_hosts ? pool->available - floor_hosts : 0;
     g_ptr_array_sort_with_data(racks, compare_racks, &room);
@@ -121,24 +121,25 @@
 }
 
 static bool
-is_quiet(struct fleet_pass *pass, struct pool_tally *pool,
+is_quiet(struct fleet_pass *pass, struct pass_pool *pool,
          const struct pass_host *host)
 {
-    struct pool_memory *memory = pool->memory;
-    if (memory->known_ms == 0 || !host->available || pool->config == NULL) {
+    struct pool_history *memory = pool->history;
+    if (memory->demand_known_ms == 0 || !host->available ||
+        pool->config == NULL) {
         return true;
     }
     double left_slots =
         (double)(pool->available - 1) * pool->config->host_slots;
     if (memory->smoothed_slots * 100 <= left_slots * QUIET_PERCENT) {
-        memory->waiting_since_ms = INT64_MIN;
+        memory->load_wait_since_ms = INT64_MIN;
         return true;
     }
-    int64_t now_ms = pass->facts->now_ms;
-    if (memory->waiting_since_ms == INT64_MIN) {
-        memory->waiting_since_ms = now_ms;
+    int64_t now_ms = pass->snapshot->now_ms;
+    if (memory->load_wait_since_ms == INT64_MIN) {
+        memory->load_wait_since_ms = now_ms;
     }
-    if (now_ms - memory->waiting_since_ms >= pass->timings->patience_ms &&
+    if (now_ms - memory->load_wait_since_ms >= pass->timings->patience_ms &&
         pool->disrupted == 0) {
         return true;
     }
@@ -149,8 +150,8 @@
 }
 
 static void
-plan_rack(struct fleet_pass *pass, struct pool_tally *pool,
-          const struct rack_tally *rack, const struct wave_record *wave)
+plan_rack(struct fleet_pass *pass, struct pass_pool *pool,
+          const struct pass_rack *rack, const struct wave_record *wave)
 {
     for (uint32_t k = 0; k < rack->n_members; k++) {
         struct pass_host *host =
@@ -166,15 +167,15 @@
         char why[FLEET_TEXT_BYTES];
         g_snprintf(why, sizeof(why), "wave %u, %u stay available, floor %u",
                    (unsigned)wave->number, pool->available - 1,
-                   budget_floor(pool));
-        pass_admit(pass, host, &entry, why);
+                   budget_min_available(pool));
+        pass_add_admission(pass, host, &entry, why);
     }
 }
 
 static void
-plan_pool(struct fleet_pass *pass, struct pool_tally *pool)
+plan_pool(struct fleet_pass *pass, struct pass_pool *pool)
 {
-    const struct wave_record *wave = maintenance_wave(pass, pool);
+    const struct wave_record *wave = maintenance_active_wave(pass, pool);
     if (wave == NULL) {
         return;
     }
@@ -194,7 +195,7 @@
 hold_out(struct wave_tally *tally, const struct pass_host *host,
          const char *reason)
 {
-    g_hash_table_insert(tally->held_out, g_strdup(host->facts->name),
+    g_hash_table_insert(tally->held_out, g_strdup(host->info->name),
                         g_strdup(reason));
 }
 
@@ -222,10 +223,10 @@
     if (host->healthy && record->state != HOST_FAILED) {
         return;
     }
-    const struct host_memory *memory = host->memory;
+    const struct host_history *memory = host->history;
     int64_t since_ms = record->state == HOST_FAILED ? memory->state_since_ms
                                                     : memory->health_since_ms;
-    if (pass->facts->now_ms - since_ms < pass->timings->settle_ms) {
+    if (pass->snapshot->now_ms - since_ms < pass->timings->settle_ms) {
         return;
     }
     tally->settled++;
@@ -255,7 +256,7 @@
     uint32_t step = MAX(1, new->total *PROGRESS_PERCENT / 100);
     return old->state != new->state || old->done + step <= new->done ||
            old->total != new->total ||
-           (old->waits == NULL) != (new->waits == NULL) ||
+           (old->wait_reason == NULL) != (new->wait_reason == NULL) ||
            !same_held_out(old->held_out, new->held_out);
 }
 
@@ -263,9 +264,9 @@
 wave_waits(struct fleet_pass *pass, const struct wave_record *wave)
 {
     for (size_t i = 0; i < pass->n_pools; i++) {
-        const struct pool_tally *pool = &pass->pools[i];
+        const struct pass_pool *pool = &pass->pools[i];
         if (pool->report->waits_for[0] != '\0' && pool->disrupted == 0 &&
-            maintenance_wave(pass, pool) == wave) {
+            maintenance_active_wave(pass, pool) == wave) {
             return pool->report->waits_for;
         }
     }
@@ -275,11 +276,11 @@
 static int64_t
 estimate_end_s(const struct fleet_pass *pass, const struct wave_record *wave)
 {
-    int64_t spent_s = pass->facts->now_s - wave->started_s;
+    int64_t spent_s = pass->snapshot->now_s - wave->started_s;
     if (wave->done == 0 || spent_s <= 0) {
         return 0;
     }
-    return pass->facts->now_s +
+    return pass->snapshot->now_s +
            spent_s * (wave->total - wave->done) / wave->done;
 }
 
@@ -302,9 +303,9 @@
         .held_out =
             g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free),
     };
-    for (size_t i = 0; i < pass->facts->n_hosts; i++) {
+    for (size_t i = 0; i < pass->snapshot->n_hosts; i++) {
         const struct pass_host *host = &pass->hosts[i];
-        if (host->pool != FLEET_NONE) {
+        if (host->pool != FLEET_INDEX_NONE) {
             tally_host(pass, wave, host, &tally);
         }
     }
@@ -313,12 +314,12 @@
     next->held_out = tally.held_out;
     next->done = tally.done;
     next->total = tally.done + tally.due;
-    next->ends_s = estimate_end_s(pass, next);
-    g_free(next->waits);
-    next->waits = g_strdup(wave_waits(pass, wave));
+    next->estimated_end_s = estimate_end_s(pass, next);
+    g_free(next->wait_reason);
+    next->wait_reason = g_strdup(wave_waits(pass, wave));
     if (tally.due == tally.settled && wave->state == WAVE_RUNNING) {
         next->state = WAVE_DONE;
-        next->ends_s = pass->facts->now_s;
+        next->estimated_end_s = pass->snapshot->now_s;
     }
     if (worth_writing(wave, next)) {
         write_wave(pass, next);
@@ -334,9 +335,9 @@
     for (size_t i = 0; i < pass->n_pools; i++) {
         plan_pool(pass, &pass->pools[i]);
     }
-    for (size_t i = 0; i < pass->facts->n_waves; i++) {
-        if (wave_is_open(pass->facts->waves[i])) {
-            report_wave(pass, pass->facts->waves[i]);
+    for (size_t i = 0; i < pass->snapshot->n_waves; i++) {
+        if (wave_is_open(pass->snapshot->waves[i])) {
+            report_wave(pass, pass->snapshot->waves[i]);
         }
     }
 }
--- a/core/pool_needs.c
+++ b/core/pool_needs.c
@@ -12,35 +12,35 @@
 };
 
 static void
-smooth(struct fleet_pass *pass, struct pool_tally *pool)
+smooth(struct fleet_pass *pass, struct pass_pool *pool)
 {
-    struct pool_memory *memory = pool->memory;
-    int64_t now_ms = pass->facts->now_ms;
-    if (!pool->facts->demand_known) {
-        memory->known_ms = 0;
+    struct pool_history *memory = pool->history;
+    int64_t now_ms = pass->snapshot->now_ms;
+    if (!pool->info->demand_known) {
+        memory->demand_known_ms = 0;
         return;
     }
-    if (memory->known_ms == 0) {
-        memory->smoothed_slots = pool->facts->demand_slots;
+    if (memory->demand_known_ms == 0) {
+        memory->smoothed_slots = pool->info->demand_slots;
         memory->sampled_ms = now_ms;
-        memory->known_ms = 1;
+        memory->demand_known_ms = 1;
         return;
     }
     int64_t step_ms = now_ms - memory->sampled_ms;
     double weight =
         1 - exp(-(double)step_ms / (double)pass->timings->smooth_ms);
     memory->smoothed_slots +=
-        weight * (pool->facts->demand_slots - memory->smoothed_slots);
+        weight * (pool->info->demand_slots - memory->smoothed_slots);
     memory->sampled_ms = now_ms;
-    memory->known_ms += step_ms;
+    memory->demand_known_ms += step_ms;
 }
 
 static uint32_t
 budget_need(const struct fleet_pass *pass, const struct config_pool *config)
 {
     uint32_t dcs = 0;
-    for (guint i = 0; i < pass->dc_in->len; i++) {
-        dcs += g_array_index(pass->dc_in, bool, i);
+    for (guint i = 0; i < pass->dc_in_service->len; i++) {
+        dcs += g_array_index(pass->dc_in_service, bool, i);
     }
     uint32_t need = config->min_hosts;
     if (config->min_available_hosts > 0) {
@@ -54,12 +54,12 @@
 }
 
 static uint32_t
-demand_hosts(const struct pool_tally *pool, uint32_t percent)
+demand_hosts(const struct pass_pool *pool, uint32_t percent)
 {
-    if (!pool->warm || pool->config->host_slots == 0) {
+    if (!pool->demand_reliable || pool->config->host_slots == 0) {
         return 0;
     }
-    double hosts = pool->memory->smoothed_slots * 100 /
+    double hosts = pool->history->smoothed_slots * 100 /
                    ((double)pool->config->host_slots * percent);
     return (uint32_t)ceil(hosts);
 }
@@ -71,44 +71,46 @@
 }
 
 static void
-set_need(struct fleet_pass *pass, struct pool_tally *pool)
+set_need(struct fleet_pass *pass, struct pass_pool *pool)
 {
     const struct config_pool *config = pool->config;
     if (config == NULL || config->spare) {
-        pool->need = config != NULL ? config->min_hosts : 0;
-        pool->keep = pool->need;
+        pool->needed = config != NULL ? config->min_hosts : 0;
+        pool->shrink_threshold = pool->needed;
         return;
     }
     uint32_t budget = budget_need(pass, config);
-    pool->need = capped(config, MAX(budget, demand_hosts(pool, GROW_PERCENT)));
-    pool->keep = UINT32_MAX;
-    if (pool->warm) {
-        pool->keep = capped(
+    pool->needed =
+        capped(config, MAX(budget, demand_hosts(pool, GROW_PERCENT)));
+    pool->shrink_threshold = UINT32_MAX;
+    if (pool->demand_reliable) {
+        pool->shrink_threshold = capped(
             config, MAX(budget, demand_hosts(pool, SHRINK_PERCENT)) + 1);
     }
 }
 
 /* A move under way starts the time anew. */
 static void
-note_surplus(struct fleet_pass *pass, struct pool_tally *pool)
+note_surplus(struct fleet_pass *pass, struct pass_pool *pool)
 {
-    struct pool_memory *memory = pool->memory;
-    if (pool->usable + pool->incoming <= pool->keep || pool->incoming > 0 ||
-        pool->outgoing > 0) {
+    struct pool_history *memory = pool->history;
+    if (pool->usable + pool->incoming <= pool->shrink_threshold ||
+        pool->incoming > 0 || pool->outgoing > 0) {
         memory->surplus_since_ms = INT64_MIN;
     }
     else if (memory->surplus_since_ms == INT64_MIN) {
-        memory->surplus_since_ms = pass->facts->now_ms;
+        memory->surplus_since_ms = pass->snapshot->now_ms;
     }
 }
 
 void
-pool_needs(struct fleet_pass *pass)
+pool_needs_update(struct fleet_pass *pass)
 {
     for (size_t i = 0; i < pass->n_pools; i++) {
-        struct pool_tally *pool = &pass->pools[i];
+        struct pass_pool *pool = &pass->pools[i];
         smooth(pass, pool);
-        pool->warm = pool->memory->known_ms >= pass->timings->smooth_ms;
+        pool->demand_reliable =
+            pool->history->demand_known_ms >= pass->timings->smooth_ms;
         set_need(pass, pool);
         note_surplus(pass, pool);
     }
--- a/core/pool_plan.c
+++ b/core/pool_plan.c
@@ -8,33 +8,34 @@
 };
 
 static uint32_t
-supply(const struct pool_tally *pool)
+supply(const struct pass_pool *pool)
 {
     return pool->usable + pool->incoming;
 }
 
 static bool
-in_emergency(const struct pool_tally *pool)
+in_emergency(const struct pass_pool *pool)
 {
     return supply(pool) <= pool->config->min_available_hosts;
 }
 
-/* Data centre where the pool is below its own target there, or FLEET_NONE. */
+/* Data centre where the pool is below its own target there, or
+ * FLEET_INDEX_NONE. */
 static uint32_t
-short_dc(const struct fleet_pass *pass, const struct pool_tally *pool)
+short_dc(const struct fleet_pass *pass, const struct pass_pool *pool)
 {
     uint32_t least = pool->config->min_available_per_dc_hosts;
     for (guint dc = 0; least > 0 && dc < pass->dc_names->len; dc++) {
-        if (g_array_index(pass->dc_in, bool, dc) &&
+        if (g_array_index(pass->dc_in_service, bool, dc) &&
             pool->dc_usable[dc] <= least) {
             return dc;
         }
     }
-    return FLEET_NONE;
+    return FLEET_INDEX_NONE;
 }
 
 static bool
-is_short(const struct fleet_pass *pass, const struct pool_tally *pool)
+is_short(const struct fleet_pass *pass, const struct pass_pool *pool)
 {
     const struct config_pool *config = pool->config;
     if (config == NULL || config->spare) {
@@ -43,35 +44,36 @@
     if (config->max_hosts > 0 && supply(pool) >= config->max_hosts) {
         return false;
     }
-    return supply(pool) < pool->need || short_dc(pass, pool) != FLEET_NONE;
+    return supply(pool) < pool->needed ||
+           short_dc(pass, pool) != FLEET_INDEX_NONE;
 }
 
 /* Hosts that @donor keeps when @pool asks. */
 static uint32_t
-donor_floor(const struct pool_tally *donor, const struct pool_tally *pool)
+donor_floor(const struct pass_pool *donor, const struct pass_pool *pool)
 {
     if (donor->config == NULL) {
         return 0;
     }
     if (donor->config->spare || in_emergency(pool)) {
-        return donor->need;
+        return donor->needed;
     }
-    return donor->keep;
+    return donor->shrink_threshold;
 }
 
 static bool
 can_move(const struct pass_host *host)
 {
-    return host->available && host->entry == NULL && !host->acted &&
-           !host->facts->suspect;
+    return host->available && host->entry == NULL && !host->has_action &&
+           !host->info->suspect;
 }
 
 static uint32_t
-rack_members(const struct pool_tally *pool, uint32_t rack)
+rack_members(const struct pass_pool *pool, uint32_t rack)
 {
     for (guint i = 0; i < pool->racks->len; i++) {
-        const struct rack_tally *tally =
-            &g_array_index(pool->racks, struct rack_tally, i);
+        const struct pass_rack *tally =
+            &g_array_index(pool->racks, struct pass_rack, i);
         if (tally->rack == rack) {
             return tally->n_members;
         }
@@ -81,14 +83,14 @@
 
 /* The donor's host that spreads @pool best over data centres and racks. */
 static struct pass_host *
-choose_host(struct fleet_pass *pass, struct pool_tally *donor,
-            const struct pool_tally *pool, uint32_t dc)
+choose_host(struct fleet_pass *pass, struct pass_pool *donor,
+            const struct pass_pool *pool, uint32_t dc)
 {
     struct pass_host *best = NULL;
     uint64_t best_score = UINT64_MAX;
     for (guint i = 0; i < donor->members->len; i++) {
         struct pass_host *host = pass_member(pass, donor, i);
-        if (!can_move(host) || (dc != FLEET_NONE && host->dc != dc)) {
+        if (!can_move(host) || (dc != FLEET_INDEX_NONE && host->dc != dc)) {
             continue;
         }
         uint64_t score = (uint64_t)pool->dc_usable[host->dc] << 32 |
@@ -103,14 +105,14 @@
 
 static void
 move_host(struct fleet_pass *pass, struct pass_host *host,
-          struct pool_tally *pool, const char *why)
+          struct pass_pool *pool, const char *why)
 {
-    struct pool_tally *donor = &pass->pools[host->pool];
+    struct pass_pool *donor = &pass->pools[host->pool];
     struct disruption_entry entry = {
         .reason = "move",
-        .target = (char *)pool->facts->name,
+        .target = (char *)pool->info->name,
     };
-    pass_admit(pass, host, &entry, why);
+    pass_add_admission(pass, host, &entry, why);
     donor->usable--;
     donor->outgoing++;
     donor->dc_usable[host->dc]--;
@@ -119,8 +121,8 @@
 }
 
 static bool
-take_from(struct fleet_pass *pass, struct pool_tally *donor,
-          struct pool_tally *pool)
+take_from(struct fleet_pass *pass, struct pass_pool *donor,
+          struct pass_pool *pool)
 {
     if (donor == pool || supply(donor) <= donor_floor(donor, pool)) {
         return false;
@@ -132,7 +134,7 @@
     }
     char why[FLEET_TEXT_BYTES];
     g_snprintf(why, sizeof(why), "%s has %u of %u hosts needed",
-               pool->facts->name, supply(pool), pool->need);
+               pool->info->name, supply(pool), pool->needed);
     move_host(pass, host, pool, why);
     return true;
 }
@@ -140,20 +142,20 @@
 static int
 compare_donors(gconstpointer a, gconstpointer b)
 {
-    const struct pool_tally *left = *(struct pool_tally *const *)a;
-    const struct pool_tally *right = *(struct pool_tally *const *)b;
+    const struct pass_pool *left = *(struct pass_pool *const *)a;
+    const struct pass_pool *right = *(struct pass_pool *const *)b;
     bool left_idle = left->config == NULL || left->config->spare;
     bool right_idle = right->config == NULL || right->config->spare;
     if (left_idle != right_idle) {
         return left_idle ? -1 : 1;
     }
-    int64_t left_over = (int64_t)supply(left) - left->need;
-    int64_t right_over = (int64_t)supply(right) - right->need;
+    int64_t left_over = (int64_t)supply(left) - left->needed;
+    int64_t right_over = (int64_t)supply(right) - right->needed;
     return left_over > right_over ? -1 : left_over < right_over;
 }
 
 static bool
-fill_once(struct fleet_pass *pass, GPtrArray *donors, struct pool_tally *pool)
+fill_once(struct fleet_pass *pass, GPtrArray *donors, struct pass_pool *pool)
 {
     g_ptr_array_sort(donors, compare_donors);
     for (guint i = 0; i < donors->len; i++) {
@@ -167,22 +169,22 @@
 /* Pools below their budget come first, then those that lack the larger part
  * of their need. */
 static bool
-needs_more(const struct pool_tally *pool, const struct pool_tally *than)
+needs_more(const struct pass_pool *pool, const struct pass_pool *than)
 {
     bool emergency = in_emergency(pool);
     if (emergency != in_emergency(than)) {
         return emergency;
     }
-    return (uint64_t)supply(pool) * than->need <
-           (uint64_t)supply(than) * pool->need;
+    return (uint64_t)supply(pool) * than->needed <
+           (uint64_t)supply(than) * pool->needed;
 }
 
-static struct pool_tally *
+static struct pass_pool *
 neediest(struct fleet_pass *pass, const bool *tried)
 {
-    struct pool_tally *best = NULL;
+    struct pass_pool *best = NULL;
     for (size_t i = 0; i < pass->n_pools; i++) {
-        struct pool_tally *pool = &pass->pools[i];
+        struct pass_pool *pool = &pass->pools[i];
         if (!tried[i] && is_short(pass, pool) &&
             (best == NULL || needs_more(pool, best))) {
             best = pool;
@@ -199,13 +201,13 @@
     for (size_t i = 0; i < pass->n_pools; i++) {
         g_ptr_array_add(donors, &pass->pools[i]);
     }
-    struct pool_tally *pool = neediest(pass, tried);
+    struct pass_pool *pool = neediest(pass, tried);
     while (pool != NULL) {
         if (!fill_once(pass, donors, pool)) {
             tried[pool - pass->pools] = true;
             g_snprintf(pool->report->finding, FLEET_TEXT_BYTES,
                        "has %u of %u hosts needed and no pool can give one",
-                       supply(pool), pool->need);
+                       supply(pool), pool->needed);
         }
         pool = neediest(pass, tried);
     }
@@ -213,7 +215,7 @@
     g_free(tried);
 }
 
-static struct pool_tally *
+static struct pass_pool *
 find_spare(struct fleet_pass *pass)
 {
     for (size_t i = 0; i < pass->n_pools; i++) {
@@ -227,35 +229,35 @@
 
 /* A pool that isn't configured any more gives all it has at once. */
 static uint32_t
-to_give_back(const struct fleet_pass *pass, const struct pool_tally *pool)
+to_give_back(const struct fleet_pass *pass, const struct pass_pool *pool)
 {
     if (pool->config == NULL) {
         return pool->usable;
     }
-    int64_t now_ms = pass->facts->now_ms;
-    int64_t since_ms = pool->memory->surplus_since_ms;
-    int64_t moved_ms = (pass->facts->now_s - pool->last_moved_s) * 1000;
+    int64_t now_ms = pass->snapshot->now_ms;
+    int64_t since_ms = pool->history->surplus_since_ms;
+    int64_t moved_ms = (pass->snapshot->now_s - pool->last_moved_s) * 1000;
     int64_t hold_ms = pass->timings->surplus_ms;
     if (pool->config->spare || since_ms == INT64_MIN ||
         now_ms - since_ms < hold_ms || moved_ms < hold_ms) {
         return 0;
     }
-    uint32_t surplus = supply(pool) - pool->keep;
+    uint32_t surplus = supply(pool) - pool->shrink_threshold;
     return MAX(1, surplus / SURPLUS_PART);
 }
 
 static void
 give_back_surplus(struct fleet_pass *pass)
 {
-    struct pool_tally *spare = find_spare(pass);
+    struct pass_pool *spare = find_spare(pass);
     if (spare == NULL) {
         return;
     }
     for (size_t i = 0; i < pass->n_pools; i++) {
-        struct pool_tally *pool = &pass->pools[i];
+        struct pass_pool *pool = &pass->pools[i];
         for (uint32_t n = to_give_back(pass, pool); n > 0; n--) {
             struct pass_host *host =
-                choose_host(pass, pool, spare, FLEET_NONE);
+                choose_host(pass, pool, spare, FLEET_INDEX_NONE);
             if (host == NULL || !budget_allows(pass, pool, host)) {
                 break;
             }
@@ -265,7 +267,7 @@
 }
 
 static void
-find_impossible(const struct fleet_pass *pass, struct pool_tally *pool)
+find_impossible(const struct fleet_pass *pass, struct pass_pool *pool)
 {
     const struct config_pool *config = pool->config;
     char *finding = pool->report->finding;
@@ -291,7 +293,7 @@
 }
 
 void
-pool_plan(struct fleet_pass *pass)
+pool_moves_plan(struct fleet_pass *pass)
 {
     fill_short_pools(pass);
     give_back_surplus(pass);
--- a/core/record_edit.c
+++ b/core/record_edit.c
@@ -28,7 +28,8 @@
     }
     g_hash_table_remove(record->entries, step->host);
     uint32_t shard = host_shard_index(step->host);
-    record->seen[shard] = MAX(record->seen[shard], versions[shard]);
+    record->min_shard_versions[shard] =
+        MAX(record->min_shard_versions[shard], versions[shard]);
 }
 
 struct disruption_record *
--- a/core/turn.c
+++ b/core/turn.c
@@ -15,7 +15,7 @@
 }
 
 int64_t
-turn_delay_ms(const char *controller, const char *pool, int64_t spread_ms)
+stagger_delay_ms(const char *controller, const char *pool, int64_t spread_ms)
 {
     uint64_t hash = hash_text(14695981039346656037ULL, controller);
     hash = hash_text(hash, pool);
--- a/core/wave_record.c
+++ b/core/wave_record.c
@@ -3,7 +3,7 @@
 #include "common/json_read.h"
 #include "common/json_write.h"
 
-static const char *const state_names[WAVE_STATES] = {
+static const char *const state_names[WAVE_STATE_COUNT] = {
     [WAVE_RUNNING] = "running",
     [WAVE_PAUSED] = "paused",
     [WAVE_STOPPED] = "stopped",
@@ -25,11 +25,11 @@
     if (wave == NULL) {
         return;
     }
-    g_free(wave->write);
+    g_free(wave->write_id);
     g_strfreev(wave->pools);
     g_strfreev(wave->dcs);
-    g_free(wave->by);
-    g_free(wave->waits);
+    g_free(wave->started_by);
+    g_free(wave->wait_reason);
     g_hash_table_destroy(wave->held_out);
     g_free(wave);
 }
@@ -39,11 +39,11 @@
 {
     struct wave_record *copy = g_new(struct wave_record, 1);
     *copy = *wave;
-    copy->write = g_strdup(wave->write);
+    copy->write_id = g_strdup(wave->write_id);
     copy->pools = g_strdupv(wave->pools);
     copy->dcs = g_strdupv(wave->dcs);
-    copy->by = g_strdup(wave->by);
-    copy->waits = g_strdup(wave->waits);
+    copy->started_by = g_strdup(wave->started_by);
+    copy->wait_reason = g_strdup(wave->wait_reason);
     copy->held_out =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     GHashTableIter iter;
@@ -124,7 +124,7 @@
 parse_state(struct wave_record *wave, const struct json_place *place)
 {
     const char *name = json_read_string(place, "state", true);
-    for (int i = 0; name != NULL && i < WAVE_STATES; i++) {
+    for (int i = 0; name != NULL && i < WAVE_STATE_COUNT; i++) {
         if (g_str_equal(name, state_names[i])) {
             wave->state = (enum wave_state)i;
             return;
@@ -164,8 +164,9 @@
         (uint32_t)json_read_int(place, "total", 0, UINT32_MAX, 0, false);
     wave->done =
         (uint32_t)json_read_int(place, "done", 0, UINT32_MAX, 0, false);
-    wave->ends_s = json_read_int(place, "ends_s", 0, INT64_MAX, 0, false);
-    wave->waits = g_strdup(json_read_string(place, "waits", false));
+    wave->estimated_end_s =
+        json_read_int(place, "ends_s", 0, INT64_MAX, 0, false);
+    wave->wait_reason = g_strdup(json_read_string(place, "waits", false));
     parse_held_out(wave, place);
 }
 
@@ -185,12 +186,12 @@
         .findings = findings,
     };
     struct wave_record *wave = wave_record_create();
-    wave->write = g_strdup(json_read_string(&place, "write", false));
+    wave->write_id = g_strdup(json_read_string(&place, "write", false));
     wave->number =
         (uint64_t)json_read_int(&place, "number", 1, INT64_MAX, 0, true);
     wave->started_s =
         json_read_int(&place, "started_s", 0, INT64_MAX, 0, true);
-    wave->by = g_strdup(json_read_string(&place, "by", false));
+    wave->started_by = g_strdup(json_read_string(&place, "by", false));
     parse_state(wave, &place);
     parse_select(wave, &place);
     parse_progress(wave, &place);
@@ -245,17 +246,17 @@
 {
     JsonBuilder *builder = json_builder_new();
     json_builder_begin_object(builder);
-    json_write_text(builder, "write", wave->write);
+    json_write_text(builder, "write", wave->write_id);
     json_write_nonzero(builder, "number", (int64_t)wave->number);
     json_write_text(builder, "state", state_names[wave->state]);
     add_select(builder, wave);
     json_builder_set_member_name(builder, "started_s");
     json_builder_add_int_value(builder, wave->started_s);
-    json_write_text(builder, "by", wave->by);
+    json_write_text(builder, "by", wave->started_by);
     json_write_nonzero(builder, "total", wave->total);
     json_write_nonzero(builder, "done", wave->done);
-    json_write_nonzero(builder, "ends_s", wave->ends_s);
-    json_write_text(builder, "waits", wave->waits);
+    json_write_nonzero(builder, "ends_s", wave->estimated_end_s);
+    json_write_text(builder, "waits", wave->wait_reason);
     add_held_out(builder, wave);
     json_builder_end_object(builder);
     return json_write_finish(builder, size_bytes);
--- a/egretd/host_view.c
+++ b/egretd/host_view.c
@@ -23,7 +23,7 @@
            const struct host_record *record)
 {
     return listed->live && !listed->leaving && record != NULL &&
-           host_state_takes_work(record->state);
+           host_state_accepts_work(record->state);
 }
 
 static void
--- a/egretfleetd/controller.c
+++ b/egretfleetd/controller.c
@@ -173,7 +173,7 @@
     if (!fleet_view_ready(controller->view) || woke_from_pause(controller)) {
         return;
     }
-    const struct fleet_facts *facts = fleet_view_facts(controller->view);
+    const struct fleet_snapshot *facts = fleet_view_facts(controller->view);
     struct fleet_plan *plan = fleet_planner_pass(controller->planner, facts);
     log_findings(plan, controller->plan);
     fleet_actor_carry_out(controller->actor, plan);
--- a/egretfleetd/fleet_actor.c
+++ b/egretfleetd/fleet_actor.c
@@ -70,8 +70,8 @@
     if (acted_ms != NULL && now_ms(actor) - *acted_ms < TURN_KEPT_MS) {
         return 0;
     }
-    return turn_delay_ms(actor->options.settings->name, pool,
-                         actor->options.settings->fleet.turn_ms);
+    return stagger_delay_ms(actor->options.settings->name, pool,
+                            actor->options.settings->fleet.turn_ms);
 }
 
 static char *
@@ -212,8 +212,8 @@
     struct host_records *records = fleet_view_records(actor->options.view);
     struct host_shard *next =
         record_edit_shard(host_records_shard(records, shard), steps);
-    g_free(next->write);
-    next->write = writer_name(actor);
+    g_free(next->write_id);
+    next->write_id = writer_name(actor);
     size_t size_bytes = 0;
     char *text = host_shard_serialise(next, &size_bytes);
     host_shard_destroy(next);
@@ -239,8 +239,8 @@
     }
     struct disruption_record *next = record_edit_disruptions(
         item != NULL ? item->record : NULL, steps, versions);
-    g_free(next->write);
-    next->write = writer_name(actor);
+    g_free(next->write_id);
+    next->write_id = writer_name(actor);
     size_t size_bytes = 0;
     char *text = disruption_record_serialise(next, &size_bytes);
     disruption_record_destroy(next);
@@ -262,8 +262,8 @@
         return;
     }
     struct wave_record *next = wave_record_copy(action->wave);
-    g_free(next->write);
-    next->write = writer_name(actor);
+    g_free(next->write_id);
+    next->write_id = writer_name(actor);
     size_t size_bytes = 0;
     char *text = wave_record_serialise(next, &size_bytes);
     wave_record_destroy(next);
--- a/egretfleetd/fleet_status.c
+++ b/egretfleetd/fleet_status.c
@@ -149,10 +149,10 @@
     json_write_int(builder, "failed", report->failed);
     json_write_int(builder, "budget", report->budget);
     json_write_int(builder, "reserve", report->reserve);
-    json_write_int(builder, "need", report->need);
+    json_write_int(builder, "need", report->needed);
     json_write_int(
         builder, "spare",
-        report->usable > report->need ? report->usable - report->need : 0);
+        report->usable > report->needed ? report->usable - report->needed : 0);
     json_write_int(builder, "demand_slots",
                    (int64_t)(report->demand_slots + 0.5));
     json_write_text(builder, "next_step", report->next_step);
@@ -168,8 +168,8 @@
     json_write_text(builder, "state", wave_state_name(wave->state));
     json_write_int(builder, "total", wave->total);
     json_write_int(builder, "done", wave->done);
-    json_write_int(builder, "ends_s", wave->ends_s);
-    json_write_text(builder, "waits", wave->waits);
+    json_write_int(builder, "ends_s", wave->estimated_end_s);
+    json_write_text(builder, "waits", wave->wait_reason);
     json_builder_set_member_name(builder, "held_out");
     json_builder_begin_object(builder);
     GHashTableIter iter;
--- a/egretfleetd/fleet_view.c
+++ b/egretfleetd/fleet_view.c
@@ -12,7 +12,7 @@
     struct record_table *disruptions;
     struct record_table *waves;
     struct fleet_demand *demand;
-    struct fleet_facts facts;
+    struct fleet_snapshot facts;
     GArray *hosts;
     GArray *pools;
     GPtrArray *wave_list;
@@ -90,7 +90,7 @@
     struct fleet_view *view = g_new0(struct fleet_view, 1);
     view->options = *options;
     view->hosts = g_array_new(FALSE, TRUE, sizeof(struct fleet_host));
-    view->pools = g_array_new(FALSE, TRUE, sizeof(struct fleet_pool_facts));
+    view->pools = g_array_new(FALSE, TRUE, sizeof(struct fleet_pool_info));
     view->wave_list = g_ptr_array_new();
     view->records = host_records_create(&(struct host_records_options){
         .store = options->store,
@@ -168,7 +168,7 @@
             .leaving = listed->leaving,
             .dc = listed->dc,
             .rack = listed->rack,
-            .start_pool = listed->pool,
+            .initial_pool = listed->pool,
         };
         add_host(view, &host);
     }
@@ -208,7 +208,8 @@
            const struct disruption_record *record)
 {
     for (uint32_t shard = 0; record != NULL && shard < HOST_SHARDS; shard++) {
-        if (host_records_version(view->records, shard) < record->seen[shard]) {
+        if (host_records_version(view->records, shard) <
+            record->min_shard_versions[shard]) {
             return false;
         }
     }
@@ -223,11 +224,12 @@
     }
     const struct record_item *item =
         record_table_find(view->disruptions, name);
-    struct fleet_pool_facts pool = {
+    struct fleet_pool_info pool = {
         .name = name,
         .disruptions = item != NULL ? item->record : NULL,
-        .current = item == NULL ||
-                   (item->record != NULL && is_current(view, item->record)),
+        .host_records_current =
+            item == NULL ||
+            (item->record != NULL && is_current(view, item->record)),
     };
     pool.demand_known =
         fleet_demand_pool(view->demand, name, &pool.demand_slots);
@@ -280,7 +282,7 @@
     g_ptr_array_sort(view->wave_list, compare_waves);
 }
 
-const struct fleet_facts *
+const struct fleet_snapshot *
 fleet_view_facts(struct fleet_view *view)
 {
     const struct config *config = config_feed_current(view->options.feed);
@@ -292,15 +294,15 @@
     add_unlisted(view, list);
     add_pools(view, config);
     add_waves(view);
-    view->facts = (struct fleet_facts){
+    view->facts = (struct fleet_snapshot){
         .now_ms = ms_clock_now(&view->options.clock),
         .now_s = g_get_real_time() / G_USEC_PER_SEC,
-        .list_fresh = fleet_view_list_age_ms(view) <=
-                      view->options.settings->fleet.list_stale_ms,
+        .host_list_fresh = fleet_view_list_age_ms(view) <=
+                           view->options.settings->fleet.list_stale_ms,
         .config = config,
         .hosts = (const struct fleet_host *)view->hosts->data,
         .n_hosts = view->hosts->len,
-        .pools = (const struct fleet_pool_facts *)view->pools->data,
+        .pools = (const struct fleet_pool_info *)view->pools->data,
         .n_pools = view->pools->len,
         .waves = (const struct wave_record *const *)view->wave_list->pdata,
         .n_waves = view->wave_list->len,
--- a/egretfleetd/status_record.c
+++ b/egretfleetd/status_record.c
@@ -68,8 +68,8 @@
 wait_interval(struct status_record *record)
 {
     int64_t delay_ms =
-        INTERVAL_MS +
-        turn_delay_ms(record->options.settings->name, "status", INTERVAL_MS);
+        INTERVAL_MS + stagger_delay_ms(record->options.settings->name,
+                                       "status", INTERVAL_MS);
     record->next_ms = ms_clock_now(&record->options.clock) + delay_ms;
 }
 
--- a/include/core/disruption_record.h
+++ b/include/core/disruption_record.h
@@ -13,26 +13,27 @@
  * struct disruption_entry - one host admitted to be disrupted
  * @admission: above that of the host's record as long as it isn't taken up
  * @wave: wave it belongs to, 0 for none
- * @since_s: wall time of the admission
+ * @admitted_s: wall time of the admission
  * @reason: "maintenance", "move" or "suspect"
  * @target: pool to move to, or NULL
  */
 struct disruption_entry {
     uint64_t admission;
     uint64_t wave;
-    int64_t since_s;
+    int64_t admitted_s;
     char *reason;
     char *target;
 };
 
 /**
  * struct disruption_record - parsed record
- * @seen: shard versions a controller must have read before it admits more
+ * @min_shard_versions: shard versions a controller must have read before it
+ * admits more
  * @entries: host name to struct disruption_entry; owns both
  */
 struct disruption_record {
-    char *write;
-    uint64_t seen[HOST_SHARDS];
+    char *write_id;
+    uint64_t min_shard_versions[HOST_SHARDS];
     GHashTable *entries;
 };
 
--- a/include/core/fleet_facts.h
+++ b/include/core/fleet_facts.h
@@ -17,7 +17,7 @@
  * @record: its record, or NULL
  * @damaged: its record can't be read; nothing is done with it
  * @listed: the host list names it; the members below are from there
- * @start_pool: pool to start in when there is no record, or NULL
+ * @initial_pool: pool to start in when there is no record, or NULL
  * @drained: every gateway has reported that none of its tasks runs there
  * @suspect: gateways report that it fails everything
  */
@@ -30,42 +30,43 @@
     bool leaving;
     const char *dc;
     const char *rack;
-    const char *start_pool;
+    const char *initial_pool;
     bool drained;
     bool suspect;
 };
 
 /**
- * struct fleet_pool_facts - what is known of a pool besides its hosts
+ * struct fleet_pool_info - what is known of a pool besides its hosts
  * @disruptions: its disruption record, or NULL for none
- * @current: the host records read are as new as the disruption record needs
+ * @host_records_current: the host records read are as new as the disruption
+ * record needs
  * @demand_known: gateways have reported demand lately
  * @demand_slots: slots the pool's work asks for now
  */
-struct fleet_pool_facts {
+struct fleet_pool_info {
     const char *name;
     const struct disruption_record *disruptions;
-    bool current;
+    bool host_records_current;
     bool demand_known;
     double demand_slots;
 };
 
 /**
- * struct fleet_facts - input of one planning pass
+ * struct fleet_snapshot - input of one planning pass
  * @now_ms: monotonic time
  * @now_s: wall time, for what is written into records
- * @list_fresh: the host list was read lately
+ * @host_list_fresh: the host list was read lately
  * @pools: every pool of @config and every other pool that a record names
  * @waves: sorted by number
  */
-struct fleet_facts {
+struct fleet_snapshot {
     int64_t now_ms;
     int64_t now_s;
-    bool list_fresh;
+    bool host_list_fresh;
     const struct config *config;
     const struct fleet_host *hosts;
     size_t n_hosts;
-    const struct fleet_pool_facts *pools;
+    const struct fleet_pool_info *pools;
     size_t n_pools;
     const struct wave_record *const *waves;
     size_t n_waves;
--- a/include/core/fleet_planner.h
+++ b/include/core/fleet_planner.h
@@ -56,8 +56,8 @@
  * @failed: hosts that are down or recorded as failed
  * @budget: hosts that have to stay available
  * @reserve: hosts kept beyond that, against the loss of a rack
- * @need: hosts the pool has to have
- * @keep: hosts above which it gives some back
+ * @needed: hosts the pool has to have
+ * @shrink_threshold: hosts above which it gives some back
  * @demand_slots: smoothed demand
  * @next_step: what is done next
  * @waits_for: why nothing is done, or empty
@@ -73,8 +73,8 @@
     uint32_t failed;
     uint32_t budget;
     uint32_t reserve;
-    uint32_t need;
-    uint32_t keep;
+    uint32_t needed;
+    uint32_t shrink_threshold;
     double demand_slots;
     char next_step[FLEET_TEXT_BYTES];
     char waits_for[FLEET_TEXT_BYTES];
@@ -102,7 +102,7 @@
 /** fleet_planner_pass() - plan; free with fleet_plan_destroy(). */
 struct fleet_plan *
 fleet_planner_pass(struct fleet_planner *planner,
-                   const struct fleet_facts *facts);
+                   const struct fleet_snapshot *facts);
 void
 fleet_plan_destroy(struct fleet_plan *plan);
 
--- a/include/core/host_shard.h
+++ b/include/core/host_shard.h
@@ -12,13 +12,13 @@
 
 /**
  * struct host_shard - parsed shard
- * @write: who wrote it last, "<controller>:<n>", or NULL
+ * @write_id: who wrote it last, "<controller>:<n>", or NULL
  * @hosts: host name to struct host_record; owns both
  * @damaged: host name to the JsonNode of a record that can't be read; such
  *           records are written back as they are, for an operator to mend
  */
 struct host_shard {
-    char *write;
+    char *write_id;
     GHashTable *hosts;
     GHashTable *damaged;
 };
--- a/include/core/host_state.h
+++ b/include/core/host_state.h
@@ -22,7 +22,7 @@
 };
 
 enum {
-    HOST_STATES = HOST_FAILED + 1
+    HOST_STATE_COUNT = HOST_FAILED + 1
 };
 
 /**
@@ -36,7 +36,7 @@
  * @admission: number of the last admitted disruption that it took up or
  *             gave back; only rises
  * @wave: number of the last wave that rebooted it or held it out
- * @gone: rebooting, and the host list has shown it as gone since
+ * @seen_down: rebooting, and the host list has shown it as down since
  */
 struct host_record {
     char *pool;
@@ -50,7 +50,7 @@
     int64_t moved_s;
     uint64_t admission;
     uint64_t wave;
-    bool gone;
+    bool seen_down;
 };
 
 struct host_record *
@@ -66,8 +66,8 @@
 bool
 host_state_parse(const char *name, enum host_state *state);
 
-/** host_state_takes_work() - whether gateways may start tasks there. */
+/** host_state_accepts_work() - whether gateways may start tasks there. */
 bool
-host_state_takes_work(enum host_state state);
+host_state_accepts_work(enum host_state state);
 
 #endif
--- a/include/core/turn.h
+++ b/include/core/turn.h
@@ -5,7 +5,7 @@
 #include <stdint.h>
 
 /**
- * turn_delay_ms() - time to leave a step to others before acting
+ * stagger_delay_ms() - time to leave a step to others before acting
  * @controller: own name
  * @pool: what the step is about
  * @spread_ms: longest delay
@@ -15,6 +15,6 @@
  * take at once is decided by compare-and-swap.
  */
 int64_t
-turn_delay_ms(const char *controller, const char *pool, int64_t spread_ms);
+stagger_delay_ms(const char *controller, const char *pool, int64_t spread_ms);
 
 #endif
--- a/include/core/wave_record.h
+++ b/include/core/wave_record.h
@@ -18,7 +18,7 @@
 };
 
 enum {
-    WAVE_STATES = WAVE_DONE + 1
+    WAVE_STATE_COUNT = WAVE_DONE + 1
 };
 
 /**
@@ -27,25 +27,25 @@
  * @pools, @dcs: NULL-ended names selected; NULL for all
  * @older_than_s: only hosts last maintained longer than this before the start
  * @started_s: wall time
- * @by: operator who started it
+ * @started_by: operator who started it
  * @total, @done: hosts selected and hosts finished
- * @ends_s: estimated end, 0 for unknown
- * @waits: why nothing goes on, or NULL
+ * @estimated_end_s: estimated end, 0 for unknown
+ * @wait_reason: why nothing goes on, or NULL
  * @held_out: host name to reason, both owned
  */
 struct wave_record {
     uint64_t number;
     enum wave_state state;
-    char *write;
+    char *write_id;
     char **pools;
     char **dcs;
     int64_t older_than_s;
     int64_t started_s;
-    char *by;
+    char *started_by;
     uint32_t total;
     uint32_t done;
-    int64_t ends_s;
-    char *waits;
+    int64_t estimated_end_s;
+    char *wait_reason;
     GHashTable *held_out;
 };
 
--- a/include/egretfleetd/fleet_view.h
+++ b/include/egretfleetd/fleet_view.h
@@ -36,7 +36,7 @@
 
 /** fleet_view_facts() - facts of this moment; valid until control returns to
  * the main loop or the next call. */
-const struct fleet_facts *
+const struct fleet_snapshot *
 fleet_view_facts(struct fleet_view *view);
 
 /** fleet_view_records() - host records, to be read and put. */
--- a/tests/fleet/fleet_sim.c
+++ b/tests/fleet/fleet_sim.c
@@ -349,7 +349,7 @@
     const struct disruption_record *record =
         controller->disruptions[pool]->data;
     for (uint32_t i = 0; i < HOST_SHARDS; i++) {
-        if (controller->versions[i] < record->seen[i]) {
+        if (controller->versions[i] < record->min_shard_versions[i]) {
             return false;
         }
     }
@@ -372,7 +372,7 @@
             .leaving = host->leaving,
             .dc = host->dc,
             .rack = host->rack,
-            .start_pool = host->start_pool,
+            .initial_pool = host->start_pool,
             .drained =
                 sim->now_ms - host->draining_since_ms >= sim->options.drain_ms,
             .suspect = host->fails_all,
@@ -386,14 +386,14 @@
 {
     const struct config *config = sim->options.config;
     struct fleet_host *hosts = host_facts(sim, controller);
-    struct fleet_pool_facts *pools =
-        g_new0(struct fleet_pool_facts, config->n_pools);
+    struct fleet_pool_info *pools =
+        g_new0(struct fleet_pool_info, config->n_pools);
     const struct wave_record *waves[SIM_LAG_MAX];
     for (size_t i = 0; i < config->n_pools; i++) {
-        pools[i] = (struct fleet_pool_facts){
+        pools[i] = (struct fleet_pool_info){
             .name = config->pools[i].name,
             .disruptions = controller->disruptions[i]->data,
-            .current = is_current(controller, i),
+            .host_records_current = is_current(controller, i),
             .demand_known = sim->demand[i] >= 0,
             .demand_slots = sim->demand[i],
         };
@@ -401,10 +401,10 @@
     for (uint32_t i = 0; i < controller->n_waves; i++) {
         waves[i] = controller->waves[i]->data;
     }
-    struct fleet_facts facts = {
+    struct fleet_snapshot facts = {
         .now_ms = sim->now_ms,
         .now_s = sim->now_ms / 1000,
-        .list_fresh = true,
+        .host_list_fresh = true,
         .config = config,
         .hosts = hosts,
         .n_hosts = sim->n_hosts,
--- a/tests/fleet/planner_policy_test.c
+++ b/tests/fleet/planner_policy_test.c
@@ -363,16 +363,16 @@
          .live = true,
          .dc = "d0",
          .rack = "r0",
-         .start_pool = "nowhere"},
+         .initial_pool = "nowhere"},
     };
-    const struct fleet_pool_facts pools[] = {
-        {.name = "p0", .current = true},
-        {.name = "p1", .current = true},
-        {.name = "spare", .current = true},
-        {.name = "gone", .current = true},
+    const struct fleet_pool_info pools[] = {
+        {.name = "p0", .host_records_current = true},
+        {.name = "p1", .host_records_current = true},
+        {.name = "spare", .host_records_current = true},
+        {.name = "gone", .host_records_current = true},
     };
-    struct fleet_facts facts = {
-        .list_fresh = true,
+    struct fleet_snapshot facts = {
+        .host_list_fresh = true,
         .config = config,
         .hosts = hosts,
         .n_hosts = G_N_ELEMENTS(hosts),
@@ -422,15 +422,15 @@
             .live = true,
             .dc = "d0",
             .rack = "r0",
-            .start_pool = "p0",
+            .initial_pool = "p0",
         };
     }
-    const struct fleet_pool_facts pools[] = {
-        {.name = "p0", .current = true},
-        {.name = "spare", .current = true},
+    const struct fleet_pool_info pools[] = {
+        {.name = "p0", .host_records_current = true},
+        {.name = "spare", .host_records_current = true},
     };
-    struct fleet_facts facts = {
-        .list_fresh = true,
+    struct fleet_snapshot facts = {
+        .host_list_fresh = true,
         .config = config,
         .hosts = hosts,
         .n_hosts = G_N_ELEMENTS(hosts),
