--- a/core/turn.c
+++ b/core/stagger.c
@@ -1,4 +1,4 @@
-#include "core/turn.h"
+#include "core/stagger.h"
 
 enum {
     /* Nobody else's step may still be on its way within this part. */
--- a/egretfleetd/controller.c
+++ b/egretfleetd/controller.c
@@ -2,10 +2,10 @@
 
 #include "common/log.h"
 #include "common/supervisor.h"
-#include "egretfleetd/fleet_actor.h"
+#include "egretfleetd/plan_executor.h"
 #include "egretfleetd/fleet_status.h"
 #include "egretfleetd/fleet_view.h"
-#include "egretfleetd/status_record.h"
+#include "egretfleetd/status_publisher.h"
 #include "store/store.h"
 
 enum {
@@ -26,11 +26,11 @@
     struct store *store;
     struct config_feed *feed;
     struct fleet_view *view;
-    struct fleet_actor *actor;
+    struct plan_executor *actor;
     struct fleet_planner *planner;
     struct fleet_status *status;
     struct fleet_plan *plan;
-    struct status_record *record;
+    struct status_publisher *record;
     guint tick;
     guint gather;
     int64_t last_tick_ms;
@@ -104,7 +104,7 @@
         .changed = plan_soon,
         .ctx = controller,
     });
-    controller->actor = fleet_actor_create(&(struct fleet_actor_options){
+    controller->actor = plan_executor_create(&(struct plan_executor_options){
         .settings = controller->settings,
         .store = controller->store,
         .clock = controller->clock,
@@ -112,11 +112,12 @@
         .view = controller->view,
     });
     controller->planner = fleet_planner_create(&controller->settings->fleet);
-    controller->record = status_record_create(&(struct status_record_options){
-        .settings = controller->settings,
-        .store = controller->store,
-        .clock = controller->clock,
-    });
+    controller->record =
+        status_publisher_create(&(struct status_publisher_options){
+            .settings = controller->settings,
+            .store = controller->store,
+            .clock = controller->clock,
+        });
     return true;
 }
 
@@ -124,10 +125,10 @@
 stop_view(void *ctx)
 {
     struct controller *controller = ctx;
-    g_clear_pointer(&controller->record, status_record_destroy);
+    g_clear_pointer(&controller->record, status_publisher_destroy);
     g_clear_pointer(&controller->plan, fleet_plan_destroy);
     g_clear_pointer(&controller->planner, fleet_planner_destroy);
-    g_clear_pointer(&controller->actor, fleet_actor_destroy);
+    g_clear_pointer(&controller->actor, plan_executor_destroy);
     g_clear_pointer(&controller->view, fleet_view_destroy);
 }
 
@@ -173,11 +174,11 @@
     if (!fleet_view_ready(controller->view) || woke_from_pause(controller)) {
         return;
     }
-    const struct fleet_snapshot *facts = fleet_view_facts(controller->view);
+    const struct fleet_snapshot *facts = fleet_view_snapshot(controller->view);
     struct fleet_plan *plan = fleet_planner_pass(controller->planner, facts);
     log_findings(plan, controller->plan);
-    fleet_actor_carry_out(controller->actor, plan);
-    status_record_offer(controller->record, plan);
+    plan_executor_run(controller->actor, plan);
+    status_publisher_update(controller->record, plan);
     g_clear_pointer(&controller->plan, fleet_plan_destroy);
     controller->plan = plan;
     counters_set(controller->counters, "egret_fleet_pass_us", NULL,
--- a/egretfleetd/fleet_demand.c
+++ b/egretfleetd/fleet_demand.c
@@ -167,8 +167,8 @@
 }
 
 bool
-fleet_demand_pool(const struct fleet_demand *demand, const char *pool,
-                  double *slots)
+fleet_demand_pool_slots(const struct fleet_demand *demand, const char *pool,
+                        double *slots)
 {
     bool known = false;
     *slots = 0;
--- a/egretfleetd/fleet_view.c
+++ b/egretfleetd/fleet_view.c
@@ -232,7 +232,7 @@
             (item->record != NULL && is_current(view, item->record)),
     };
     pool.demand_known =
-        fleet_demand_pool(view->demand, name, &pool.demand_slots);
+        fleet_demand_pool_slots(view->demand, name, &pool.demand_slots);
     g_array_append_val(view->pools, pool);
 }
 
@@ -283,7 +283,7 @@
 }
 
 const struct fleet_snapshot *
-fleet_view_facts(struct fleet_view *view)
+fleet_view_snapshot(struct fleet_view *view)
 {
     const struct config *config = config_feed_current(view->options.feed);
     const struct host_list_view *list = host_list_view(view->list);
--- a/egretfleetd/fleet_actor.c
+++ b/egretfleetd/plan_executor.c
@@ -1,8 +1,8 @@
-#include "egretfleetd/fleet_actor.h"
+#include "egretfleetd/plan_executor.h"
 
 #include "common/log.h"
 #include "core/record_edit.h"
-#include "core/turn.h"
+#include "core/stagger.h"
 #include "store/store_keys.h"
 
 enum {
@@ -16,8 +16,8 @@
     uint64_t pass;
 };
 
-struct fleet_actor {
-    struct fleet_actor_options options;
+struct plan_executor {
+    struct plan_executor_options options;
     GHashTable *wanted;
     GHashTable *acted_ms;
     GHashTable *busy;
@@ -27,15 +27,15 @@
 
 /** struct pending_write - a write until its outcome is known */
 struct pending_write {
-    struct fleet_actor *actor;
+    struct plan_executor *actor;
     char *key;
     uint32_t shard;
 };
 
-struct fleet_actor *
-fleet_actor_create(const struct fleet_actor_options *options)
+struct plan_executor *
+plan_executor_create(const struct plan_executor_options *options)
 {
-    struct fleet_actor *actor = g_new0(struct fleet_actor, 1);
+    struct plan_executor *actor = g_new0(struct plan_executor, 1);
     actor->options = *options;
     actor->wanted =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -46,7 +46,7 @@
 }
 
 void
-fleet_actor_destroy(struct fleet_actor *actor)
+plan_executor_destroy(struct plan_executor *actor)
 {
     if (actor == NULL) {
         return;
@@ -58,13 +58,13 @@
 }
 
 static int64_t
-now_ms(const struct fleet_actor *actor)
+now_ms(const struct plan_executor *actor)
 {
     return ms_clock_now(&actor->options.clock);
 }
 
 static int64_t
-delay_ms(const struct fleet_actor *actor, const char *pool)
+delay_ms(const struct plan_executor *actor, const char *pool)
 {
     const int64_t *acted_ms = g_hash_table_lookup(actor->acted_ms, pool);
     if (acted_ms != NULL && now_ms(actor) - *acted_ms < TURN_KEPT_MS) {
@@ -88,7 +88,7 @@
 }
 
 static bool
-is_our_turn(struct fleet_actor *actor, const struct fleet_action *action)
+is_our_turn(struct plan_executor *actor, const struct fleet_action *action)
 {
     char *name = step_name(action);
     struct wanted *wanted = g_hash_table_lookup(actor->wanted, name);
@@ -107,12 +107,12 @@
 {
     (void)name;
     const struct wanted *wanted = value;
-    const struct fleet_actor *actor = data;
+    const struct plan_executor *actor = data;
     return wanted->pass != actor->pass;
 }
 
 static void
-take_answer(struct fleet_actor *actor, const struct pending_write *write,
+take_answer(struct plan_executor *actor, const struct pending_write *write,
             const struct store_entry *entry)
 {
     struct fleet_view *view = actor->options.view;
@@ -128,7 +128,7 @@
 written(void *ctx, const struct store_result *result)
 {
     struct pending_write *write = ctx;
-    struct fleet_actor *actor = write->actor;
+    struct plan_executor *actor = write->actor;
     g_hash_table_remove(actor->busy, write->key);
     counters_add(actor->options.counters, "egret_fleet_writes_total",
                  status_ok(&result->status) ? "outcome=\"written\""
@@ -146,7 +146,7 @@
 }
 
 static char *
-writer_name(struct fleet_actor *actor)
+writer_name(struct plan_executor *actor)
 {
     return g_strdup_printf("%s:%" G_GINT64_FORMAT ":%" G_GUINT64_FORMAT,
                            actor->options.settings->name, g_get_real_time(),
@@ -154,7 +154,7 @@
 }
 
 static void
-send_write(struct fleet_actor *actor, char *key, uint32_t shard, char *text,
+send_write(struct plan_executor *actor, char *key, uint32_t shard, char *text,
            size_t size_bytes, uint64_t version)
 {
     struct pending_write *write = g_new0(struct pending_write, 1);
@@ -183,7 +183,7 @@
 }
 
 static void
-note_step(struct fleet_actor *actor, const struct fleet_action *action)
+note_step(struct plan_executor *actor, const struct fleet_action *action)
 {
     log_step(action);
     int64_t *acted_ms = g_new(int64_t, 1);
@@ -197,7 +197,7 @@
 }
 
 static void
-note_steps(struct fleet_actor *actor, const GPtrArray *steps)
+note_steps(struct plan_executor *actor, const GPtrArray *steps)
 {
     for (guint i = 0; i < steps->len; i++) {
         note_step(actor, g_ptr_array_index(steps, i));
@@ -205,7 +205,7 @@
 }
 
 static void
-write_shard(struct fleet_actor *actor, char *key, const GPtrArray *steps)
+write_shard(struct plan_executor *actor, char *key, const GPtrArray *steps)
 {
     const struct fleet_action *first = g_ptr_array_index(steps, 0);
     uint32_t shard = host_shard_index(first->host);
@@ -223,7 +223,7 @@
 }
 
 static void
-write_disruptions(struct fleet_actor *actor, char *key, const char *pool,
+write_disruptions(struct plan_executor *actor, char *key, const char *pool,
                   const GPtrArray *steps)
 {
     struct fleet_view *view = actor->options.view;
@@ -250,7 +250,7 @@
 }
 
 static void
-write_wave(struct fleet_actor *actor, char *key, const GPtrArray *steps)
+write_wave(struct plan_executor *actor, char *key, const GPtrArray *steps)
 {
     const struct fleet_action *action = g_ptr_array_index(steps, 0);
     char name[24];
@@ -289,7 +289,7 @@
 }
 
 static void
-write_record(struct fleet_actor *actor, const char *key,
+write_record(struct plan_executor *actor, const char *key,
              const GPtrArray *steps)
 {
     const struct fleet_action *first = g_ptr_array_index(steps, 0);
@@ -315,7 +315,7 @@
 }
 
 void
-fleet_actor_carry_out(struct fleet_actor *actor, const struct fleet_plan *plan)
+plan_executor_run(struct plan_executor *actor, const struct fleet_plan *plan)
 {
     GHashTable *by_key =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, unref_steps);
--- a/egretfleetd/status_record.c
+++ b/egretfleetd/status_publisher.c
@@ -1,9 +1,9 @@
-#include "egretfleetd/status_record.h"
+#include "egretfleetd/status_publisher.h"
 
 #include <json-glib/json-glib.h>
 
 #include "common/json_write.h"
-#include "core/turn.h"
+#include "core/stagger.h"
 #include "egretfleetd/fleet_status.h"
 #include "store/store_keys.h"
 
@@ -12,13 +12,13 @@
 };
 
 /**
- * struct status_record - what was published last, by whomever
+ * struct status_publisher - what was published last, by whomever
  * @pools: its pools as text
  * @version: its version
  * @next_ms: earliest time of the next read and write
  */
-struct status_record {
-    struct status_record_options options;
+struct status_publisher {
+    struct status_publisher_options options;
     char *pools;
     uint64_t version;
     uint64_t writes;
@@ -26,16 +26,16 @@
     bool busy;
 };
 
-struct status_record *
-status_record_create(const struct status_record_options *options)
+struct status_publisher *
+status_publisher_create(const struct status_publisher_options *options)
 {
-    struct status_record *record = g_new0(struct status_record, 1);
+    struct status_publisher *record = g_new0(struct status_publisher, 1);
     record->options = *options;
     return record;
 }
 
 void
-status_record_destroy(struct status_record *record)
+status_publisher_destroy(struct status_publisher *record)
 {
     if (record == NULL) {
         return;
@@ -65,7 +65,7 @@
 /* Controllers publish at different moments; who comes second finds that the
  * version has moved on and waits for another interval. */
 static void
-wait_interval(struct status_record *record)
+wait_interval(struct status_publisher *record)
 {
     int64_t delay_ms =
         INTERVAL_MS + stagger_delay_ms(record->options.settings->name,
@@ -76,7 +76,7 @@
 static void
 written(void *ctx, const struct store_result *result)
 {
-    struct status_record *record = ctx;
+    struct status_publisher *record = ctx;
     record->busy = false;
     if (result->n_entries > 0) {
         record->version = result->entries[0].version;
@@ -87,8 +87,8 @@
 }
 
 void
-status_record_offer(struct status_record *record,
-                    const struct fleet_plan *plan)
+status_publisher_update(struct status_publisher *record,
+                        const struct fleet_plan *plan)
 {
     int64_t now_ms = ms_clock_now(&record->options.clock);
     if (record->busy || now_ms < record->next_ms) {
--- a/include/core/fleet_planner.h
+++ b/include/core/fleet_planner.h
@@ -4,7 +4,7 @@
 
 #include <glib.h>
 
-#include "core/fleet_facts.h"
+#include "core/fleet_snapshot.h"
 
 enum {
     FLEET_TEXT_BYTES = 160
--- a/include/core/fleet_facts.h
+++ b/include/core/fleet_snapshot.h
@@ -1,6 +1,6 @@
 /* What a controller knows when it plans: plain facts, no behaviour. */
-#ifndef CORE_FLEET_FACTS_H
-#define CORE_FLEET_FACTS_H
+#ifndef CORE_FLEET_SNAPSHOT_H
+#define CORE_FLEET_SNAPSHOT_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/include/core/turn.h
+++ b/include/core/stagger.h
@@ -1,6 +1,6 @@
 /* Which of several controllers acts first. */
-#ifndef CORE_TURN_H
-#define CORE_TURN_H
+#ifndef CORE_STAGGER_H
+#define CORE_STAGGER_H
 
 #include <stdint.h>
 
--- a/include/egretfleetd/fleet_demand.h
+++ b/include/egretfleetd/fleet_demand.h
@@ -23,11 +23,11 @@
 void
 fleet_demand_destroy(struct fleet_demand *demand);
 
-/** fleet_demand_pool() - slots that a pool's work asks for; false when no
- * gateway has reported lately. */
+/** fleet_demand_pool_slots() - slots that a pool's work asks for; false when
+ * no gateway has reported lately. */
 bool
-fleet_demand_pool(const struct fleet_demand *demand, const char *pool,
-                  double *slots);
+fleet_demand_pool_slots(const struct fleet_demand *demand, const char *pool,
+                        double *slots);
 
 /** fleet_demand_drained() - whether every registered gateway has reported
  * that it starts nothing on @host and that none of its tasks runs there. */
--- a/include/egretfleetd/fleet_view.h
+++ b/include/egretfleetd/fleet_view.h
@@ -3,7 +3,7 @@
 #define EGRETFLEETD_FLEET_VIEW_H
 
 #include "common/settings.h"
-#include "core/fleet_facts.h"
+#include "core/fleet_snapshot.h"
 #include "egretd/config_feed.h"
 #include "egretfleetd/record_table.h"
 #include "store/host_list.h"
@@ -34,10 +34,10 @@
 bool
 fleet_view_ready(const struct fleet_view *view);
 
-/** fleet_view_facts() - facts of this moment; valid until control returns to
- * the main loop or the next call. */
+/** fleet_view_snapshot() - facts of this moment; valid until control returns
+ * to the main loop or the next call. */
 const struct fleet_snapshot *
-fleet_view_facts(struct fleet_view *view);
+fleet_view_snapshot(struct fleet_view *view);
 
 /** fleet_view_records() - host records, to be read and put. */
 struct host_records *
--- a/include/egretfleetd/fleet_actor.h
+++ b/include/egretfleetd/plan_executor.h
@@ -1,14 +1,14 @@
 /* Carries planned steps out by compare-and-swap. */
-#ifndef EGRETFLEETD_FLEET_ACTOR_H
-#define EGRETFLEETD_FLEET_ACTOR_H
+#ifndef EGRETFLEETD_PLAN_EXECUTOR_H
+#define EGRETFLEETD_PLAN_EXECUTOR_H
 
 #include "common/counters.h"
 #include "common/settings.h"
 #include "core/fleet_planner.h"
 #include "egretfleetd/fleet_view.h"
 
-/** struct fleet_actor_options - what it acts on */
-struct fleet_actor_options {
+/** struct plan_executor_options - what it acts on */
+struct plan_executor_options {
     const struct settings *settings;
     struct store *store;
     struct ms_clock clock;
@@ -16,22 +16,21 @@
     struct fleet_view *view;
 };
 
-struct fleet_actor;
+struct plan_executor;
 
-struct fleet_actor *
-fleet_actor_create(const struct fleet_actor_options *options);
+struct plan_executor *
+plan_executor_create(const struct plan_executor_options *options);
 void
-fleet_actor_destroy(struct fleet_actor *actor);
+plan_executor_destroy(struct plan_executor *actor);
 
 /**
- * fleet_actor_carry_out() - write what is this controller's turn
+ * plan_executor_run() - write what is this controller's turn
  *
  * Steps on one record go into one write. A record with a write under way is
  * left alone until the outcome is known; whatever that is, the next pass
  * plans from what then stands in the store.
  */
 void
-fleet_actor_carry_out(struct fleet_actor *actor,
-                      const struct fleet_plan *plan);
+plan_executor_run(struct plan_executor *actor, const struct fleet_plan *plan);
 
 #endif
