--- a/egretjobd/acceptor.c
+++ b/egretjobd/acceptor.c
@@ -12,53 +12,56 @@
 
 enum {
     CALL_TIMEOUT_MS = 1000,
-    /* A condition and two writes per job within one transaction; with the
-     * duty a condition and one write, and the duty's own. */
+    /* A transaction holds at most KV_TXN_ENTRIES_MAX entries. A job takes a
+     * condition and two writes; on the leader a condition and one write, and
+     * the transaction has a condition on the leader's record. */
     BATCH_JOBS_MAX = 10,
     BATCH_JOBS_AS_LEADER_MAX = 15,
-    /* Transactions at once. One answer takes some milliseconds, and what comes
-     * meanwhile goes together; a slow store takes 50 to 100 times as
-     * long, and 100 jobs a second arrive on a grown site. */
+    /* Transactions open at once. The store usually answers within
+     * milliseconds, and jobs that arrive meanwhile share the next transaction.
+     * A slow store takes 50 to 100 times as long, while a large site receives
+     * 100 jobs/s. */
     TXN_SLOT_COUNT = 8,
     NEXT_TXN_AFTER_MS = 30,
     RETRY_MIN_MS = 40,
     RETRY_MAX_MS = 640,
-    /* A write that was refused is tried this long before the caller is. */
+    /* A refused write is retried this long before the caller is refused. */
     REFUSED_AFTER_MS = 250,
-    /* A caller whose write has no answer by then is told so: it has time left
-     * to ask another entry host. */
+    /* A caller whose job is not stored by then gets 504 or 503, with time left
+     * to try another entry host. */
     UNKNOWN_AFTER_MS = 1000,
-    /* Commits in a row that came to nothing before callers are refused at
-     * once; a single one may be a lost answer. */
+    /* After this many failed commits in a row, new jobs are refused at once; a
+     * single one may be a lost answer. */
     STALLED_COMMIT_COUNT = 2,
-    /* Callers count in whole seconds; the store is tried more often. */
+    /* Retry-After has whole seconds; the store is retried more often. */
     STALLED_RETRY_AFTER_MS = 1000,
-    /* The store may carry a write out some seconds late; until then the
-     * scheduler could miss the job. */
+    /* The store may carry out a write some seconds late. Until the outcome is
+     * known the scheduler may not know of the job, so the write is retried. */
     GIVE_UP_MS = 12000,
 };
 
 /**
- * struct pending_job - a job on its way into the store
+ * struct pending_job - a job that is being written to the store
  * @uncertain: a write got no answer and may still be carried out
- * @in_store: the job is stored, maybe without the scheduler's knowledge
- * @replies: callers that wait for it
+ * @in_store: its record is stored, but perhaps no inbox message for the
+ *            scheduler
+ * @replies: callbacks of the callers that wait for it
  */
 struct pending_job {
     char *id;
     char *key;
     char *inbox_key;
     char *value;
-    int64_t since_ms;
+    int64_t submitted_ms;
     bool uncertain;
     bool in_store;
     GArray *replies;
 };
 
 /**
- * struct txn_slot - one transaction under way
+ * struct txn_slot - one open transaction
  * @batch: struct pending_job in it, or NULL
- * @as_leader: it holds only while this process has the duty
+ * @as_leader: it is conditional on this process's leadership
  * @sent_ms: when it was sent
  */
 struct txn_slot {
@@ -124,7 +127,7 @@
 static void
 requeue(struct acceptor *acceptor, struct pending_job *pending, bool refused)
 {
-    int64_t age_ms = node_now(acceptor->node) - pending->since_ms;
+    int64_t age_ms = node_now(acceptor->node) - pending->submitted_ms;
     if (age_ms > UNKNOWN_AFTER_MS && !pending->uncertain) {
         pending_finish(acceptor, pending, 503);
         return;
@@ -144,7 +147,7 @@
     g_queue_push_tail(&acceptor->waiting, pending);
 }
 
-/* Jobs of which nothing was sent yet. */
+/* Refuses waiting jobs that no transaction can have stored. */
 static void
 refuse_unsent(struct acceptor *acceptor)
 {
@@ -154,7 +157,7 @@
         GList *next = link->next;
         struct pending_job *pending = link->data;
         if (!pending->uncertain && !pending->in_store &&
-            now_ms - pending->since_ms > REFUSED_AFTER_MS) {
+            now_ms - pending->submitted_ms > REFUSED_AFTER_MS) {
             g_queue_delete_link(&acceptor->waiting, link);
             pending_finish(acceptor, pending, 503);
         }
@@ -217,7 +220,7 @@
     if (slot->as_leader && result->outcome == KV_CONFLICT &&
         leader_changed(acceptor, result)) {
         leadership_lose(acceptor->node->leadership,
-                        "another holder was found");
+                        "another leader was found");
     }
     acceptor->failed_commits = progress ? 0 : acceptor->failed_commits + 1;
     if (!progress) {
@@ -235,7 +238,7 @@
               "\"status\":%d,\"jobs\":%u,\"after_ms\":%" G_GINT64_FORMAT,
               result->status, g_queue_get_length(&acceptor->waiting),
               acceptor->retry_ms);
-    /* Spread out and ever more rarely: many hosts may be turned away. */
+    /* Random, exponential back-off: many hosts may be refused at once. */
     timer_set(acceptor->timer,
               g_random_int_range((int32_t)acceptor->retry_ms / 2,
                                  (int32_t)acceptor->retry_ms + 1));
@@ -262,7 +265,7 @@
     while (slot->batch->len < most && !g_queue_is_empty(&acceptor->waiting)) {
         struct pending_job *pending = g_queue_pop_head(&acceptor->waiting);
         g_ptr_array_add(slot->batch, pending);
-        /* A stored job needs nothing but the note for the scheduler. */
+        /* A stored job only needs the inbox message for the scheduler. */
         bool inbox_only = pending->in_store && !slot->as_leader;
         conditions[txn.n_conditions++] = (struct kv_condition){
             .key = inbox_only ? pending->inbox_key : pending->key};
@@ -279,8 +282,8 @@
                      (struct kv_done){.call = on_commit, .ctx = slot});
 }
 
-/* The lane for the next transaction, or NULL if what waits goes with a later
- * one: another lane is taken only when the others are late. */
+/* Slot for the next transaction, or NULL if waiting jobs go with a later one:
+ * another slot is used only when the open transactions are slow. */
 static struct txn_slot *
 next_slot(struct acceptor *acceptor)
 {
@@ -354,7 +357,7 @@
 }
 
 static void
-answer_open(struct pending_job *pending)
+answer_unfinished(struct pending_job *pending)
 {
     pending_answer(pending,
                    pending->uncertain || pending->in_store ? 504 : 503);
@@ -365,9 +368,9 @@
 {
     for (guint i = 0; slot->batch != NULL && i < slot->batch->len; i++) {
         struct pending_job *pending = g_ptr_array_index(slot->batch, i);
-        /* Its write is on its way. */
+        /* Its write has been sent. */
         pending->uncertain = true;
-        answer_open(pending);
+        answer_unfinished(pending);
     }
 }
 
@@ -379,20 +382,20 @@
     }
     for (GList *link = acceptor->waiting.head; link != NULL;
          link = link->next) {
-        answer_open(link->data);
+        answer_unfinished(link->data);
     }
 }
 
-/* Whether the store answers nobody and a write that will show its return is
- * under way. */
+/* Whether the last commits failed and a retry is scheduled or open that will
+ * show when the store works again. */
 static bool
 stalled(const struct acceptor *acceptor)
 {
-    bool asking = evtimer_pending(acceptor->timer, NULL);
+    bool retrying = evtimer_pending(acceptor->timer, NULL);
     for (size_t i = 0; i < TXN_SLOT_COUNT; i++) {
-        asking = asking || acceptor->slots[i].batch != NULL;
+        retrying = retrying || acceptor->slots[i].batch != NULL;
     }
-    return asking && acceptor->failed_commits >= STALLED_COMMIT_COUNT;
+    return retrying && acceptor->failed_commits >= STALLED_COMMIT_COUNT;
 }
 
 void
@@ -428,7 +431,7 @@
     pending->key = g_strconcat(RECORD_JOB_PREFIX, call->id, NULL);
     pending->inbox_key = g_strconcat(RECORD_INBOX_PREFIX, call->id, NULL);
     pending->value = record_job_encode(&envelope);
-    pending->since_ms = node_now(acceptor->node);
+    pending->submitted_ms = node_now(acceptor->node);
     pending->uncertain = call->uncertain;
     pending->replies = g_array_new(FALSE, FALSE, sizeof(struct job_reply));
     g_array_append_val(pending->replies, reply);
--- a/egretjobd/committer.c
+++ b/egretjobd/committer.c
@@ -6,12 +6,14 @@
 
 enum {
     ATTEMPT_COUNT = 2,
-    /* The store answers in some milliseconds and, slow, in a few tenths of a
-     * second. */
+    /* The store usually answers within milliseconds, and within a few tenths
+     * of a second when it is slow. */
     RETRY_AFTER_MS = 150,
 };
 
-/** struct commit_attempt - one connection and the transaction that it carries
+/**
+ * struct commit_attempt - one connection and its last attempt
+ * @number: number of the transaction that was sent last
  */
 struct commit_attempt {
     struct committer *committer;
@@ -21,8 +23,8 @@
 
 /**
  * struct committer - the open transaction
- * @number: counts transactions; answers to earlier ones are dropped
- * @open: attempts without an answer
+ * @number: number of the open transaction; answers to earlier ones are ignored
+ * @open_attempts: attempts without an answer
  * @unknown: a sending got no answer
  * @body: what is sent, or NULL if none is open
  */
@@ -80,8 +82,8 @@
                       (struct kv_done){.call = on_answer, .ctx = attempt});
 }
 
-/* A connection that still waits for an earlier answer may wait in vain; the
- * one that gave the last answer is idle. */
+/* A connection that still waits for an earlier answer may be unresponsive; the
+ * one that answered last is idle. */
 static struct commit_attempt *
 least_busy(struct committer *committer)
 {
--- a/egretjobd/job_queries.c
+++ b/egretjobd/job_queries.c
@@ -13,7 +13,11 @@
     struct kv *kv;
 };
 
-/** struct job_query - one caller's question on its way */
+/**
+ * struct job_query - a caller's request that waits for the store
+ * @state: state of the job as far as it has been read
+ * @started: a progress record exists, so a task has started
+ */
 struct job_query {
     struct job_queries *queries;
     char *id;
--- a/egretjobd/leader.c
+++ b/egretjobd/leader.c
@@ -54,7 +54,7 @@
     int64_t next_ms = scheduler_tick(leader->sched);
     if (scheduler_fenced(leader->sched)) {
         leadership_lose(leader->node->leadership,
-                        "a newer fencing token was met");
+                        "a backend server has seen a newer fencing token");
         return;
     }
     leader_flush(leader);
--- a/egretjobd/leader_host_commands.c
+++ b/egretjobd/leader_host_commands.c
@@ -166,7 +166,7 @@
         if (strcmp(item->key, RECORD_LEADER_KEY) == 0 &&
             item->revision != leader->token) {
             leadership_lose(leader->node->leadership,
-                            "another holder was found");
+                            "another leader was found");
             return;
         }
         if (strcmp(item->key, RECORD_HOST_COMMANDS_KEY) == 0) {
--- a/egretjobd/leader_store.c
+++ b/egretjobd/leader_store.c
@@ -173,7 +173,7 @@
     struct store_batch *batch = slot->batch;
     if (result->outcome == KV_CONFLICT &&
         !handle_conflict(leader, batch, result)) {
-        leadership_lose(leader->node->leadership, "another holder was found");
+        leadership_lose(leader->node->leadership, "another leader was found");
         return;
     }
     slot->batch = NULL;
--- a/egretjobd/leadership.c
+++ b/egretjobd/leadership.c
@@ -13,18 +13,18 @@
 #include "platform/kv.h"
 
 enum {
-    /* Bounds how long work waits after a holder's host is gone; several
-     * renewals may fail before it ends. */
+    /* Limits how long jobs wait after the leader's host has failed. Several
+     * renewals may fail before the lease expires. */
     LEADER_LEASE_TTL_MS = 3000,
     RENEW_INTERVAL_MS = 700,
     RENEW_RETRY_MS = 100,
-    /* Without a renewal for this long the store is taken to be in trouble. */
+    /* Without a renewal for this long, the store counts as failing. */
     RENEWAL_OVERDUE_MS = 1300,
     CALL_TIMEOUT_MS = 900,
     WATCH_WAIT_MS = 1500,
     WATCH_TIMEOUT_MS = 2300,
     READ_RETRY_MS = 150,
-    /* Our clock against the store's: 2 % over the time to live. */
+    /* Drift of this host's clock against the store's: 2 % of the TTL. */
     CLOCK_DRIFT_MARGIN_MS = 60,
 };
 
@@ -34,6 +34,22 @@
     LEADERSHIP_HELD,
 };
 
+/**
+ * struct leadership - state of the election in this process
+ * @claim_value: value that this process last tried to write as the leader's
+ *               record; unique for each attempt
+ * @leader_peer: peer address of the leader, or NULL
+ * @leader_node: name of the leader's process, or NULL
+ * @record_revision: revision of the leader's record; 0: there is none
+ * @lease: lease in the store to which the leader's record is attached
+ * @valid_until_ms: no other process can be the leader before this time
+ * @renewed_ms: when the last successful renewal was sent
+ * @token: fencing token of this process's leadership
+ * @previous_token: fencing token of the previous leader
+ * @handover_token: token of the leader that stored the last handover
+ * @handover_lease_ms: longest lease that this leader had left open
+ * @term: number of the leadership that this process holds or would claim
+ */
 struct leadership {
     struct node *node;
     struct kv *kv;
@@ -92,7 +108,7 @@
     cJSON_Delete(value);
 }
 
-/* The duty is free, or held by an earlier incarnation of this very process. */
+/* There is no leader, or it is an earlier incarnation of this process. */
 static bool
 claimable(const struct leadership *leadership)
 {
@@ -101,11 +117,12 @@
                      leadership->node->settings->node_name) == 0;
 }
 
-/* Counts takeovers; read along with the holder. */
+/* The term counts leaderships. */
 static void
 set_term(struct leadership *leadership, const struct kv_item *item)
 {
-    /* The record is written with each claim, so it has its token. */
+    /* Each claim writes this record and the leader's in one transaction, so
+     * its revision is the fencing token of the previous leader. */
     leadership->previous_token = item->revision;
     leadership->term_revision = item->revision;
     leadership->term = (uint32_t)g_ascii_strtoull(item->value, NULL, 10) + 1;
@@ -160,7 +177,7 @@
         claim_or_watch(leadership);
         return;
     }
-    /* Reads the record as well: a watch may have missed a change. */
+    /* A watch may miss a change, so the records are also read. */
     read_record_later(leadership, 0);
 }
 
@@ -205,7 +222,8 @@
         watch_record(leadership);
         break;
     case CLAIM_WAIT:
-        /* An earlier incarnation's duty of this very process has no rival. */
+        /* No other process claims the record of an earlier incarnation of this
+         * process, so no wait is needed. */
         read_record_later(leadership,
                           leadership->record_revision == 0 ? delay_ms : 0);
         break;
@@ -353,7 +371,7 @@
         return;
     }
     if (result->outcome == KV_NOT_FOUND) {
-        leadership_lose(leadership, "the lease has ended");
+        leadership_lose(leadership, "lease expired");
         return;
     }
     if (result->outcome != KV_OK) {
@@ -462,7 +480,8 @@
     (void)result;
 }
 
-/* The next holder learns for how long leases of this one may be open. */
+/* Tells the next leader for how long leases granted by this one may be
+ * open. */
 static void
 store_handover(struct leadership *leadership, int64_t lease_ms)
 {
--- a/egretjobd/peers.c
+++ b/egretjobd/peers.c
@@ -9,12 +9,13 @@
 #include "platform/kv.h"
 
 enum {
-    /* A job is stored in milliseconds; after this the store is asked. */
+    /* Storing a job usually takes milliseconds. After this time the store is
+     * called directly. */
     CALL_TIMEOUT_MS = 700,
-    /* Opened as they are needed: a job waits at the holder for its
-     * write, which a slow store answers in a quarter of a second. */
+    /* Per peer, opened when needed. A call is open until the leader has stored
+     * the job, which takes a quarter of a second on a slow store. */
     CONNECTION_COUNT = 8,
-    /* Longer than the longest wait that is relayed. */
+    /* Longer than the longest wait_ms of a relayed watch. */
     RELAY_TIMEOUT_MS = 2500,
     RELAY_STATUS_NO_ANSWER = 504,
     RELAY_STATUS_NOT_SENT = 503,
@@ -49,11 +50,13 @@
     GHashTable *by_address;
 };
 
+/** struct relayed_call - a peer's call that was relayed to the store */
 struct relayed_call {
     struct http_exchange *exchange;
     struct http_client *client;
 };
 
+/** struct forwarded_call - a caller's request that was sent to a peer */
 struct forwarded_call {
     struct job_reply reply;
 };
@@ -103,7 +106,7 @@
     char *body = reply->body_bytes == 0
                      ? NULL
                      : g_strndup(reply->body, reply->body_bytes);
-    /* A peer that gets no answer tells so by giving none that counts. */
+    /* An unanswered call is reported to the peer by a status code. */
     int status = reply->status;
     if (status == 0) {
         status =
@@ -115,8 +118,8 @@
     g_free(relayed);
 }
 
-/* Passes a call on to the store, which serves this process but not the peer.
- * Each has a connection of its own: a long wait delays no other. */
+/* Relays a peer's call to the store, which the peer can't reach. Each call has
+ * a connection of its own, so that a long watch delays no other call. */
 static void
 relay_call(struct peers *peers, struct http_exchange *exchange,
            const char *path)
--- a/egretjobd/records.c
+++ b/egretjobd/records.c
@@ -6,14 +6,14 @@
 #include "platform/json_text.h"
 
 static void
-add_text(GString *out, const char *member, const char *text)
+add_text_member(GString *out, const char *member, const char *text)
 {
     g_string_append_printf(out, "%s\"%s\":", out->len > 1 ? "," : "", member);
     json_text_add(out, text == NULL ? "" : text);
 }
 
 static void
-add_int(GString *out, const char *member, int64_t value)
+add_int_member(GString *out, const char *member, int64_t value)
 {
     g_string_append_printf(out, "%s\"%s\":%" G_GINT64_FORMAT,
                            out->len > 1 ? "," : "", member, value);
@@ -23,13 +23,13 @@
 record_job_encode(const struct job_envelope *envelope)
 {
     GString *out = g_string_new("{");
-    add_text(out, "queue", envelope->queue);
-    add_text(out, "pool", envelope->pool);
-    add_text(out, "team", envelope->team);
-    add_int(out, "attempts", envelope->attempts);
-    add_int(out, "accepted_unix_ms", envelope->accepted_unix_ms);
+    add_text_member(out, "queue", envelope->queue);
+    add_text_member(out, "pool", envelope->pool);
+    add_text_member(out, "team", envelope->team);
+    add_int_member(out, "attempts", envelope->attempts);
+    add_int_member(out, "accepted_unix_ms", envelope->accepted_unix_ms);
     char *body = g_strndup(envelope->body, envelope->body_bytes);
-    add_text(out, "body", body);
+    add_text_member(out, "body", body);
     g_free(body);
     g_string_append_c(out, '}');
     return g_string_free(out, FALSE);
@@ -59,7 +59,7 @@
     return job;
 }
 
-/* Tasks that are done, one character each. */
+/* One character per task of a part: 'd' if it is done, else '.'. */
 static void
 encode_part(GString *out, const struct job *job, uint32_t part_index)
 {
@@ -75,7 +75,7 @@
     g_string_append_c(out, '"');
 }
 
-/* Rows of part, task, checkpoint and the numbers of runs that failed. */
+/* Rows of part, task, checkpoint and the run numbers of failed runs. */
 static void
 encode_tasks(GString *out, const struct job *job)
 {
@@ -104,7 +104,7 @@
 record_progress_encode(const struct job *job)
 {
     GString *out = g_string_new("{");
-    add_text(out, "state", job_state_name(job->state));
+    add_text_member(out, "state", job_state_name(job->state));
     if (job->state == JOB_ACTIVE) {
         g_string_append(out, ",\"parts\":[");
         uint32_t n_parts = job->n_occurrences * job->n_steps;
@@ -133,12 +133,12 @@
 }
 
 static void
-apply_part(struct job *job, uint32_t part_index, const char *marks)
+apply_part(struct job *job, uint32_t part_index, const char *task_marks)
 {
     struct job_part *part = &job->parts[part_index];
     uint32_t n_tasks = job->steps[part_index % job->n_steps].task_count;
-    for (uint32_t t = 0; t < n_tasks && marks[t] != '\0'; t++) {
-        if (marks[t] == 'd') {
+    for (uint32_t t = 0; t < n_tasks && task_marks[t] != '\0'; t++) {
+        if (task_marks[t] == 'd') {
             part->tasks[t].done = true;
             part->done++;
             job->begun = true;
@@ -203,11 +203,11 @@
 record_backend_encode(const struct backend_entry *entry)
 {
     GString *out = g_string_new("{");
-    add_text(out, "pool", entry->pool);
-    add_text(out, "address", entry->address);
-    add_text(out, "data_centre", entry->data_centre);
-    add_text(out, "host", entry->host);
-    add_int(out, "born_ms", entry->born_ms);
+    add_text_member(out, "pool", entry->pool);
+    add_text_member(out, "address", entry->address);
+    add_text_member(out, "data_centre", entry->data_centre);
+    add_text_member(out, "host", entry->host);
+    add_int_member(out, "born_ms", entry->born_ms);
     g_string_append_c(out, '}');
     return g_string_free(out, FALSE);
 }
@@ -220,8 +220,8 @@
     const char *pool = json_text_get(record, "pool");
     const char *address = json_text_get(record, "address");
     *entry = (struct backend_entry){0};
-    bool whole = pool != NULL && address != NULL;
-    if (whole) {
+    bool valid = pool != NULL && address != NULL;
+    if (valid) {
         entry->id = g_strdup(id);
         entry->pool = g_strdup(pool);
         entry->address = g_strdup(address);
@@ -230,5 +230,5 @@
         entry->born_ms = json_int_get(record, "born_ms", 0);
     }
     cJSON_Delete(record);
-    return whole;
+    return valid;
 }
--- a/egretjobd/store_route.c
+++ b/egretjobd/store_route.c
@@ -7,13 +7,19 @@
 #include "egretjobd/config_feed.h"
 
 enum {
-    /* One refusal may be the rate limit; two in a row are more. */
+    /* A single refusal may come from the rate limit; after two in a row calls
+     * are relayed. */
     REFUSALS_MAX = 2,
     STATUS_UNAVAILABLE = 503,
     STATUS_TOO_MANY_REQUESTS = 429,
     STATUS_RELAY_NO_ANSWER = 504,
 };
 
+/**
+ * struct store_route - route of this process's calls to the store
+ * @refusals: refused or unanswered direct calls in a row
+ * @relaying: calls go through @peer
+ */
 struct store_route {
     struct node *node;
     uint32_t refusals;
--- a/include/egretjobd/config_feed.h
+++ b/include/egretjobd/config_feed.h
@@ -30,8 +30,7 @@
 config_feed_fresh(const struct config_feed *feed);
 
 /** config_feed_out_of_service() - names of data centres that are out of
- * service; NULL-terminated.
- */
+ * service; NULL-terminated. */
 char **
 config_feed_out_of_service(const struct config_feed *feed);
 
@@ -39,9 +38,8 @@
 const GPtrArray *
 config_feed_waves(const struct config_feed *feed);
 
-/** config_feed_encode() - the operator's records as JSON for a peer that
- * can't read the store; g_free(); NULL if they are
- * not fresh. */
+/** config_feed_encode() - the operator's records as JSON for a peer that can't
+ * read the store; g_free(); NULL if they are not fresh. */
 char *
 config_feed_encode(const struct config_feed *feed);
 
--- a/include/egretjobd/frontend.h
+++ b/include/egretjobd/frontend.h
@@ -16,9 +16,8 @@
 frontend_config_changed(struct frontend *frontend,
                         const struct fleet_config *config);
 
-/** frontend_begin_shutdown() - fail the health check and close each
- * connection after its next reply.
- */
+/** frontend_begin_shutdown() - fail the health check and close each connection
+ * after its next reply. */
 void
 frontend_begin_shutdown(struct frontend *frontend);
 
--- a/include/egretjobd/job_queries.h
+++ b/include/egretjobd/job_queries.h
@@ -10,8 +10,8 @@
 void
 job_queries_destroy(struct job_queries *queries);
 
-/** job_queries_state() - state of a job: 200, 410 if there is no such job,
- * 503 if the store could not be read. */
+/** job_queries_state() - state of a job: 200, 410 if there is no such job, 503
+ * if the store could not be read. */
 void
 job_queries_state(struct job_queries *queries, const char *id,
                   struct job_reply reply);
--- a/include/egretjobd/leader.h
+++ b/include/egretjobd/leader.h
@@ -43,8 +43,8 @@
 leader_handle_call(struct leader *leader, const struct job_call *call,
                    struct job_reply reply);
 
-/** leader_longest_lease_ms() - longest lease that a backend server may
- * hold now. */
+/** leader_longest_lease_ms() - longest lease that a backend server may hold
+ * now. */
 int64_t
 leader_longest_lease_ms(const struct leader *leader);
 
--- a/include/egretjobd/leadership.h
+++ b/include/egretjobd/leadership.h
@@ -16,13 +16,12 @@
 void
 leadership_destroy(struct leadership *leadership);
 
-/** leadership_held() - whether this process is the leader, even if its
- * lease may have expired. */
+/** leadership_held() - whether this process is the leader, even if its lease
+ * may have expired. */
 bool
 leadership_held(const struct leadership *leadership);
 
-/** leadership_valid() - whether no other process can be the leader now.
- */
+/** leadership_valid() - whether no other process can be the leader now. */
 bool
 leadership_valid(const struct leadership *leadership);
 
@@ -45,8 +44,8 @@
 const char *
 leadership_leader_address(const struct leadership *leadership);
 
-/** leadership_lose() - give up leadership at once: another leader was found
- * or the lease ended. */
+/** leadership_lose() - give up leadership at once: another leader was found or
+ * the lease ended. */
 void
 leadership_lose(struct leadership *leadership, const char *why);
 
--- a/include/egretjobd/peers.h
+++ b/include/egretjobd/peers.h
@@ -6,8 +6,7 @@
 #include "egretjobd/node.h"
 #include "net/http_client.h"
 
-/** peers_create() - listen for peers; NULL if the address can't be
- * bound. */
+/** peers_create() - listen for peers; NULL if the address can't be bound. */
 struct peers *
 peers_create(struct node *node);
 void
--- a/include/egretjobd/records.h
+++ b/include/egretjobd/records.h
@@ -63,8 +63,8 @@
 bool
 record_progress_state(const char *value, size_t bytes, enum job_state *state);
 
-/** record_backend_encode() - value of a registered backend server; g_free().
- */
+/** record_backend_encode() - value of a registered backend server;
+ * g_free(). */
 char *
 record_backend_encode(const struct backend_entry *entry);
 
--- a/include/egretjobd/store_route.h
+++ b/include/egretjobd/store_route.h
@@ -17,8 +17,8 @@
 struct kv_route
 store_route_any(struct store_route *route);
 
-/** store_route_direct() - for calls that always go direct, and so detect
- * when the direct route works again. */
+/** store_route_direct() - for calls that always go direct, and so detect when
+ * the direct route works again. */
 struct kv_route
 store_route_direct(struct store_route *route);
 
