--- a/egretd/claims.c
+++ b/egretd/claims.c
@@ -3,7 +3,7 @@
 #include "common/log.h"
 #include "core/request_ids.h"
 #include "egretd/answer_codec.h"
-#include "egretd/id_asker.h"
+#include "egretd/id_querier.h"
 
 enum {
     KEPT_ANSWER_MAX_BYTES = 64 << 10,
--- a/egretd/id_asker.c
+++ b/egretd/id_querier.c
@@ -1,4 +1,4 @@
-#include "egretd/id_asker.h"
+#include "egretd/id_querier.h"
 
 #include "common/request_auth.h"
 #include "common/json_write.h"
--- a/egretd/membership.c
+++ b/egretd/membership.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "common/log.h"
-#include "egretd/ledger.h"
+#include "egretd/permit_accounts.h"
 #include "egretd/usage_report.h"
 
 enum {
--- a/egretd/ledger.c
+++ b/egretd/permit_accounts.c
@@ -1,10 +1,10 @@
-#include "egretd/ledger.h"
+#include "egretd/permit_accounts.h"
 
 #include <inttypes.h>
 #include <string.h>
 
 #include "common/log.h"
-#include "ledger_internal.h"
+#include "permit_accounts_internal.h"
 #include "permits_json.h"
 #include "store/store_keys.h"
 
--- a/egretd/ledger_internal.h
+++ b/egretd/permit_accounts_internal.h
@@ -1,11 +1,11 @@
 /* Parts of the ledger that share its state. */
-#ifndef EGRETD_LEDGER_INTERNAL_H
-#define EGRETD_LEDGER_INTERNAL_H
+#ifndef EGRETD_PERMIT_ACCOUNTS_INTERNAL_H
+#define EGRETD_PERMIT_ACCOUNTS_INTERNAL_H
 
 #include <glib.h>
 
 #include "core/permits.h"
-#include "egretd/ledger.h"
+#include "egretd/permit_accounts.h"
 
 /**
  * struct ledger_team - one team's permits
--- a/egretd/ledger_survey.c
+++ b/egretd/permit_accounts_scan.c
@@ -1,7 +1,7 @@
 #include <string.h>
 
 #include "common/log.h"
-#include "ledger_internal.h"
+#include "permit_accounts_internal.h"
 #include "members_json.h"
 #include "store/store_keys.h"
 
--- a/egretd/standing.c
+++ b/egretd/registration.c
@@ -1,11 +1,11 @@
-#include "egretd/standing.h"
+#include "egretd/registration.h"
 
 #include <inttypes.h>
 #include <string.h>
 
 #include "common/log.h"
 #include "members_json.h"
-#include "standing_internal.h"
+#include "registration_internal.h"
 
 enum {
     LEAVE_MAX_MS = 2000,
--- a/egretd/standing_internal.h
+++ b/egretd/registration_internal.h
@@ -1,6 +1,6 @@
 /* Parts of standing that share its state. */
-#ifndef EGRETD_STANDING_INTERNAL_H
-#define EGRETD_STANDING_INTERNAL_H
+#ifndef EGRETD_REGISTRATION_INTERNAL_H
+#define EGRETD_REGISTRATION_INTERNAL_H
 
 #include <glib.h>
 #include <stdbool.h>
@@ -8,7 +8,7 @@
 
 #include "core/freshness.h"
 #include "core/members.h"
-#include "egretd/standing.h"
+#include "egretd/registration.h"
 
 enum {
     BEATS_KEPT = 16,
--- a/egretd/standing_record.c
+++ b/egretd/registration_record.c
@@ -3,7 +3,7 @@
 
 #include "common/log.h"
 #include "members_json.h"
-#include "standing_internal.h"
+#include "registration_internal.h"
 #include "store/store_keys.h"
 
 enum {
--- a/include/egretd/claims.h
+++ b/include/egretd/claims.h
@@ -7,7 +7,7 @@
 
 #include "common/ms_clock.h"
 #include "egretd/request.h"
-#include "egretd/standing.h"
+#include "egretd/registration.h"
 
 enum {
     CLAIMS_MAX_ENTRIES = 100000,
--- a/include/egretd/engine.h
+++ b/include/egretd/engine.h
@@ -10,7 +10,7 @@
 #include "common/settings.h"
 #include "core/dispatch.h"
 #include "egretd/request.h"
-#include "egretd/standing.h"
+#include "egretd/registration.h"
 
 /** struct forward_target - where a gateway takes forwarded requests */
 struct forward_target {
--- a/include/egretd/gateway_status.h
+++ b/include/egretd/gateway_status.h
@@ -11,7 +11,7 @@
 #include "common/settings.h"
 #include "core/dispatch.h"
 #include "egretd/peers.h"
-#include "egretd/standing.h"
+#include "egretd/registration.h"
 #include "store/store.h"
 
 /** struct gateway_facts - state of the process at one moment */
--- a/include/egretd/id_asker.h
+++ b/include/egretd/id_querier.h
@@ -1,6 +1,6 @@
 /* Asks other gateways what they know of a request id. */
-#ifndef EGRETD_ID_ASKER_H
-#define EGRETD_ID_ASKER_H
+#ifndef EGRETD_ID_QUERIER_H
+#define EGRETD_ID_QUERIER_H
 
 #include <json-glib/json-glib.h>
 #include <libsoup/soup.h>
--- a/include/egretd/membership.h
+++ b/include/egretd/membership.h
@@ -8,7 +8,7 @@
 #include "egretd/config_feed.h"
 #include "egretd/engine.h"
 #include "egretd/peers.h"
-#include "egretd/standing.h"
+#include "egretd/registration.h"
 #include "store/store.h"
 
 /**
--- a/include/egretd/ledger.h
+++ b/include/egretd/permit_accounts.h
@@ -1,12 +1,12 @@
 /* Permits of teams held by this gateway, moved by CAS at the store. */
-#ifndef EGRETD_LEDGER_H
-#define EGRETD_LEDGER_H
+#ifndef EGRETD_PERMIT_ACCOUNTS_H
+#define EGRETD_PERMIT_ACCOUNTS_H
 
 #include "common/config.h"
 #include "common/counters.h"
 #include "common/ms_clock.h"
 #include "egretd/peers.h"
-#include "egretd/standing.h"
+#include "egretd/registration.h"
 #include "store/store.h"
 
 /**
--- a/include/egretd/standing.h
+++ b/include/egretd/registration.h
@@ -1,6 +1,6 @@
 /* Registration, renewal, support, fencing and reclaiming of gateways. */
-#ifndef EGRETD_STANDING_H
-#define EGRETD_STANDING_H
+#ifndef EGRETD_REGISTRATION_H
+#define EGRETD_REGISTRATION_H
 
 #include "common/counters.h"
 #include "common/ms_clock.h"
--- a/tests/standing/standing_test.c
+++ b/tests/standing/standing_test.c
@@ -3,7 +3,7 @@
 #include "../../egretd/members_json.h"
 #include "../store/store_process.h"
 #include "../suite.h"
-#include "egretd/ledger.h"
+#include "egretd/permit_accounts.h"
 #include "store/store_keys.h"
 #include "wait.h"
 
