--- a/egretd/claims.c
+++ b/egretd/claims.c
@@ -16,7 +16,7 @@
     int64_t *kept_bytes;
     char *self;
     struct request_ids *ids;
-    struct id_asker *asker;
+    struct id_querier *asker;
 };
 
 static int64_t
@@ -43,16 +43,16 @@
 static void
 ask(struct claims *claims, const char *team, const char *id, const char *peer)
 {
-    struct peer_address_text address = {""};
+    struct peer_http_address address = {""};
     /* A gateway whose address is not known is asked in vain, and the answer
      * still comes later than this call. */
     claims->options.find_peer(claims->options.ctx, peer, &address);
-    id_asker_ask(
+    id_querier_send(
         claims->asker,
-        &(struct id_question){
+        &(struct id_query){
             .address = address.text[0] == '\0' ? "127.0.0.1:1" : address.text,
             .peer = peer,
-            .asker = claims->self,
+            .querier = claims->self,
             .team = team,
             .id = id,
         });
@@ -106,7 +106,7 @@
         break;
     case REQUEST_SEND_ON:
         for (size_t i = 0; i < n_tasks; i++) {
-            claims->options.send_on(claims->options.ctx, tasks[i], peer);
+            claims->options.forward(claims->options.ctx, tasks[i], peer);
         }
         break;
     case REQUEST_ANSWER:
@@ -132,7 +132,7 @@
 }
 
 void
-claims_take(struct claims *claims, const struct request *request)
+claims_submit(struct claims *claims, const struct request *request)
 {
     struct request_decision decision;
     uint64_t task = request->task;
@@ -224,12 +224,12 @@
 }
 
 char *
-claims_asked(struct claims *claims, const char *team, const char *id,
-             const char *asker)
+claims_answer_query(struct claims *claims, const char *team, const char *id,
+                    const char *asker)
 {
     struct request_report report;
     request_ids_asked(claims->ids, team, id, asker, now_ms(claims), &report);
-    return id_report_build(&report);
+    return id_report_format(&report);
 }
 
 void
@@ -259,10 +259,10 @@
         .max_entries = CLAIMS_MAX_ENTRIES,
         .retention_ms = options->retention_ms,
     });
-    claims->asker = id_asker_create(&(struct id_asker_options){
+    claims->asker = id_querier_create(&(struct id_querier_options){
         .secret = options->secret,
         .timeout_ms = options->timeout_ms,
-        .told = on_told,
+        .reported = on_told,
         .ctx = claims,
     });
     return claims;
@@ -274,7 +274,7 @@
     if (claims == NULL) {
         return;
     }
-    id_asker_destroy(claims->asker);
+    id_querier_destroy(claims->asker);
     request_ids_destroy(claims->ids);
     g_rc_box_release(claims->kept_bytes);
     g_free(claims->self);
--- a/egretd/config_feed.c
+++ b/egretd/config_feed.c
@@ -405,8 +405,8 @@
 }
 
 bool
-config_feed_fill(const struct config_feed *feed, uint64_t have_generation,
-                 struct message *message)
+config_feed_make_message(const struct config_feed *feed,
+                         uint64_t have_generation, struct message *message)
 {
     if (feed->head == NULL) {
         return false;
--- a/egretd/engine.c
+++ b/egretd/engine.c
@@ -159,7 +159,7 @@
         return;
     }
     request->role = ROLE_WAIT;
-    claims_take(engine->claims, request);
+    claims_submit(engine->claims, request);
 }
 
 static struct request *
--- a/egretd/engine_claims.c
+++ b/egretd/engine_claims.c
@@ -58,7 +58,7 @@
 }
 
 static bool
-on_find_peer(void *ctx, const char *peer, struct peer_address_text *address)
+on_find_peer(void *ctx, const char *peer, struct peer_http_address *address)
 {
     struct engine *engine = ctx;
     struct forward_target target;
@@ -79,7 +79,7 @@
         .timeout_ms = engine->options.settings->connect_timeout_ms,
         .clock = engine->options.clock,
         .run = on_run,
-        .send_on = on_send_on,
+        .forward = on_send_on,
         .answer = on_answer,
         .find_peer = on_find_peer,
         .ctx = engine,
@@ -132,7 +132,7 @@
 engine_asked(struct engine *engine, const char *team, const char *id,
              const char *asker)
 {
-    return claims_asked(engine->claims, team, id, asker);
+    return claims_answer_query(engine->claims, team, id, asker);
 }
 
 bool
--- a/egretd/gateway.c
+++ b/egretd/gateway.c
@@ -90,7 +90,7 @@
 {
     struct gateway *gateway = ctx;
     return gateway->membership != NULL &&
-           membership_until_ms(gateway->membership) > now_ms(gateway);
+           membership_lease_until_ms(gateway->membership) > now_ms(gateway);
 }
 
 static bool
@@ -125,7 +125,7 @@
     struct gateway *gateway = ctx;
     dispatch_set_config(engine_dispatch(gateway->engine), config);
     if (gateway->membership != NULL) {
-        membership_config(gateway->membership, config);
+        membership_set_config(gateway->membership, config);
     }
     log_line(LOG_LEVEL_INFO, "config", "generation=%" G_GUINT64_FORMAT,
              config->generation);
@@ -238,7 +238,7 @@
         return;
     }
     facts->incarnation = membership_incarnation(gateway->membership);
-    facts->until_ms = membership_until_ms(gateway->membership);
+    facts->until_ms = membership_lease_until_ms(gateway->membership);
     facts->peers = membership_peers_stats(gateway->membership);
     facts->members = membership_members(gateway->membership, &facts->n_members,
                                         &facts->epoch);
--- a/egretd/id_querier.c
+++ b/egretd/id_querier.c
@@ -3,15 +3,15 @@
 #include "common/request_auth.h"
 #include "common/json_write.h"
 
-struct id_asker {
-    struct id_asker_options options;
+struct id_querier {
+    struct id_querier_options options;
     SoupSession *session;
     GHashTable *calls;
 };
 
 struct call {
     /* NULL once the asker is gone. */
-    struct id_asker *asker;
+    struct id_querier *asker;
     char *team;
     char *id;
     char *peer;
@@ -33,7 +33,7 @@
 }
 
 char *
-id_report_build(const struct request_report *report)
+id_report_format(const struct request_report *report)
 {
     JsonBuilder *builder = json_builder_new();
     json_builder_begin_object(builder);
@@ -112,11 +112,11 @@
 static void
 tell(struct call *call, const struct request_report *report)
 {
-    struct id_asker *asker = call->asker;
+    struct id_querier *asker = call->asker;
     if (asker != NULL) {
         g_hash_table_remove(asker->calls, call);
-        asker->options.told(asker->options.ctx, call->team, call->id,
-                            call->peer, report);
+        asker->options.reported(asker->options.ctx, call->team, call->id,
+                                call->peer, report);
     }
     call_destroy(call);
 }
@@ -155,17 +155,17 @@
 }
 
 void
-id_asker_ask(struct id_asker *asker, const struct id_question *question)
+id_querier_send(struct id_querier *asker, const struct id_query *question)
 {
     struct call *call = g_new0(struct call, 1);
     char *path =
         g_strdup_printf("/v1/ids/%s/%s", question->team, question->id);
     char *url = g_strdup_printf("http://%s%s", question->address, path);
     char *auth = request_auth_sign(asker->options.secret, SOUP_METHOD_GET,
-                                   path, question->asker);
+                                   path, question->querier);
     SoupMessage *message = soup_message_new(SOUP_METHOD_GET, url);
     SoupMessageHeaders *headers = soup_message_get_request_headers(message);
-    soup_message_headers_append(headers, "Egret-Asker", question->asker);
+    soup_message_headers_append(headers, "Egret-Asker", question->querier);
     soup_message_headers_append(headers, "Egret-Auth", auth);
     soup_message_headers_append(headers, "Connection", "close");
     soup_message_add_flags(message, SOUP_MESSAGE_NEW_CONNECTION);
@@ -186,10 +186,10 @@
     g_free(path);
 }
 
-struct id_asker *
-id_asker_create(const struct id_asker_options *options)
+struct id_querier *
+id_querier_create(const struct id_querier_options *options)
 {
-    struct id_asker *asker = g_new0(struct id_asker, 1);
+    struct id_querier *asker = g_new0(struct id_querier, 1);
     asker->options = *options;
     asker->calls = g_hash_table_new(NULL, NULL);
     asker->session =
@@ -198,7 +198,7 @@
 }
 
 void
-id_asker_destroy(struct id_asker *asker)
+id_querier_destroy(struct id_querier *asker)
 {
     if (asker == NULL) {
         return;
--- a/egretd/membership.c
+++ b/egretd/membership.c
@@ -15,8 +15,8 @@
     struct membership_options options;
     char *incarnation;
     struct peers *peers;
-    struct standing *standing;
-    struct ledger *ledger;
+    struct registration *registration;
+    struct permit_accounts *accounts;
     struct usage_report *usage;
     GArray *members;
     uint64_t epoch;
@@ -86,8 +86,8 @@
     membership->epoch = epoch;
     link_peers(membership);
     engine_set_members(membership->options.engine, members, n_members, epoch);
-    if (membership->ledger != NULL) {
-        ledger_set_members(membership->ledger, members, n_members);
+    if (membership->accounts != NULL) {
+        permit_accounts_set_members(membership->accounts, members, n_members);
     }
     log_line(LOG_LEVEL_INFO, "members",
              "epoch=%" G_GUINT64_FORMAT " count=%zu", epoch, n_members);
@@ -171,8 +171,8 @@
 {
     struct message message;
     if (config_feed_generation(membership->options.feed) <= have_generation ||
-        !config_feed_fill(membership->options.feed, have_generation,
-                          &message)) {
+        !config_feed_make_message(membership->options.feed, have_generation,
+                                  &message)) {
         return;
     }
     if (peer == NULL) {
@@ -192,7 +192,7 @@
     case MESSAGE_BEAT:
     case MESSAGE_BEAT_ACK:
     case MESSAGE_MEMBERS:
-        standing_message(membership->standing, peer, message);
+        registration_handle_message(membership->registration, peer, message);
         return;
     case MESSAGE_CONFIG:
         config_feed_offer(membership->options.feed, &message->as.config);
@@ -204,7 +204,7 @@
         usage_report_received(membership->usage, peer, &message->as.usage);
         return;
     case MESSAGE_PERMIT_WANT:
-        ledger_message(membership->ledger, peer, message);
+        permit_accounts_handle_request(membership->accounts, peer, message);
         return;
     default:
         return;
@@ -215,28 +215,29 @@
 on_up(void *ctx, const char *peer)
 {
     struct membership *membership = ctx;
-    standing_linked(membership->standing, peer);
+    registration_peer_linked(membership->registration, peer);
 }
 
 static void
 on_replaced(void *ctx, const char *incarnation)
 {
     struct membership *membership = ctx;
-    standing_replaced(membership->standing, incarnation);
+    registration_peer_replaced(membership->registration, incarnation);
 }
 
 static void
 on_reclaimed(void *ctx, const char *incarnation)
 {
     struct membership *membership = ctx;
-    standing_reclaimed(membership->standing, incarnation);
+    registration_permits_reclaimed(membership->registration, incarnation);
 }
 
 static void
 on_reclaim(void *ctx, const char *incarnation)
 {
     struct membership *membership = ctx;
-    ledger_reclaim(membership->ledger, incarnation, on_reclaimed, membership);
+    permit_accounts_reclaim(membership->accounts, incarnation, on_reclaimed,
+                            membership);
 }
 
 static void
@@ -272,58 +273,60 @@
 on_tick(void *data)
 {
     struct membership *membership = data;
-    ledger_tick(membership->ledger);
+    permit_accounts_tick(membership->accounts);
     return G_SOURCE_CONTINUE;
 }
 
 static void
-create_standing(struct membership *membership)
+create_registration(struct membership *membership)
 {
     const struct membership_options *options = &membership->options;
-    membership->standing = standing_create(&(struct standing_options){
-        .settings = options->settings,
-        .store = options->store,
-        .peers = membership->peers,
-        .counters = options->counters,
-        .clock = options->clock,
-        .incarnation = membership->incarnation,
-        .peer_port = peers_port(membership->peers),
-        .http_port = options->http_port,
-        .generation = on_generation,
-        .newer = on_newer,
-        .refresh = on_refresh,
-        .confirmed_ms = on_confirmed,
-        .longest_lease_ms = on_longest_lease,
-        .ctx = membership,
-        .listener =
-            {
-                .until = on_until,
-                .members = on_members,
-                .fenced = on_fenced,
-                .reclaim = on_reclaim,
-                .ctx = membership,
-            },
-    });
+    membership->registration =
+        registration_create(&(struct registration_options){
+            .settings = options->settings,
+            .store = options->store,
+            .peers = membership->peers,
+            .counters = options->counters,
+            .clock = options->clock,
+            .incarnation = membership->incarnation,
+            .peer_port = peers_port(membership->peers),
+            .http_port = options->http_port,
+            .generation = on_generation,
+            .newer_config = on_newer,
+            .refresh_config = on_refresh,
+            .config_confirmed_ms = on_confirmed,
+            .longest_task_lease_ms = on_longest_lease,
+            .ctx = membership,
+            .listener =
+                {
+                    .lease_changed = on_until,
+                    .members_changed = on_members,
+                    .fenced = on_fenced,
+                    .reclaim_permits = on_reclaim,
+                    .ctx = membership,
+                },
+        });
 }
 
 static void
-create_ledger(struct membership *membership)
+create_permit_accounts(struct membership *membership)
 {
     const struct membership_options *options = &membership->options;
-    membership->ledger = ledger_create(&(struct ledger_options){
-        .store = options->store,
-        .peers = membership->peers,
-        .counters = options->counters,
-        .clock = options->clock,
-        .incarnation = membership->incarnation,
-        .running = on_running,
-        .queued = on_queued,
-        .permits = on_permits,
-        .ctx = membership,
-    });
+    membership->accounts =
+        permit_accounts_create(&(struct permit_accounts_options){
+            .store = options->store,
+            .peers = membership->peers,
+            .counters = options->counters,
+            .clock = options->clock,
+            .incarnation = membership->incarnation,
+            .running = on_running,
+            .queued = on_queued,
+            .set_permits = on_permits,
+            .ctx = membership,
+        });
     const struct config *config = config_feed_current(options->feed);
     if (config != NULL) {
-        ledger_set_config(membership->ledger, config);
+        permit_accounts_set_config(membership->accounts, config);
     }
 }
 
@@ -345,7 +348,7 @@
             .secret = options->secret,
             .incarnation = membership->incarnation,
             .name = options->settings->name,
-            .silence_ms = options->settings->heartbeat_ms * SILENCE_BEATS,
+            .idle_timeout_ms = options->settings->heartbeat_ms * SILENCE_BEATS,
             .clock = options->clock,
             .handler =
                 {
@@ -366,8 +369,8 @@
         .peers = membership->peers,
         .clock = options->clock,
     });
-    create_ledger(membership);
-    create_standing(membership);
+    create_permit_accounts(membership);
+    create_registration(membership);
     membership->tick = g_timeout_add((guint)options->settings->heartbeat_ms,
                                      on_tick, membership);
     return membership;
@@ -382,8 +385,8 @@
     if (membership->tick != 0) {
         g_source_remove(membership->tick);
     }
-    standing_destroy(membership->standing);
-    ledger_destroy(membership->ledger);
+    registration_destroy(membership->registration);
+    permit_accounts_destroy(membership->accounts);
     usage_report_destroy(membership->usage);
     peers_destroy(membership->peers);
     g_array_unref(membership->members);
@@ -392,9 +395,10 @@
 }
 
 void
-membership_config(struct membership *membership, const struct config *config)
+membership_set_config(struct membership *membership,
+                      const struct config *config)
 {
-    ledger_set_config(membership->ledger, config);
+    permit_accounts_set_config(membership->accounts, config);
     /* Who is further behind asks after the next beat. */
     send_config(membership, NULL, config->generation - 1);
 }
@@ -416,7 +420,7 @@
 }
 
 int64_t
-membership_until_ms(const struct membership *membership)
+membership_lease_until_ms(const struct membership *membership)
 {
     return membership->until_ms;
 }
@@ -439,15 +443,15 @@
 struct peers_stats
 membership_peers_stats(const struct membership *membership)
 {
-    return peers_stats_get(membership->peers);
+    return peers_get_stats(membership->peers);
 }
 
 static void
 on_released(void *ctx)
 {
     struct membership *membership = ctx;
-    standing_leave(membership->standing, membership->left,
-                   membership->left_ctx);
+    registration_leave(membership->registration, membership->left,
+                       membership->left_ctx);
 }
 
 void
@@ -456,5 +460,5 @@
 {
     membership->left = done;
     membership->left_ctx = ctx;
-    ledger_release(membership->ledger, on_released, membership);
+    permit_accounts_release(membership->accounts, on_released, membership);
 }
--- a/egretd/peer_targets.c
+++ b/egretd/peer_targets.c
@@ -69,7 +69,7 @@
     target->dialled_at_ms = now_ms;
     target->dial_ms = now_ms + target->backoff_ms;
     target->backoff_ms =
-        MIN(2 * target->backoff_ms, peers->options.silence_ms);
+        MIN(2 * target->backoff_ms, peers->options.idle_timeout_ms);
     struct dial *dial = g_new0(struct dial, 1);
     dial->target = target;
     dial->cancellable = g_object_ref(target->dialling);
@@ -92,7 +92,8 @@
         return true;
     }
     /* The other end should have dialled; perhaps its way here is cut. */
-    return now_ms - target->down_since_ms >= 2 * peers->options.silence_ms;
+    return now_ms - target->down_since_ms >=
+           2 * peers->options.idle_timeout_ms;
 }
 
 static bool
@@ -118,7 +119,7 @@
         target->down_since_ms = now_ms;
     }
     if (target->dialling != NULL &&
-        now_ms - target->dialled_at_ms >= peers->options.silence_ms) {
+        now_ms - target->dialled_at_ms >= peers->options.idle_timeout_ms) {
         g_cancellable_cancel(target->dialling);
         g_clear_object(&target->dialling);
     }
--- a/egretd/peers.c
+++ b/egretd/peers.c
@@ -157,7 +157,7 @@
 static void
 drop_silent(struct peers *peers, int64_t now_ms)
 {
-    int64_t oldest_ms = now_ms - peers->options.silence_ms;
+    int64_t oldest_ms = now_ms - peers->options.idle_timeout_ms;
     struct peer_link *link = find_silent(peers, oldest_ms);
     while (link != NULL) {
         peer_link_close(link);
@@ -240,7 +240,8 @@
         peers_destroy(peers);
         return NULL;
     }
-    int64_t tick_ms = CLAMP(options->silence_ms / 8, TICK_MIN_MS, TICK_MAX_MS);
+    int64_t tick_ms =
+        CLAMP(options->idle_timeout_ms / 8, TICK_MIN_MS, TICK_MAX_MS);
     peers->tick = g_timeout_add((guint)tick_ms, tick, peers);
     return peers;
 }
@@ -360,7 +361,7 @@
 }
 
 struct peers_stats
-peers_stats_get(const struct peers *peers)
+peers_get_stats(const struct peers *peers)
 {
     return (struct peers_stats){
         .linked = g_hash_table_size(peers->links),
--- a/egretd/permit_accounts_internal.h
+++ b/egretd/permit_accounts_internal.h
@@ -1,4 +1,4 @@
-/* Parts of the ledger that share its state. */
+/* Parts of the accounts that share its state. */
 #ifndef EGRETD_PERMIT_ACCOUNTS_INTERNAL_H
 #define EGRETD_PERMIT_ACCOUNTS_INTERNAL_H
 
@@ -8,14 +8,14 @@
 #include "egretd/permit_accounts.h"
 
 /**
- * struct ledger_team - one team's permits
+ * struct permit_account - one team's permits
  * @busy: a call to the store about it is under way
  * @applied: permits last told to the dispatcher
  * @asked: number of the last request to a peer, turns through the holders
  * @asked_ms: when it was made
  */
-struct ledger_team {
-    struct ledger *ledger;
+struct permit_account {
+    struct permit_accounts *accounts;
     char *name;
     struct permits *permits;
     bool busy;
@@ -24,15 +24,15 @@
     int64_t asked_ms;
 };
 
-/** struct ledger_reclaim - a gateway whose permits may move */
-struct ledger_reclaim {
+/** struct permit_reclaim - a gateway whose permits may move */
+struct permit_reclaim {
     char *incarnation;
     void (*done)(void *ctx, const char *incarnation);
     void *ctx;
 };
 
 /**
- * struct ledger - see the header
+ * struct permit_accounts - see the header
  * @closed: destroyed by its owner
  * @by_name: teams by name; @teams: the same in a fixed order
  * @next: team that the next heartbeat begins with
@@ -42,8 +42,8 @@
  * @survey_due: something happened that any record may reflect
  * @suspects: holders that are no members, being looked up
  */
-struct ledger {
-    struct ledger_options options;
+struct permit_accounts {
+    struct permit_accounts_options options;
     char *incarnation;
     bool closed;
     uint64_t generation;
@@ -65,43 +65,48 @@
     void *released_ctx;
 };
 
-/** ledger_callback() - callback that keeps @ledger until it is called; it
- * gets @ctx, which lives as long as the ledger. */
+/** permit_account_callback() - callback that keeps @accounts until it is
+ * called; it gets @ctx, which lives as long as the accounts. */
 struct store_callback
-ledger_callback(struct ledger_team *team,
-                void (*done)(void *ctx, const struct store_result *result));
+permit_account_callback(struct permit_account *team,
+                        void (*done)(void *ctx,
+                                     const struct store_result *result));
 struct store_callback
-ledger_own_callback(struct ledger *ledger,
-                    void (*done)(void *ctx,
-                                 const struct store_result *result));
+permit_accounts_callback(struct permit_accounts *accounts,
+                         void (*done)(void *ctx,
+                                      const struct store_result *result));
 
-/** ledger_call_ended() - drop what a callback kept; false when the owner is
- * gone and the result must be ignored. */
+/** permit_accounts_call_ended() - drop what a callback kept; false when the
+ * owner is gone and the result must be ignored. */
 bool
-ledger_call_ended(struct ledger *ledger);
+permit_accounts_call_ended(struct permit_accounts *accounts);
 
-/** ledger_team() - team by name, made when it is new. */
-struct ledger_team *
-ledger_team(struct ledger *ledger, const char *name);
+/** permit_accounts_get() - team by name, made when it is new. */
+struct permit_account *
+permit_accounts_get(struct permit_accounts *accounts, const char *name);
 
-/** ledger_apply() - tell the dispatcher what is usable, if it changed. */
+/** permit_account_apply() - tell the dispatcher what is usable, if it changed.
+ */
 void
-ledger_apply(struct ledger_team *team);
+permit_account_apply(struct permit_account *team);
 
-/** ledger_fleet() - facts for the decisions about permits. */
+/** permit_accounts_fleet() - facts for the decisions about permits. */
 struct permits_fleet
-ledger_fleet(struct ledger *ledger);
+permit_accounts_fleet(struct permit_accounts *accounts);
 
-/** ledger_is_member() - whether @incarnation is registered and not fenced. */
+/** permit_accounts_is_member() - whether @incarnation is registered and not
+ * fenced. */
 bool
-ledger_is_member(const struct ledger *ledger, const char *incarnation);
+permit_accounts_is_member(const struct permit_accounts *accounts,
+                          const char *incarnation);
 
-/** ledger_survey() - read all records when that is due. */
+/** permit_accounts_scan() - read all records when that is due. */
 void
-ledger_survey(struct ledger *ledger);
+permit_accounts_scan(struct permit_accounts *accounts);
 
-/** ledger_team_read() - take a record that came from the store. */
+/** permit_account_take_record() - take a record that came from the store. */
 void
-ledger_team_read(struct ledger_team *team, const struct store_entry *entry);
+permit_account_take_record(struct permit_account *team,
+                           const struct store_entry *entry);
 
 #endif
--- a/egretd/permit_accounts_scan.c
+++ b/egretd/permit_accounts_scan.c
@@ -17,24 +17,25 @@
 }
 
 static void
-suspect_holders(struct ledger *ledger, const struct permits_record *record)
+suspect_holders(struct permit_accounts *accounts,
+                const struct permits_record *record)
 {
     for (size_t i = 0; record != NULL && i < record->n_holdings; i++) {
         const char *holder = record->holdings[i].incarnation;
-        if (!ledger_is_member(ledger, holder) &&
-            !g_hash_table_contains(ledger->reclaims, holder) &&
-            !g_ptr_array_find_with_equal_func(ledger->suspects, holder,
+        if (!permit_accounts_is_member(accounts, holder) &&
+            !g_hash_table_contains(accounts->reclaims, holder) &&
+            !g_ptr_array_find_with_equal_func(accounts->suspects, holder,
                                               g_str_equal, NULL)) {
-            g_ptr_array_add(ledger->suspects, g_strdup(holder));
+            g_ptr_array_add(accounts->suspects, g_strdup(holder));
         }
     }
 }
 
 static bool
-is_held(const struct ledger *ledger, const char *incarnation)
+is_held(const struct permit_accounts *accounts, const char *incarnation)
 {
-    for (guint i = 0; i < ledger->teams->len; i++) {
-        const struct ledger_team *team = ledger->teams->pdata[i];
+    for (guint i = 0; i < accounts->teams->len; i++) {
+        const struct permit_account *team = accounts->teams->pdata[i];
         if (permits_holds(team->permits, incarnation)) {
             return true;
         }
@@ -45,7 +46,7 @@
 static gboolean
 finish_reclaim(void *key, void *value, void *ctx)
 {
-    struct ledger_reclaim *reclaim = value;
+    struct permit_reclaim *reclaim = value;
     if (is_held(ctx, reclaim->incarnation)) {
         return FALSE;
     }
@@ -58,14 +59,15 @@
 }
 
 static void
-reclaim_strays(struct ledger *ledger, const struct members_record *record)
+reclaim_strays(struct permit_accounts *accounts,
+               const struct members_record *record)
 {
-    for (guint i = 0; i < ledger->suspects->len; i++) {
-        const char *holder = ledger->suspects->pdata[i];
+    for (guint i = 0; i < accounts->suspects->len; i++) {
+        const char *holder = accounts->suspects->pdata[i];
         if (members_record_find(record, holder) == NULL) {
             log_line(LOG_LEVEL_WARN, "stray-permits", "incarnation=%s",
                      log_quote(holder));
-            ledger_reclaim(ledger, holder, NULL, NULL);
+            permit_accounts_reclaim(accounts, holder, NULL, NULL);
         }
     }
 }
@@ -78,9 +80,9 @@
 static void
 on_members_read(void *ctx, const struct store_result *result)
 {
-    struct ledger *ledger = ctx;
-    ledger->looking_up = false;
-    if (!ledger_call_ended(ledger)) {
+    struct permit_accounts *accounts = ctx;
+    accounts->looking_up = false;
+    if (!permit_accounts_call_ended(accounts)) {
         return;
     }
     if (result->n_entries > 0) {
@@ -89,37 +91,38 @@
         struct members_record *record = members_json_parse(
             result->entries[0].value, result->entries[0].size_bytes, &status);
         if (record != NULL) {
-            reclaim_strays(ledger, record);
+            reclaim_strays(accounts, record);
         }
         members_record_destroy(record);
     }
-    g_ptr_array_set_size(ledger->suspects, 0);
+    g_ptr_array_set_size(accounts->suspects, 0);
 }
 
 static void
-look_up_suspects(struct ledger *ledger)
+look_up_suspects(struct permit_accounts *accounts)
 {
-    if (ledger->suspects->len == 0 || ledger->looking_up) {
+    if (accounts->suspects->len == 0 || accounts->looking_up) {
         return;
     }
-    ledger->looking_up = true;
-    store_get(ledger->options.store, STORE_KEY_MEMBERS,
-              ledger_own_callback(ledger, on_members_read));
+    accounts->looking_up = true;
+    store_get(accounts->options.store, STORE_KEY_MEMBERS,
+              permit_accounts_callback(accounts, on_members_read));
 }
 
 static void
-take_records(struct ledger *ledger, const struct store_result *result)
+take_records(struct permit_accounts *accounts,
+             const struct store_result *result)
 {
     for (size_t i = 0; i < result->n_entries; i++) {
         const char *name = team_of_key(result->entries[i].key);
         if (name != NULL) {
-            struct ledger_team *team = ledger_team(ledger, name);
-            ledger_team_read(team, &result->entries[i]);
-            suspect_holders(ledger, permits_record(team->permits));
+            struct permit_account *team = permit_accounts_get(accounts, name);
+            permit_account_take_record(team, &result->entries[i]);
+            suspect_holders(accounts, permits_record(team->permits));
         }
     }
-    for (guint i = 0; i < ledger->teams->len; i++) {
-        struct ledger_team *team = ledger->teams->pdata[i];
+    for (guint i = 0; i < accounts->teams->len; i++) {
+        struct permit_account *team = accounts->teams->pdata[i];
         if (permits_record(team->permits) == NULL) {
             permits_read(team->permits, NULL, 0);
         }
@@ -129,39 +132,39 @@
 static void
 on_surveyed(void *ctx, const struct store_result *result)
 {
-    struct ledger *ledger = ctx;
-    ledger->surveying = false;
-    if (!ledger_call_ended(ledger)) {
+    struct permit_accounts *accounts = ctx;
+    accounts->surveying = false;
+    if (!permit_accounts_call_ended(accounts)) {
         return;
     }
     if (!status_ok(&result->status) &&
         result->status.code != STATUS_NOT_FOUND) {
-        ledger->survey_due = true;
+        accounts->survey_due = true;
         return;
     }
-    take_records(ledger, result);
+    take_records(accounts, result);
     /* Teams that came while this read was under way wait for the next. */
-    ledger->surveyed = !ledger->survey_due;
-    if (!ledger->looking_up) {
-        look_up_suspects(ledger);
+    accounts->surveyed = !accounts->survey_due;
+    if (!accounts->looking_up) {
+        look_up_suspects(accounts);
     }
-    g_hash_table_foreach_remove(ledger->reclaims, finish_reclaim, ledger);
+    g_hash_table_foreach_remove(accounts->reclaims, finish_reclaim, accounts);
 }
 
 static bool
-is_due(const struct ledger *ledger, int64_t now_ms)
+is_due(const struct permit_accounts *accounts, int64_t now_ms)
 {
-    if (ledger->survey_due || now_ms - ledger->surveyed_ms >= SURVEY_MS) {
+    if (accounts->survey_due || now_ms - accounts->surveyed_ms >= SURVEY_MS) {
         return true;
     }
-    if (g_hash_table_size(ledger->reclaims) == 0) {
+    if (g_hash_table_size(accounts->reclaims) == 0) {
         return false;
     }
     GHashTableIter iter;
     void *incarnation;
-    g_hash_table_iter_init(&iter, ledger->reclaims);
+    g_hash_table_iter_init(&iter, accounts->reclaims);
     while (g_hash_table_iter_next(&iter, &incarnation, NULL)) {
-        if (!is_held(ledger, incarnation)) {
+        if (!is_held(accounts, incarnation)) {
             return true;
         }
     }
@@ -169,15 +172,15 @@
 }
 
 void
-ledger_survey(struct ledger *ledger)
+permit_accounts_scan(struct permit_accounts *accounts)
 {
-    int64_t now_ms = ms_clock_now(&ledger->options.clock);
-    if (ledger->surveying || !is_due(ledger, now_ms)) {
+    int64_t now_ms = ms_clock_now(&accounts->options.clock);
+    if (accounts->surveying || !is_due(accounts, now_ms)) {
         return;
     }
-    ledger->surveying = true;
-    ledger->survey_due = false;
-    ledger->surveyed_ms = now_ms;
-    store_get(ledger->options.store, STORE_KEY_PERMITS,
-              ledger_own_callback(ledger, on_surveyed));
+    accounts->surveying = true;
+    accounts->survey_due = false;
+    accounts->surveyed_ms = now_ms;
+    store_get(accounts->options.store, STORE_KEY_PERMITS,
+              permit_accounts_callback(accounts, on_surveyed));
 }
--- a/egretd/registration.c
+++ b/egretd/registration.c
@@ -12,102 +12,107 @@
 };
 
 int64_t
-standing_now(const struct standing *standing)
+registration_now(const struct registration *registration)
 {
-    return ms_clock_now(&standing->options.clock);
+    return ms_clock_now(&registration->options.clock);
 }
 
 static void
-standing_clear(void *data)
+registration_clear(void *data)
 {
-    struct standing *standing = data;
-    members_destroy(standing->members);
-    freshness_destroy(standing->freshness);
-    members_record_destroy(standing->record.proposal);
-    g_hash_table_unref(standing->handed);
-    g_free(standing->record.clearing);
-    g_free(standing->renewal.key);
-    g_free(standing->incarnation);
+    struct registration *registration = data;
+    members_destroy(registration->members);
+    freshness_destroy(registration->freshness);
+    members_record_destroy(registration->record.proposal);
+    g_hash_table_unref(registration->handed);
+    g_free(registration->record.clearing);
+    g_free(registration->renewal.key);
+    g_free(registration->incarnation);
 }
 
-/* Each call to the store that is under way keeps the standing. */
+/* Each call to the store that is under way keeps the registration. */
 static void
-standing_unref(struct standing *standing)
+registration_unref(struct registration *registration)
 {
-    g_rc_box_release_full(standing, standing_clear);
+    g_rc_box_release_full(registration, registration_clear);
 }
 
 static void
 on_dropped(void *ctx)
 {
-    standing_unref(ctx);
+    registration_unref(ctx);
 }
 
 struct store_callback
-standing_callback(struct standing *standing,
-                  void (*done)(void *ctx, const struct store_result *result))
+registration_callback(struct registration *registration,
+                      void (*done)(void *ctx,
+                                   const struct store_result *result))
 {
-    g_rc_box_acquire(standing);
+    g_rc_box_acquire(registration);
     return (struct store_callback){
         .done = done,
         .abandoned = on_dropped,
-        .ctx = standing,
+        .ctx = registration,
     };
 }
 
 bool
-standing_call_ended(struct standing *standing)
+registration_call_ended(struct registration *registration)
 {
-    bool closed = standing->closed;
-    standing_unref(standing);
+    bool closed = registration->closed;
+    registration_unref(registration);
     return !closed;
 }
 
 /* A renewal shows that nobody has fenced this incarnation, not that its
  * configuration is still the newest. */
 static void
-count_renewal(struct standing *standing)
+count_renewal(struct registration *registration)
 {
-    const struct standing_options *options = &standing->options;
-    if (options->confirmed_ms(options->ctx) >= standing->confirm_ms) {
-        freshness_renewed(standing->freshness, standing->renewal.renewed_ms);
+    const struct registration_options *options = &registration->options;
+    if (options->config_confirmed_ms(options->ctx) >=
+        registration->confirm_ms) {
+        freshness_renewed(registration->freshness,
+                          registration->renewal.renewed_ms);
     }
 }
 
 static void
-require_confirmation(struct standing *standing)
+require_confirmation(struct registration *registration)
 {
-    standing->confirm_ms = standing_now(standing);
-    standing->options.refresh(standing->options.ctx);
+    registration->confirm_ms = registration_now(registration);
+    registration->options.refresh_config(registration->options.ctx);
 }
 
 static void
-tell_until(struct standing *standing)
-{
-    count_renewal(standing);
-    int64_t until_ms = freshness_until_ms(standing->freshness);
-    if (until_ms != standing->until_ms) {
-        standing->until_ms = until_ms;
-        standing->options.listener.until(standing->options.listener.ctx,
-                                         until_ms);
+tell_until(struct registration *registration)
+{
+    count_renewal(registration);
+    int64_t until_ms = freshness_until_ms(registration->freshness);
+    if (until_ms != registration->until_ms) {
+        registration->until_ms = until_ms;
+        registration->options.listener.lease_changed(
+            registration->options.listener.ctx, until_ms);
     }
 }
 
 void
-standing_fence(struct standing *standing)
-{
-    freshness_fence(standing->freshness);
-    tell_until(standing);
-    if (!standing->told_fenced && !standing->leaving) {
-        standing->told_fenced = true;
-        standing->options.listener.fenced(standing->options.listener.ctx);
+registration_fence(struct registration *registration)
+{
+    freshness_fence(registration->freshness);
+    tell_until(registration);
+    if (!registration->told_fenced && !registration->leaving) {
+        registration->told_fenced = true;
+        registration->options.listener.fenced(
+            registration->options.listener.ctx);
     }
 }
 
 static void
-tell_members(struct standing *standing)
+tell_members(struct registration *registration)
 {
-    const struct members_record *record = members_current(standing->members);
+    const struct members_record *record =
+        members_current(registration->members);
     struct gateway_member *members =
         g_new0(struct gateway_member, record->n_entries);
     for (size_t i = 0; i < record->n_entries; i++) {
@@ -122,15 +127,17 @@
             .live = entry->state == MEMBERS_LIVE,
         };
     }
-    standing->options.listener.members(standing->options.listener.ctx, members,
-                                       record->n_entries, record->epoch);
+    registration->options.listener.members_changed(
+        registration->options.listener.ctx, members, record->n_entries,
+        record->epoch);
     g_free(members);
 }
 
 static void
-follow_voters(struct standing *standing)
+follow_voters(struct registration *registration)
 {
-    const struct members_record *record = members_current(standing->members);
+    const struct members_record *record =
+        members_current(registration->members);
     const char **voters = g_new0(const char *, record->n_entries);
     size_t n_voters = 0;
     for (size_t i = 0; i < record->n_entries; i++) {
@@ -138,82 +145,87 @@
             voters[n_voters++] = record->entries[i].incarnation;
         }
     }
-    freshness_set_voters(standing->freshness, voters, n_voters);
+    freshness_set_voters(registration->freshness, voters, n_voters);
     g_free(voters);
 }
 
 static struct message
-make_beat(struct standing *standing)
+make_beat(struct registration *registration)
 {
-    int64_t now_ms = standing_now(standing);
-    uint64_t number = ++standing->beat_number;
-    standing->beat_asked_ms[number % BEATS_KEPT] = now_ms;
-    freshness_supported(standing->freshness, standing->incarnation, now_ms);
+    int64_t now_ms = registration_now(registration);
+    uint64_t number = ++registration->beat_number;
+    registration->beat_asked_ms[number % BEATS_KEPT] = now_ms;
+    freshness_supported(registration->freshness, registration->incarnation,
+                        now_ms);
     return (struct message){
         .type = MESSAGE_BEAT,
         .as.beat = {.number = number,
-                    .generation =
-                        standing->options.generation(standing->options.ctx),
-                    .epoch = members_current(standing->members)->epoch},
+                    .generation = registration->options.generation(
+                        registration->options.ctx),
+                    .epoch = members_current(registration->members)->epoch},
     };
 }
 
 static void
-send_beats(struct standing *standing)
+send_beats(struct registration *registration)
 {
-    struct message beat = make_beat(standing);
-    peers_broadcast(standing->options.peers, &beat);
+    struct message beat = make_beat(registration);
+    peers_broadcast(registration->options.peers, &beat);
 }
 
 void
-standing_linked(struct standing *standing, const char *peer)
+registration_peer_linked(struct registration *registration, const char *peer)
 {
-    struct message beat = make_beat(standing);
-    peers_send(standing->options.peers, peer, &beat);
+    struct message beat = make_beat(registration);
+    peers_send(registration->options.peers, peer, &beat);
 }
 
 void
-standing_take(struct standing *standing, const struct members_record *record)
+registration_take(struct registration *registration,
+                  const struct members_record *record)
 {
-    if (!members_take(standing->members, record, standing_now(standing))) {
+    if (!members_take(registration->members, record,
+                      registration_now(registration))) {
         return;
     }
-    follow_voters(standing);
-    if (members_fenced(standing->members)) {
-        standing_fence(standing);
+    follow_voters(registration);
+    if (members_fenced(registration->members)) {
+        registration_fence(registration);
     }
-    tell_members(standing);
+    tell_members(registration);
     /* Peers learn at once that this gateway knows the new epoch. */
-    send_beats(standing);
+    send_beats(registration);
 }
 
 static void
-hand_over_reclaims(struct standing *standing)
+hand_over_reclaims(struct registration *registration)
 {
-    const struct members_record *record = members_current(standing->members);
+    const struct members_record *record =
+        members_current(registration->members);
     int64_t lease_ms =
-        standing->options.longest_lease_ms(standing->options.ctx);
-    lease_ms = MAX(lease_ms, standing->renewal.lease_ms);
+        registration->options.longest_task_lease_ms(registration->options.ctx);
+    lease_ms = MAX(lease_ms, registration->renewal.lease_ms);
     for (size_t i = 0; i < record->n_entries; i++) {
         const char *incarnation = record->entries[i].incarnation;
-        if (g_hash_table_contains(standing->handed, incarnation) ||
-            !members_reclaimable(standing->members, incarnation, lease_ms,
-                                 standing_now(standing))) {
+        if (g_hash_table_contains(registration->handed, incarnation) ||
+            !members_reclaimable(registration->members, incarnation, lease_ms,
+                                 registration_now(registration))) {
             continue;
         }
-        g_hash_table_add(standing->handed, g_strdup(incarnation));
+        g_hash_table_add(registration->handed, g_strdup(incarnation));
         log_line(LOG_LEVEL_INFO, "reclaim", "incarnation=%s",
                  log_quote(incarnation));
-        standing->options.listener.reclaim(standing->options.listener.ctx,
-                                           incarnation);
+        registration->options.listener.reclaim_permits(
+            registration->options.listener.ctx, incarnation);
     }
 }
 
 static void
-tell_counters(struct standing *standing)
+tell_counters(struct registration *registration)
 {
-    struct counters *counters = standing->options.counters;
-    const struct members_record *record = members_current(standing->members);
+    struct counters *counters = registration->options.counters;
+    const struct members_record *record =
+        members_current(registration->members);
     size_t n_live = 0;
     for (size_t i = 0; i < record->n_entries; i++) {
         n_live += record->entries[i].state == MEMBERS_LIVE;
@@ -224,123 +236,127 @@
     counters_set(counters, "egret_members", "state=\"other\"",
                  (int64_t)(record->n_entries - n_live));
     counters_set(counters, "egret_standing", NULL,
-                 standing->until_ms > standing_now(standing));
+                 registration->until_ms > registration_now(registration));
 }
 
 void
-standing_advance(struct standing *standing)
+registration_advance(struct registration *registration)
 {
-    if (standing->closed) {
+    if (registration->closed) {
         return;
     }
-    tell_until(standing);
-    bool gone = members_fenced(standing->members);
-    if (gone && standing->leaving && !standing->renewal.deleting) {
-        standing_renewal_delete(standing);
+    tell_until(registration);
+    bool gone = members_fenced(registration->members);
+    if (gone && registration->leaving && !registration->renewal.deleting) {
+        registration_renewal_delete(registration);
     }
-    if (gone || standing->told_fenced) {
+    if (gone || registration->told_fenced) {
         return;
     }
-    standing_record_write(standing);
-    hand_over_reclaims(standing);
+    registration_record_write(registration);
+    hand_over_reclaims(registration);
 }
 
 static gboolean
 on_tick(void *ctx)
 {
-    struct standing *standing = ctx;
-    int64_t now_ms = standing_now(standing);
-    int64_t gap_ms = now_ms - standing->ticked_ms;
-    standing->ticked_ms = now_ms;
-    const struct standing_options *options = &standing->options;
+    struct registration *registration = ctx;
+    int64_t now_ms = registration_now(registration);
+    int64_t gap_ms = now_ms - registration->ticked_ms;
+    registration->ticked_ms = now_ms;
+    const struct registration_options *options = &registration->options;
     if (gap_ms >= options->settings->support_ms / 2) {
-        require_confirmation(standing);
+        require_confirmation(registration);
     }
-    else if (options->confirmed_ms(options->ctx) < standing->confirm_ms) {
-        options->refresh(options->ctx);
+    else if (options->config_confirmed_ms(options->ctx) <
+             registration->confirm_ms) {
+        options->refresh_config(options->ctx);
     }
-    send_beats(standing);
-    if (!standing->told_fenced) {
-        standing_renewal_send(standing);
-        standing_record_poll(standing);
+    send_beats(registration);
+    if (!registration->told_fenced) {
+        registration_renewal_send(registration);
+        registration_record_poll(registration);
     }
-    if (members_unheard(standing->members, standing_now(standing))) {
-        standing_renewal_read_others(standing);
+    if (members_unheard(registration->members,
+                        registration_now(registration))) {
+        registration_renewal_read_others(registration);
     }
-    standing_advance(standing);
-    tell_counters(standing);
+    registration_advance(registration);
+    tell_counters(registration);
     return G_SOURCE_CONTINUE;
 }
 
 static void
-push_record(struct standing *standing, const char *peer)
+push_record(struct registration *registration, const char *peer)
 {
-    const struct members_record *record = members_current(standing->members);
+    const struct members_record *record =
+        members_current(registration->members);
     struct message message = {
         .type = MESSAGE_MEMBERS,
         .as.members = {.epoch = record->epoch,
                        .record = members_json_format(record)},
     };
-    peers_send(standing->options.peers, peer, &message);
+    peers_send(registration->options.peers, peer, &message);
     message_clear(&message);
 }
 
 static void
-note_peer(struct standing *standing, const char *peer,
+note_peer(struct registration *registration, const char *peer,
           const struct message_beat *beat)
 {
-    members_heard(standing->members, peer, beat->epoch,
-                  standing_now(standing));
-    uint64_t generation = standing->options.generation(standing->options.ctx);
+    members_heard(registration->members, peer, beat->epoch,
+                  registration_now(registration));
+    uint64_t generation =
+        registration->options.generation(registration->options.ctx);
     if (beat->generation > generation) {
-        standing->options.newer(standing->options.ctx, peer);
+        registration->options.newer_config(registration->options.ctx, peer);
     }
 }
 
 static void
-on_beat(struct standing *standing, const char *peer,
+on_beat(struct registration *registration, const char *peer,
         const struct message_beat *beat)
 {
-    note_peer(standing, peer, beat);
-    uint64_t epoch = members_current(standing->members)->epoch;
+    note_peer(registration, peer, beat);
+    uint64_t epoch = members_current(registration->members)->epoch;
     struct message answer = {
         .type = MESSAGE_BEAT_ACK,
         .as.beat = {.number = beat->number,
-                    .generation =
-                        standing->options.generation(standing->options.ctx),
+                    .generation = registration->options.generation(
+                        registration->options.ctx),
                     .epoch = epoch,
-                    .supports = members_supports(standing->members, peer,
+                    .supports = members_supports(registration->members, peer,
                                                  beat->epoch)},
     };
-    peers_send(standing->options.peers, peer, &answer);
+    peers_send(registration->options.peers, peer, &answer);
     if (beat->epoch < epoch) {
-        push_record(standing, peer);
+        push_record(registration, peer);
     }
-    standing_advance(standing);
+    registration_advance(registration);
 }
 
 static void
-on_beat_ack(struct standing *standing, const char *peer,
+on_beat_ack(struct registration *registration, const char *peer,
             const struct message_beat *beat)
 {
-    note_peer(standing, peer, beat);
-    bool recent = beat->number <= standing->beat_number &&
-                  standing->beat_number - beat->number < BEATS_KEPT;
+    note_peer(registration, peer, beat);
+    bool recent = beat->number <= registration->beat_number &&
+                  registration->beat_number - beat->number < BEATS_KEPT;
     bool current = beat->generation <=
-                   standing->options.generation(standing->options.ctx);
+                   registration->options.generation(registration->options.ctx);
     if (beat->supports && recent && current) {
         freshness_supported(
-            standing->freshness, peer,
-            standing->beat_asked_ms[beat->number % BEATS_KEPT]);
+            registration->freshness, peer,
+            registration->beat_asked_ms[beat->number % BEATS_KEPT]);
     }
-    standing_advance(standing);
+    registration_advance(registration);
 }
 
 static void
-on_pushed_record(struct standing *standing,
+on_pushed_record(struct registration *registration,
                  const struct message_members *members)
 {
-    if (members->epoch <= members_current(standing->members)->epoch) {
+    if (members->epoch <= members_current(registration->members)->epoch) {
         return;
     }
     struct status status;
@@ -350,24 +366,24 @@
     if (record == NULL) {
         return;
     }
-    standing_take(standing, record);
+    registration_take(registration, record);
     members_record_destroy(record);
-    standing_advance(standing);
+    registration_advance(registration);
 }
 
 void
-standing_message(struct standing *standing, const char *peer,
-                 const struct message *message)
+registration_handle_message(struct registration *registration,
+                            const char *peer, const struct message *message)
 {
     switch (message->type) {
     case MESSAGE_BEAT:
-        on_beat(standing, peer, &message->as.beat);
+        on_beat(registration, peer, &message->as.beat);
         return;
     case MESSAGE_BEAT_ACK:
-        on_beat_ack(standing, peer, &message->as.beat);
+        on_beat_ack(registration, peer, &message->as.beat);
         return;
     case MESSAGE_MEMBERS:
-        on_pushed_record(standing, &message->as.members);
+        on_pushed_record(registration, &message->as.members);
         return;
     default:
         return;
@@ -375,25 +391,28 @@
 }
 
 void
-standing_replaced(struct standing *standing, const char *incarnation)
+registration_peer_replaced(struct registration *registration,
+                           const char *incarnation)
 {
-    members_ended(standing->members, incarnation, standing_now(standing));
+    members_ended(registration->members, incarnation,
+                  registration_now(registration));
 }
 
 void
-standing_reclaimed(struct standing *standing, const char *incarnation)
+registration_permits_reclaimed(struct registration *registration,
+                               const char *incarnation)
 {
-    members_reclaimed(standing->members, incarnation);
+    members_reclaimed(registration->members, incarnation);
 }
 
 uint64_t
-standing_epoch(const struct standing *standing)
+registration_epoch(const struct registration *registration)
 {
-    return members_current(standing->members)->epoch;
+    return members_current(registration->members)->epoch;
 }
 
 static struct members *
-create_members(const struct standing_options *options)
+create_members(const struct registration_options *options)
 {
     struct members_entry self = {
         .incarnation = (char *)options->incarnation,
@@ -410,81 +429,82 @@
     });
 }
 
-struct standing *
-standing_create(const struct standing_options *options)
+struct registration *
+registration_create(const struct registration_options *options)
 {
-    struct standing *standing = g_rc_box_new0(struct standing);
-    standing->options = *options;
-    standing->incarnation = g_strdup(options->incarnation);
-    standing->until_ms = INT64_MIN;
-    standing->renewal.renewed_ms = INT64_MIN;
-    standing->ticked_ms = standing_now(standing);
-    standing->members = create_members(options);
-    standing->freshness =
+    struct registration *registration = g_rc_box_new0(struct registration);
+    registration->options = *options;
+    registration->incarnation = g_strdup(options->incarnation);
+    registration->until_ms = INT64_MIN;
+    registration->renewal.renewed_ms = INT64_MIN;
+    registration->ticked_ms = registration_now(registration);
+    registration->members = create_members(options);
+    registration->freshness =
         freshness_create(options->incarnation, options->settings->support_ms);
-    standing->handed =
+    registration->handed =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    require_confirmation(standing);
-    standing_renewal_start(standing);
-    standing_record_start(standing);
-    standing->tick = g_timeout_add((guint)options->settings->heartbeat_ms,
-                                   on_tick, standing);
-    return standing;
+    require_confirmation(registration);
+    registration_renewal_start(registration);
+    registration_record_start(registration);
+    registration->tick = g_timeout_add((guint)options->settings->heartbeat_ms,
+                                       on_tick, registration);
+    return registration;
 }
 
 void
-standing_destroy(struct standing *standing)
+registration_destroy(struct registration *registration)
 {
-    if (standing == NULL) {
+    if (registration == NULL) {
         return;
     }
-    standing->closed = true;
-    store_watch_destroy(standing->watch);
-    g_source_remove(standing->tick);
-    if (standing->leave_timer != 0) {
-        g_source_remove(standing->leave_timer);
+    registration->closed = true;
+    store_watch_destroy(registration->watch);
+    g_source_remove(registration->tick);
+    if (registration->leave_timer != 0) {
+        g_source_remove(registration->leave_timer);
     }
-    standing_unref(standing);
+    registration_unref(registration);
 }
 
 void
-standing_left(struct standing *standing)
+registration_left(struct registration *registration)
 {
-    if (standing->leave_timer != 0) {
-        g_source_remove(standing->leave_timer);
-        standing->leave_timer = 0;
+    if (registration->leave_timer != 0) {
+        g_source_remove(registration->leave_timer);
+        registration->leave_timer = 0;
     }
-    void (*left)(void *ctx) = standing->left;
-    standing->left = NULL;
+    void (*left)(void *ctx) = registration->left;
+    registration->left = NULL;
     if (left != NULL) {
-        left(standing->left_ctx);
+        left(registration->left_ctx);
     }
 }
 
 static gboolean
 on_leave_late(void *ctx)
 {
-    struct standing *standing = ctx;
-    standing->leave_timer = 0;
+    struct registration *registration = ctx;
+    registration->leave_timer = 0;
     log_line(LOG_LEVEL_WARN, "leave-late", "incarnation=%s",
-             standing->incarnation);
-    standing_left(standing);
+             registration->incarnation);
+    registration_left(registration);
     return G_SOURCE_REMOVE;
 }
 
 void
-standing_leave(struct standing *standing, void (*done)(void *ctx), void *ctx)
-{
-    standing->leaving = true;
-    standing->left = done;
-    standing->left_ctx = ctx;
-    members_leave(standing->members);
-    standing_fence(standing);
-    standing->leave_timer =
-        g_timeout_add(LEAVE_MAX_MS, on_leave_late, standing);
-    if (members_live(standing->members) || standing->record.busy) {
-        standing_advance(standing);
+registration_leave(struct registration *registration, void (*done)(void *ctx),
+                   void *ctx)
+{
+    registration->leaving = true;
+    registration->left = done;
+    registration->left_ctx = ctx;
+    members_leave(registration->members);
+    registration_fence(registration);
+    registration->leave_timer =
+        g_timeout_add(LEAVE_MAX_MS, on_leave_late, registration);
+    if (members_live(registration->members) || registration->record.busy) {
+        registration_advance(registration);
         return;
     }
-    standing_left(standing);
+    registration_left(registration);
 }
--- a/egretd/registration_internal.h
+++ b/egretd/registration_internal.h
@@ -1,4 +1,4 @@
-/* Parts of standing that share its state. */
+/* Parts of registration that share its state. */
 #ifndef EGRETD_REGISTRATION_INTERNAL_H
 #define EGRETD_REGISTRATION_INTERNAL_H
 
@@ -15,7 +15,7 @@
 };
 
 /**
- * struct standing_record - the members record at the store
+ * struct registration_record - the members record at the store
  * @read: it was read, or found absent, at least once
  * @epoch, @version: of what the store is known to hold
  * @busy: a write is under way
@@ -23,7 +23,7 @@
  * @clearing: incarnation whose renewal record it deletes
  * @asked_ms: when it was sent
  */
-struct standing_record {
+struct registration_record {
     bool read;
     bool reading;
     bool busy;
@@ -36,7 +36,7 @@
 };
 
 /**
- * struct standing_renewal - this incarnation's own renewal record
+ * struct registration_renewal - this incarnation's own renewal record
  * @created: the store is known to have held it
  * @version: of the record; STORE_VERSION_ABSENT before it is created
  * @lost: the version has to be read before the next write
@@ -44,7 +44,7 @@
  * @beat: number of the last write
  * @renewed_ms: when the last successful write was sent
  */
-struct standing_renewal {
+struct registration_renewal {
     char *key;
     bool created;
     bool busy;
@@ -58,7 +58,7 @@
 };
 
 /**
- * struct standing - see the header
+ * struct registration - see the header
  * @closed: destroyed by its owner
  * @beat_asked_ms: when the last beats were sent, by number
  * @ticked_ms: when the last heartbeat was
@@ -66,14 +66,14 @@
  *              sent since then: after the start and after each pause
  * @handed: incarnations whose permits were handed over for reclaiming
  */
-struct standing {
-    struct standing_options options;
+struct registration {
+    struct registration_options options;
     char *incarnation;
     bool closed;
     struct members *members;
     struct freshness *freshness;
-    struct standing_record record;
-    struct standing_renewal renewal;
+    struct registration_record record;
+    struct registration_renewal renewal;
     struct store_watch *watch;
     guint tick;
     uint64_t beat_number;
@@ -92,50 +92,54 @@
 };
 
 int64_t
-standing_now(const struct standing *standing);
+registration_now(const struct registration *registration);
 
-/** standing_callback() - callback that keeps @standing until it is called. */
+/** registration_callback() - callback that keeps @registration until it is
+ * called.
+ */
 struct store_callback
-standing_callback(struct standing *standing,
-                  void (*done)(void *ctx, const struct store_result *result));
+registration_callback(struct registration *registration,
+                      void (*done)(void *ctx,
+                                   const struct store_result *result));
 
-/** standing_call_ended() - drop what standing_callback() kept; false when
- * the owner is gone and the result must be ignored. */
+/** registration_call_ended() - drop what registration_callback() kept; false
+ * when the owner is gone and the result must be ignored. */
 bool
-standing_call_ended(struct standing *standing);
+registration_call_ended(struct registration *registration);
 
-/** standing_take() - a record from the store or a peer. */
+/** registration_take() - a record from the store or a peer. */
 void
-standing_take(struct standing *standing, const struct members_record *record);
+registration_take(struct registration *registration,
+                  const struct members_record *record);
 
-/** standing_advance() - do the next write, tell listeners what changed. */
+/** registration_advance() - do the next write, tell listeners what changed. */
 void
-standing_advance(struct standing *standing);
+registration_advance(struct registration *registration);
 
-/** standing_fence() - this incarnation is over. */
+/** registration_fence() - this incarnation is over. */
 void
-standing_fence(struct standing *standing);
+registration_fence(struct registration *registration);
 
-/** standing_left() - the leave is over, as far as it goes. */
+/** registration_left() - the leave is over, as far as it goes. */
 void
-standing_left(struct standing *standing);
+registration_left(struct registration *registration);
 
 /* Members record at the store. */
 void
-standing_record_start(struct standing *standing);
+registration_record_start(struct registration *registration);
 void
-standing_record_poll(struct standing *standing);
+registration_record_poll(struct registration *registration);
 void
-standing_record_write(struct standing *standing);
+registration_record_write(struct registration *registration);
 
 /* Renewal records at the store. */
 void
-standing_renewal_start(struct standing *standing);
+registration_renewal_start(struct registration *registration);
 void
-standing_renewal_send(struct standing *standing);
+registration_renewal_send(struct registration *registration);
 void
-standing_renewal_read_others(struct standing *standing);
+registration_renewal_read_others(struct registration *registration);
 void
-standing_renewal_delete(struct standing *standing);
+registration_renewal_delete(struct registration *registration);
 
 #endif
--- a/egretd/registration_record.c
+++ b/egretd/registration_record.c
@@ -12,7 +12,7 @@
 };
 
 static void
-take_entry(struct standing *standing, const struct store_entry *entry)
+take_entry(struct registration *registration, const struct store_entry *entry)
 {
     struct status status;
     status_clear(&status);
@@ -21,36 +21,37 @@
     if (record == NULL) {
         log_line(LOG_LEVEL_ERROR, "members-damaged", "reason=%s",
                  log_quote(status.message));
-        counters_add(standing->options.counters, "egret_records_damaged_total",
-                     "record=\"members\"", 1);
+        counters_add(registration->options.counters,
+                     "egret_records_damaged_total", "record=\"members\"", 1);
         return;
     }
-    if (entry->version > standing->record.version) {
-        standing->record.read = true;
-        standing->record.version = entry->version;
-        standing->record.epoch = record->epoch;
+    if (entry->version > registration->record.version) {
+        registration->record.read = true;
+        registration->record.version = entry->version;
+        registration->record.epoch = record->epoch;
     }
-    standing_take(standing, record);
+    registration_take(registration, record);
     members_record_destroy(record);
 }
 
 static void
-take_result(struct standing *standing, const struct store_result *result)
+take_result(struct registration *registration,
+            const struct store_result *result)
 {
     if (result->n_entries > 0) {
-        take_entry(standing, &result->entries[0]);
+        take_entry(registration, &result->entries[0]);
     }
     else if (result->status.code == STATUS_NOT_FOUND) {
-        standing->record.read = true;
+        registration->record.read = true;
     }
 }
 
 static void
 on_watch(void *ctx, const struct store_result *result)
 {
-    struct standing *standing = ctx;
-    take_result(standing, result);
-    standing_advance(standing);
+    struct registration *registration = ctx;
+    take_result(registration, result);
+    registration_advance(registration);
 }
 
 /* After a call that failed the next beat tries again, not this moment. */
@@ -64,139 +65,142 @@
 static void
 on_read(void *ctx, const struct store_result *result)
 {
-    struct standing *standing = ctx;
-    standing->record.reading = false;
-    if (!standing_call_ended(standing)) {
+    struct registration *registration = ctx;
+    registration->record.reading = false;
+    if (!registration_call_ended(registration)) {
         return;
     }
-    take_result(standing, result);
+    take_result(registration, result);
     if (reached(result)) {
-        standing_advance(standing);
+        registration_advance(registration);
     }
 }
 
 static void
-read_record(struct standing *standing)
+read_record(struct registration *registration)
 {
-    if (standing->record.reading) {
+    if (registration->record.reading) {
         return;
     }
-    standing->record.reading = true;
-    standing->record.polled_ms = standing_now(standing);
-    store_get(standing->options.store, STORE_KEY_MEMBERS,
-              standing_callback(standing, on_read));
+    registration->record.reading = true;
+    registration->record.polled_ms = registration_now(registration);
+    store_get(registration->options.store, STORE_KEY_MEMBERS,
+              registration_callback(registration, on_read));
 }
 
 void
-standing_record_start(struct standing *standing)
+registration_record_start(struct registration *registration)
 {
-    standing->record.polled_ms = standing_now(standing);
-    standing->watch = store_watch_create(
-        standing->options.store, STORE_KEY_MEMBERS,
-        (struct store_callback){.done = on_watch, .ctx = standing});
+    registration->record.polled_ms = registration_now(registration);
+    registration->watch = store_watch_create(
+        registration->options.store, STORE_KEY_MEMBERS,
+        (struct store_callback){.done = on_watch, .ctx = registration});
 }
 
 void
-standing_record_poll(struct standing *standing)
+registration_record_poll(struct registration *registration)
 {
-    if (standing_now(standing) - standing->record.polled_ms >= POLL_MS) {
-        read_record(standing);
+    if (registration_now(registration) - registration->record.polled_ms >=
+        POLL_MS) {
+        read_record(registration);
     }
 }
 
 static void
 on_proposed(void *ctx, const struct store_result *result)
 {
-    struct standing *standing = ctx;
-    struct standing_record *state = &standing->record;
+    struct registration *registration = ctx;
+    struct registration_record *state = &registration->record;
     struct members_record *proposal = state->proposal;
     state->proposal = NULL;
     state->busy = false;
-    if (!standing_call_ended(standing)) {
+    if (!registration_call_ended(registration)) {
         members_record_destroy(proposal);
         return;
     }
     if (status_ok(&result->status)) {
-        standing_take(standing, proposal);
+        registration_take(registration, proposal);
     }
     members_record_destroy(proposal);
     if (result->n_entries > 0 && result->entries[0].version > state->version) {
-        take_entry(standing, &result->entries[0]);
+        take_entry(registration, &result->entries[0]);
     }
     else {
         /* The write went through without a version, or was refused or lost. */
-        read_record(standing);
+        read_record(registration);
     }
     if (reached(result)) {
-        standing_advance(standing);
+        registration_advance(registration);
     }
 }
 
 static void
-propose(struct standing *standing, const struct members_action *action)
+propose(struct registration *registration, const struct members_action *action)
 {
-    struct standing_record *state = &standing->record;
+    struct registration_record *state = &registration->record;
     log_line(LOG_LEVEL_INFO, "members-propose",
              "reason=%s incarnation=%s epoch=%" PRIu64, action->reason,
              log_quote(action->incarnation), action->proposal->epoch);
     state->busy = true;
     state->proposal = members_record_copy(action->proposal);
     char *text = members_json_format(action->proposal);
-    store_cas(standing->options.store, STORE_KEY_MEMBERS, text, strlen(text),
-              state->version, standing_callback(standing, on_proposed));
+    store_cas(registration->options.store, STORE_KEY_MEMBERS, text,
+              strlen(text), state->version,
+              registration_callback(registration, on_proposed));
     g_free(text);
 }
 
 static void
 on_cleared(void *ctx, const struct store_result *result)
 {
-    struct standing *standing = ctx;
-    struct standing_record *state = &standing->record;
+    struct registration *registration = ctx;
+    struct registration_record *state = &registration->record;
     char *incarnation = state->clearing;
     state->clearing = NULL;
     state->busy = false;
-    if (standing_call_ended(standing)) {
+    if (registration_call_ended(registration)) {
         if (status_ok(&result->status)) {
-            members_beat(standing->members, incarnation, 0, 0, state->asked_ms,
-                         standing_now(standing));
+            members_beat(registration->members, incarnation, 0, 0,
+                         state->asked_ms, registration_now(registration));
         }
         else {
-            standing_renewal_read_others(standing);
+            registration_renewal_read_others(registration);
         }
     }
     g_free(incarnation);
 }
 
 static void
-clear(struct standing *standing, const struct members_action *action)
+clear(struct registration *registration, const struct members_action *action)
 {
-    struct standing_record *state = &standing->record;
+    struct registration_record *state = &registration->record;
     state->busy = true;
     state->clearing = g_strdup(action->incarnation);
-    state->asked_ms = standing_now(standing);
+    state->asked_ms = registration_now(registration);
     char *key = g_strconcat(STORE_KEY_BEATS, action->incarnation, NULL);
-    store_delete(standing->options.store, key, action->version,
-                 standing_callback(standing, on_cleared));
+    store_delete(registration->options.store, key, action->version,
+                 registration_callback(registration, on_cleared));
     g_free(key);
 }
 
 void
-standing_record_write(struct standing *standing)
+registration_record_write(struct registration *registration)
 {
-    struct standing_record *state = &standing->record;
+    struct registration_record *state = &registration->record;
     struct members_action action;
     /* Without a renewal record a registered gateway could not be fenced. */
-    if (state->busy || !state->read || !standing->renewal.created ||
-        !members_next(standing->members, standing_now(standing), &action)) {
+    if (state->busy || !state->read || !registration->renewal.created ||
+        !members_next(registration->members, registration_now(registration),
+                      &action)) {
         return;
     }
     if (action.step == MEMBERS_CLEAR_BEAT) {
-        clear(standing, &action);
+        clear(registration, &action);
     }
-    else if (state->epoch == members_current(standing->members)->epoch) {
-        propose(standing, &action);
+    else if (state->epoch == members_current(registration->members)->epoch) {
+        propose(registration, &action);
     }
     else {
-        read_record(standing);
+        read_record(registration);
     }
 }
--- a/egretd/registration_renewal.c
+++ b/egretd/registration_renewal.c
@@ -6,23 +6,24 @@
 #include "store/store_keys.h"
 
 static void
-note_version(struct standing *standing, uint64_t version)
+note_version(struct registration *registration, uint64_t version)
 {
-    struct standing_renewal *renewal = &standing->renewal;
+    struct registration_renewal *renewal = &registration->renewal;
     renewal->created = true;
     renewal->lost = version <= renewal->version;
     renewal->version = version;
-    members_beat(standing->members, standing->incarnation, version,
-                 renewal->lease_ms, renewal->asked_ms, standing_now(standing));
+    members_beat(registration->members, registration->incarnation, version,
+                 renewal->lease_ms, renewal->asked_ms,
+                 registration_now(registration));
 }
 
 static void
 on_own_read(void *ctx, const struct store_result *result)
 {
-    struct standing *standing = ctx;
-    struct standing_renewal *renewal = &standing->renewal;
+    struct registration *registration = ctx;
+    struct registration_renewal *renewal = &registration->renewal;
     renewal->busy = false;
-    if (!standing_call_ended(standing)) {
+    if (!registration_call_ended(registration)) {
         return;
     }
     if (result->n_entries > 0) {
@@ -34,7 +35,7 @@
         renewal->lost = false;
         if (renewal->created) {
             /* Only fencing deletes it; it is never made a second time. */
-            standing_fence(standing);
+            registration_fence(registration);
         }
     }
 }
@@ -42,62 +43,63 @@
 static void
 on_renewed(void *ctx, const struct store_result *result)
 {
-    struct standing *standing = ctx;
-    struct standing_renewal *renewal = &standing->renewal;
+    struct registration *registration = ctx;
+    struct registration_renewal *renewal = &registration->renewal;
     renewal->busy = false;
-    if (!standing_call_ended(standing)) {
+    if (!registration_call_ended(registration)) {
         return;
     }
     if (status_ok(&result->status)) {
         renewal->renewed_ms = renewal->asked_ms;
-        note_version(standing, result->entries[0].version);
+        note_version(registration, result->entries[0].version);
     }
     else if (result->status.code != STATUS_UNAVAILABLE) {
         renewal->lost = true;
     }
-    standing_advance(standing);
+    registration_advance(registration);
 }
 
 static void
-read_own(struct standing *standing)
+read_own(struct registration *registration)
 {
-    standing->renewal.busy = true;
-    store_get(standing->options.store, standing->renewal.key,
-              standing_callback(standing, on_own_read));
+    registration->renewal.busy = true;
+    store_get(registration->options.store, registration->renewal.key,
+              registration_callback(registration, on_own_read));
 }
 
 void
-standing_renewal_start(struct standing *standing)
+registration_renewal_start(struct registration *registration)
 {
-    standing->renewal.key =
-        g_strconcat(STORE_KEY_BEATS, standing->incarnation, NULL);
-    standing->renewal.version = STORE_VERSION_ABSENT;
-    standing_renewal_send(standing);
+    registration->renewal.key =
+        g_strconcat(STORE_KEY_BEATS, registration->incarnation, NULL);
+    registration->renewal.version = STORE_VERSION_ABSENT;
+    registration_renewal_send(registration);
 }
 
 void
-standing_renewal_send(struct standing *standing)
+registration_renewal_send(struct registration *registration)
 {
-    struct standing_renewal *renewal = &standing->renewal;
-    const struct settings *settings = standing->options.settings;
+    struct registration_renewal *renewal = &registration->renewal;
+    const struct settings *settings = registration->options.settings;
     int64_t pace_ms = (settings->support_ms - settings->heartbeat_ms) / 2;
     bool fresh = renewal->renewed_ms == renewal->asked_ms &&
-                 standing_now(standing) - renewal->asked_ms < pace_ms;
+                 registration_now(registration) - renewal->asked_ms < pace_ms;
     if (renewal->busy || fresh) {
         return;
     }
     if (renewal->lost) {
-        read_own(standing);
+        read_own(registration);
         return;
     }
     int64_t lease_ms =
-        standing->options.longest_lease_ms(standing->options.ctx);
+        registration->options.longest_task_lease_ms(registration->options.ctx);
     renewal->lease_ms = MAX(renewal->lease_ms, lease_ms);
-    renewal->asked_ms = standing_now(standing);
+    renewal->asked_ms = registration_now(registration);
     renewal->busy = true;
     char *text = beat_json_format(++renewal->beat, renewal->lease_ms);
-    store_cas(standing->options.store, renewal->key, text, strlen(text),
-              renewal->version, standing_callback(standing, on_renewed));
+    store_cas(registration->options.store, renewal->key, text, strlen(text),
+              renewal->version,
+              registration_callback(registration, on_renewed));
     g_free(text);
 }
 
@@ -116,66 +118,67 @@
 }
 
 static void
-observe_beat(struct standing *standing, const struct store_result *result,
-             const char *incarnation)
+observe_beat(struct registration *registration,
+             const struct store_result *result, const char *incarnation)
 {
     const struct store_entry *entry = find_beat(result, incarnation);
     uint64_t version = entry == NULL ? 0 : entry->version;
     int64_t lease_ms =
         entry == NULL ? 0
                       : beat_json_lease_ms(entry->value, entry->size_bytes);
-    members_beat(standing->members, incarnation, version, lease_ms,
-                 standing->beats_asked_ms, standing_now(standing));
+    members_beat(registration->members, incarnation, version, lease_ms,
+                 registration->beats_asked_ms, registration_now(registration));
 }
 
 static void
 on_others_read(void *ctx, const struct store_result *result)
 {
-    struct standing *standing = ctx;
-    standing->reading_beats = false;
-    if (!standing_call_ended(standing)) {
+    struct registration *registration = ctx;
+    registration->reading_beats = false;
+    if (!registration_call_ended(registration)) {
         return;
     }
     if (!status_ok(&result->status) &&
         result->status.code != STATUS_NOT_FOUND) {
         return;
     }
-    const struct members_record *record = members_current(standing->members);
+    const struct members_record *record =
+        members_current(registration->members);
     for (size_t i = 0; i < record->n_entries; i++) {
         const char *incarnation = record->entries[i].incarnation;
-        if (strcmp(incarnation, standing->incarnation) != 0) {
-            observe_beat(standing, result, incarnation);
+        if (strcmp(incarnation, registration->incarnation) != 0) {
+            observe_beat(registration, result, incarnation);
         }
     }
-    standing_advance(standing);
+    registration_advance(registration);
 }
 
 void
-standing_renewal_read_others(struct standing *standing)
+registration_renewal_read_others(struct registration *registration)
 {
-    if (standing->reading_beats) {
+    if (registration->reading_beats) {
         return;
     }
-    standing->reading_beats = true;
-    standing->beats_asked_ms = standing_now(standing);
-    store_get(standing->options.store, STORE_KEY_BEATS,
-              standing_callback(standing, on_others_read));
+    registration->reading_beats = true;
+    registration->beats_asked_ms = registration_now(registration);
+    store_get(registration->options.store, STORE_KEY_BEATS,
+              registration_callback(registration, on_others_read));
 }
 
 static void
 on_deleted(void *ctx, const struct store_result *result)
 {
-    struct standing *standing = ctx;
-    if (standing_call_ended(standing)) {
-        standing_left(standing);
+    struct registration *registration = ctx;
+    if (registration_call_ended(registration)) {
+        registration_left(registration);
     }
 }
 
 void
-standing_renewal_delete(struct standing *standing)
+registration_renewal_delete(struct registration *registration)
 {
-    standing->renewal.deleting = true;
-    store_delete(standing->options.store, standing->renewal.key,
-                 standing->renewal.version,
-                 standing_callback(standing, on_deleted));
+    registration->renewal.deleting = true;
+    store_delete(registration->options.store, registration->renewal.key,
+                 registration->renewal.version,
+                 registration_callback(registration, on_deleted));
 }
--- a/egretd/usage_report.c
+++ b/egretd/usage_report.c
@@ -60,7 +60,7 @@
 static int64_t
 interval_ms(const struct usage_report *report, size_t n_entries, bool active)
 {
-    int64_t n_peers = peers_stats_get(report->options.peers).linked;
+    int64_t n_peers = peers_get_stats(report->options.peers).linked;
     int64_t size_bytes = (int64_t)n_entries * ENTRY_BYTES * n_peers;
     if (active) {
         return CLAMP(size_bytes * 1000 / ACTIVE_BYTES_PER_S,
--- a/include/egretd/claims.h
+++ b/include/egretd/claims.h
@@ -13,8 +13,8 @@
     CLAIMS_MAX_ENTRIES = 100000,
 };
 
-/** struct peer_address_text - "IP:port" of a gateway's HTTP server */
-struct peer_address_text {
+/** struct peer_http_address - "IP:port" of a gateway's HTTP server */
+struct peer_http_address {
     char text[64];
 };
 
@@ -23,7 +23,7 @@
  * @self: this incarnation
  * @retention_ms: how long an outcome is kept
  * @run: submit the request to the dispatcher
- * @send_on: hand the request to @peer, which owns its id
+ * @forward: hand the request to @peer, which owns its id
  * @answer: answer the request
  * @find_peer: address of a gateway
  */
@@ -34,10 +34,10 @@
     int64_t timeout_ms;
     struct ms_clock clock;
     void (*run)(void *ctx, uint64_t task);
-    void (*send_on)(void *ctx, uint64_t task, const char *peer);
+    void (*forward)(void *ctx, uint64_t task, const char *peer);
     void (*answer)(void *ctx, uint64_t task, const struct answer *answer);
     bool (*find_peer)(void *ctx, const char *peer,
-                      struct peer_address_text *address);
+                      struct peer_http_address *address);
     void *ctx;
 };
 
@@ -53,9 +53,9 @@
 claims_set_members(struct claims *claims, const struct gateway_member *members,
                    size_t n_members, uint64_t epoch);
 
-/** claims_take() - a request with an id arrived. */
+/** claims_submit() - a request with an id arrived. */
 void
-claims_take(struct claims *claims, const struct request *request);
+claims_submit(struct claims *claims, const struct request *request);
 
 /** claims_finished() - the run of @request's id ended; every request that
  * waits for it is answered, @request included. */
@@ -67,9 +67,9 @@
 const char *
 claims_owner(const struct claims *claims, const char *team, const char *id);
 
-/** claims_asked() - what is known here of an id, as JSON for @asker. */
+/** claims_answer_query() - what is known here of an id, as JSON for @asker. */
 char *
-claims_asked(struct claims *claims, const char *team, const char *id,
-             const char *asker);
+claims_answer_query(struct claims *claims, const char *team, const char *id,
+                    const char *asker);
 
 #endif
--- a/include/egretd/config_feed.h
+++ b/include/egretd/config_feed.h
@@ -61,7 +61,7 @@
                   const struct message_config *offer);
 
 /**
- * config_feed_fill() - what is in force, as a message to a peer
+ * config_feed_make_message() - what is in force, as a message to a peer
  * @have_generation: generation that the peer has in force, 0 for none. Parts
  *                   that it holds already are left out, as long as that
  *                   generation is remembered here.
@@ -69,7 +69,7 @@
  * Returns: false when there is none. The caller clears the message.
  */
 bool
-config_feed_fill(const struct config_feed *feed, uint64_t have_generation,
-                 struct message *message);
+config_feed_make_message(const struct config_feed *feed,
+                         uint64_t have_generation, struct message *message);
 
 #endif
--- a/include/egretd/id_querier.h
+++ b/include/egretd/id_querier.h
@@ -8,41 +8,41 @@
 #include "core/request_ids.h"
 
 /**
- * struct id_question - one question
+ * struct id_query - one question
  * @address: "IP:port" of the gateway asked, named @peer
  * @asker: this gateway's incarnation
  */
-struct id_question {
+struct id_query {
     const char *address;
     const char *peer;
-    const char *asker;
+    const char *querier;
     const char *team;
     const char *id;
 };
 
-/** struct id_asker_options - @told gets one report for each question */
-struct id_asker_options {
+/** struct id_querier_options - @reported gets one report for each question */
+struct id_querier_options {
     const char *secret;
     int64_t timeout_ms;
-    void (*told)(void *ctx, const char *team, const char *id, const char *peer,
-                 const struct request_report *report);
+    void (*reported)(void *ctx, const char *team, const char *id,
+                     const char *peer, const struct request_report *report);
     void *ctx;
 };
 
-struct id_asker;
+struct id_querier;
 
-struct id_asker *
-id_asker_create(const struct id_asker_options *options);
+struct id_querier *
+id_querier_create(const struct id_querier_options *options);
 void
-id_asker_destroy(struct id_asker *asker);
+id_querier_destroy(struct id_querier *asker);
 
-/** id_asker_ask() - GET /v1/ids/{team}/{id}; no answer in time is reported
+/** id_querier_send() - GET /v1/ids/{team}/{id}; no answer in time is reported
  * as REQUEST_UNREACHABLE. */
 void
-id_asker_ask(struct id_asker *asker, const struct id_question *question);
+id_querier_send(struct id_querier *asker, const struct id_query *question);
 
-/** id_report_build() - @report as the answer to a question. */
+/** id_report_format() - @report as the answer to a question. */
 char *
-id_report_build(const struct request_report *report);
+id_report_format(const struct request_report *report);
 
 #endif
--- a/include/egretd/membership.h
+++ b/include/egretd/membership.h
@@ -38,18 +38,19 @@
 void
 membership_destroy(struct membership *membership);
 
-/** membership_config() - follow a new generation and tell the peers. */
+/** membership_set_config() - follow a new generation and tell the peers. */
 void
-membership_config(struct membership *membership, const struct config *config);
+membership_set_config(struct membership *membership,
+                      const struct config *config);
 
 /** membership_find_peer() - HTTP address of a gateway. */
 bool
 membership_find_peer(const struct membership *membership, const char *peer,
                      struct forward_target *target);
 
-/** membership_until_ms() - work may start before this time. */
+/** membership_lease_until_ms() - work may start before this time. */
 int64_t
-membership_until_ms(const struct membership *membership);
+membership_lease_until_ms(const struct membership *membership);
 
 /** membership_incarnation() - name of this incarnation. */
 const char *
--- a/include/egretd/peers.h
+++ b/include/egretd/peers.h
@@ -37,7 +37,8 @@
  * struct peers_options - how to listen and who this is
  * @address, @port: where to listen; port 0 lets the kernel choose
  * @secret: shared by all gateways, proved by challenge and response
- * @silence_ms: a link without a frame for this long is dropped and made anew
+ * @idle_timeout_ms: a link without a frame for this long is dropped and made
+ * anew
  */
 struct peers_options {
     const char *address;
@@ -45,7 +46,7 @@
     const char *secret;
     const char *incarnation;
     const char *name;
-    int64_t silence_ms;
+    int64_t idle_timeout_ms;
     struct ms_clock clock;
     struct peers_handler handler;
 };
@@ -94,6 +95,6 @@
 };
 
 struct peers_stats
-peers_stats_get(const struct peers *peers);
+peers_get_stats(const struct peers *peers);
 
 #endif
--- a/include/egretd/permit_accounts.h
+++ b/include/egretd/permit_accounts.h
@@ -10,12 +10,12 @@
 #include "store/store.h"
 
 /**
- * struct ledger_options - parts it works with
+ * struct permit_accounts_options - parts it works with
  * @running: attempts of @team now counted here
  * @queued: waiting tasks of @team here
  * @permits: sets how many attempts of @team may be counted here
  */
-struct ledger_options {
+struct permit_accounts_options {
     struct store *store;
     struct peers *peers;
     struct counters *counters;
@@ -23,48 +23,56 @@
     const char *incarnation;
     uint32_t (*running)(void *ctx, const char *team);
     uint32_t (*queued)(void *ctx, const char *team);
-    void (*permits)(void *ctx, const char *team, uint32_t permits);
+    void (*set_permits)(void *ctx, const char *team, uint32_t permits);
     void *ctx;
 };
 
-struct ledger;
+struct permit_accounts;
 
-struct ledger *
-ledger_create(const struct ledger_options *options);
+struct permit_accounts *
+permit_accounts_create(const struct permit_accounts_options *options);
 void
-ledger_destroy(struct ledger *ledger);
+permit_accounts_destroy(struct permit_accounts *accounts);
 
-/** ledger_set_config() - follow limits of a new generation. */
+/** permit_accounts_set_config() - follow limits of a new generation. */
 void
-ledger_set_config(struct ledger *ledger, const struct config *config);
+permit_accounts_set_config(struct permit_accounts *accounts,
+                           const struct config *config);
 
-/** ledger_set_members() - follow the registered gateways. */
+/** permit_accounts_set_members() - follow the registered gateways. */
 void
-ledger_set_members(struct ledger *ledger, const struct gateway_member *members,
-                   size_t n_members);
+permit_accounts_set_members(struct permit_accounts *accounts,
+                            const struct gateway_member *members,
+                            size_t n_members);
 
-/** ledger_message() - MESSAGE_PERMIT_WANT from a peer. */
+/** permit_accounts_handle_request() - MESSAGE_PERMIT_WANT from a peer. */
 void
-ledger_message(struct ledger *ledger, const char *peer,
-               const struct message *message);
+permit_accounts_handle_request(struct permit_accounts *accounts,
+                               const char *peer,
+                               const struct message *message);
 
-/** ledger_tick() - called every heartbeat; asks for and moves permits. */
+/** permit_accounts_tick() - called every heartbeat; asks for and moves
+ * permits. */
 void
-ledger_tick(struct ledger *ledger);
+permit_accounts_tick(struct permit_accounts *accounts);
 
-/** ledger_reclaim() - move the permits of a fenced gateway whose last
+/** permit_accounts_reclaim() - move the permits of a fenced gateway whose last
  * possible task has ended back to the free part; @done when no record
  * holds any. */
 void
-ledger_reclaim(struct ledger *ledger, const char *incarnation,
-               void (*done)(void *ctx, const char *incarnation), void *ctx);
+permit_accounts_reclaim(struct permit_accounts *accounts,
+                        const char *incarnation,
+                        void (*done)(void *ctx, const char *incarnation),
+                        void *ctx);
 
-/** ledger_release() - give every permit back at shutdown. */
+/** permit_accounts_release() - give every permit back at shutdown. */
 void
-ledger_release(struct ledger *ledger, void (*done)(void *ctx), void *ctx);
+permit_accounts_release(struct permit_accounts *accounts,
+                        void (*done)(void *ctx), void *ctx);
 
-/** ledger_free_permits() - permits of @team not in use here. */
+/** permit_accounts_unused() - permits of @team not in use here. */
 uint32_t
-ledger_free_permits(const struct ledger *ledger, const char *team);
+permit_accounts_unused(const struct permit_accounts *accounts,
+                       const char *team);
 
 #endif
--- a/include/egretd/registration.h
+++ b/include/egretd/registration.h
@@ -20,33 +20,33 @@
 };
 
 /**
- * struct standing_listener - told about changes
- * @until: this gateway may start work before @until_ms
+ * struct registration_listener - told about changes
+ * @lease_changed: this gateway may start work before @until_ms
  * @members: the registered gateways changed
  * @fenced: this incarnation was fenced; the process must start anew
- * @reclaim: the permits of a fenced gateway may move; answered with
- *           standing_reclaimed() once none are left
+ * @reclaim_permits: the permits of a fenced gateway may move; answered with
+ *           registration_permits_reclaimed() once none are left
  */
-struct standing_listener {
-    void (*until)(void *ctx, int64_t until_ms);
-    void (*members)(void *ctx, const struct gateway_member *members,
-                    size_t n_members, uint64_t epoch);
+struct registration_listener {
+    void (*lease_changed)(void *ctx, int64_t until_ms);
+    void (*members_changed)(void *ctx, const struct gateway_member *members,
+                            size_t n_members, uint64_t epoch);
     void (*fenced)(void *ctx);
-    void (*reclaim)(void *ctx, const char *incarnation);
+    void (*reclaim_permits)(void *ctx, const char *incarnation);
     void *ctx;
 };
 
 /**
- * struct standing_options - parts it works with
+ * struct registration_options - parts it works with
  * @generation: returns the configuration generation in force, sent with
  *              beats
- * @newer: called when @peer has a newer configuration generation
- * @refresh: asks the store for the newest generation
- * @confirmed_ms: when the newest read was sent that found nothing newer than
- *                the generation in force
- * @longest_lease_ms: returns the longest lease handed to backend servers
+ * @newer_config: called when @peer has a newer configuration generation
+ * @refresh_config: asks the store for the newest generation
+ * @config_confirmed_ms: when the newest read was sent that found nothing
+ * newer than the generation in force
+ * @longest_task_lease_ms: returns the longest lease handed to backend servers
  */
-struct standing_options {
+struct registration_options {
     const struct settings *settings;
     struct store *store;
     struct peers *peers;
@@ -56,46 +56,49 @@
     uint16_t peer_port;
     uint16_t http_port;
     uint64_t (*generation)(void *ctx);
-    void (*newer)(void *ctx, const char *peer);
-    void (*refresh)(void *ctx);
-    int64_t (*confirmed_ms)(void *ctx);
-    int64_t (*longest_lease_ms)(void *ctx);
+    void (*newer_config)(void *ctx, const char *peer);
+    void (*refresh_config)(void *ctx);
+    int64_t (*config_confirmed_ms)(void *ctx);
+    int64_t (*longest_task_lease_ms)(void *ctx);
     void *ctx;
-    struct standing_listener listener;
+    struct registration_listener listener;
 };
 
-struct standing;
+struct registration;
 
-struct standing *
-standing_create(const struct standing_options *options);
+struct registration *
+registration_create(const struct registration_options *options);
 void
-standing_destroy(struct standing *standing);
+registration_destroy(struct registration *registration);
 
-/** standing_message() - a beat, its answer or a members record. */
+/** registration_handle_message() - a beat, its answer or a members record. */
 void
-standing_message(struct standing *standing, const char *peer,
-                 const struct message *message);
+registration_handle_message(struct registration *registration,
+                            const char *peer, const struct message *message);
 
-/** standing_linked() - a link to @peer is up. */
+/** registration_peer_linked() - a link to @peer is up. */
 void
-standing_linked(struct standing *standing, const char *peer);
+registration_peer_linked(struct registration *registration, const char *peer);
 
-/** standing_replaced() - the process of @incarnation has ended: another one
- * answers at its address. */
+/** registration_peer_replaced() - the process of @incarnation has ended:
+ * another one answers at its address. */
 void
-standing_replaced(struct standing *standing, const char *incarnation);
+registration_peer_replaced(struct registration *registration,
+                           const char *incarnation);
 
-/** standing_reclaimed() - no permits of @incarnation are left. */
+/** registration_permits_reclaimed() - no permits of @incarnation are left. */
 void
-standing_reclaimed(struct standing *standing, const char *incarnation);
+registration_permits_reclaimed(struct registration *registration,
+                               const char *incarnation);
 
-/** standing_epoch() - epoch of the members record in force here. */
+/** registration_epoch() - epoch of the members record in force here. */
 uint64_t
-standing_epoch(const struct standing *standing);
+registration_epoch(const struct registration *registration);
 
-/** standing_leave() - give the registration back at shutdown; @done is
+/** registration_leave() - give the registration back at shutdown; @done is
  * called once, also when the store can't be reached. */
 void
-standing_leave(struct standing *standing, void (*done)(void *ctx), void *ctx);
+registration_leave(struct registration *registration, void (*done)(void *ctx),
+                   void *ctx);
 
 #endif
--- a/tests/standing/peers_test.c
+++ b/tests/standing/peers_test.c
@@ -13,8 +13,8 @@
 static bool
 both_linked(void *ctx)
 {
-    return peers_stats_get(low.peers).linked == 1 &&
-           peers_stats_get(high.peers).linked == 1;
+    return peers_get_stats(low.peers).linked == 1 &&
+           peers_get_stats(high.peers).linked == 1;
 }
 
 static void
@@ -56,14 +56,14 @@
     CU_ASSERT(wait_until(beat_arrived, NULL));
     CU_ASSERT_EQUAL(low.n_up, 1);
     CU_ASSERT_EQUAL(high.n_up, 1);
-    CU_ASSERT_EQUAL(peers_stats_get(low.peers).rejected, 0);
+    CU_ASSERT_EQUAL(peers_get_stats(low.peers).rejected, 0);
     stop_both();
 }
 
 static bool
 high_rejected(void *n)
 {
-    return peers_stats_get(high.peers).rejected >=
+    return peers_get_stats(high.peers).rejected >=
            (uint64_t)GPOINTER_TO_UINT(n);
 }
 
--- a/tests/standing/standing_test.c
+++ b/tests/standing/standing_test.c
@@ -25,8 +25,8 @@
     struct store *store;
     struct counters *counters;
     struct peers *peers;
-    struct standing *standing;
-    struct ledger *ledger;
+    struct registration *registration;
+    struct permit_accounts *accounts;
     guint tick;
     int64_t until_ms;
     uint32_t n_live;
@@ -46,10 +46,10 @@
 {
     struct gateway *gateway = ctx;
     if (message->type == MESSAGE_PERMIT_WANT) {
-        ledger_message(gateway->ledger, peer, message);
+        permit_accounts_handle_request(gateway->accounts, peer, message);
         return;
     }
-    standing_message(gateway->standing, peer, message);
+    registration_handle_message(gateway->registration, peer, message);
 }
 
 static void
@@ -60,13 +60,13 @@
 static void
 on_up(void *ctx, const char *peer)
 {
-    standing_linked(((struct gateway *)ctx)->standing, peer);
+    registration_peer_linked(((struct gateway *)ctx)->registration, peer);
 }
 
 static void
 on_replaced(void *ctx, const char *peer)
 {
-    standing_replaced(((struct gateway *)ctx)->standing, peer);
+    registration_peer_replaced(((struct gateway *)ctx)->registration, peer);
 }
 
 static void
@@ -89,7 +89,7 @@
         gateway->n_live += members[i].live;
     }
     peers_set_members(gateway->peers, addresses, n_members);
-    ledger_set_members(gateway->ledger, members, n_members);
+    permit_accounts_set_members(gateway->accounts, members, n_members);
 }
 
 static void
@@ -101,14 +101,15 @@
 static void
 on_reclaimed(void *ctx, const char *incarnation)
 {
-    standing_reclaimed(((struct gateway *)ctx)->standing, incarnation);
+    registration_permits_reclaimed(((struct gateway *)ctx)->registration,
+                                   incarnation);
 }
 
 static void
 on_reclaim(void *ctx, const char *incarnation)
 {
-    ledger_reclaim(((struct gateway *)ctx)->ledger, incarnation, on_reclaimed,
-                   ctx);
+    permit_accounts_reclaim(((struct gateway *)ctx)->accounts, incarnation,
+                            on_reclaimed, ctx);
 }
 
 static uint64_t
@@ -160,7 +161,7 @@
 static gboolean
 on_tick(void *ctx)
 {
-    ledger_tick(((struct gateway *)ctx)->ledger);
+    permit_accounts_tick(((struct gateway *)ctx)->accounts);
     return G_SOURCE_CONTINUE;
 }
 
@@ -168,19 +169,20 @@
 create_parts(struct gateway *gateway)
 {
     struct ms_clock clock = ms_clock_system();
-    gateway->ledger = ledger_create(&(struct ledger_options){
-        .store = gateway->store,
-        .peers = gateway->peers,
-        .counters = gateway->counters,
-        .clock = clock,
-        .incarnation = gateway->incarnation,
-        .running = on_running,
-        .queued = on_queued,
-        .permits = on_permits,
-        .ctx = gateway,
-    });
-    ledger_set_config(gateway->ledger, &config);
-    gateway->standing = standing_create(&(struct standing_options){
+    gateway->accounts =
+        permit_accounts_create(&(struct permit_accounts_options){
+            .store = gateway->store,
+            .peers = gateway->peers,
+            .counters = gateway->counters,
+            .clock = clock,
+            .incarnation = gateway->incarnation,
+            .running = on_running,
+            .queued = on_queued,
+            .set_permits = on_permits,
+            .ctx = gateway,
+        });
+    permit_accounts_set_config(gateway->accounts, &config);
+    gateway->registration = registration_create(&(struct registration_options){
         .settings = &gateway->settings,
         .store = gateway->store,
         .peers = gateway->peers,
@@ -190,15 +192,15 @@
         .peer_port = peers_port(gateway->peers),
         .http_port = 1,
         .generation = on_generation,
-        .newer = on_newer,
-        .refresh = on_refresh,
-        .confirmed_ms = on_confirmed,
-        .longest_lease_ms = on_lease,
+        .newer_config = on_newer,
+        .refresh_config = on_refresh,
+        .config_confirmed_ms = on_confirmed,
+        .longest_task_lease_ms = on_lease,
         .ctx = gateway,
-        .listener = {.until = on_until,
-                     .members = on_members,
+        .listener = {.lease_changed = on_until,
+                     .members_changed = on_members,
                      .fenced = on_fenced,
-                     .reclaim = on_reclaim,
+                     .reclaim_permits = on_reclaim,
                      .ctx = gateway},
     });
 }
@@ -225,7 +227,7 @@
                                 .secret = "secret",
                                 .incarnation = gateway->incarnation,
                                 .name = gateway->incarnation,
-                                .silence_ms = SUPPORT_MS,
+                                .idle_timeout_ms = SUPPORT_MS,
                                 .clock = ms_clock_system(),
                                 .handler = {.message = on_message,
                                             .up = on_up,
@@ -243,12 +245,12 @@
 gateway_kill(int at)
 {
     struct gateway *gateway = &gateways[at];
-    if (gateway->standing == NULL) {
+    if (gateway->registration == NULL) {
         return;
     }
     g_source_remove(gateway->tick);
-    standing_destroy(gateway->standing);
-    ledger_destroy(gateway->ledger);
+    registration_destroy(gateway->registration);
+    permit_accounts_destroy(gateway->accounts);
     peers_destroy(gateway->peers);
     store_destroy(gateway->store);
     counters_destroy(gateway->counters);
@@ -319,10 +321,10 @@
 {
     start_first(GATEWAYS);
     CU_ASSERT(wait_until(settled, GUINT_TO_POINTER(GATEWAYS)));
-    struct peers_stats before = peers_stats_get(gateways[0].peers);
+    struct peers_stats before = peers_get_stats(gateways[0].peers);
     int64_t beats = 8;
     run_for(beats * HEARTBEAT_MS);
-    struct peers_stats after = peers_stats_get(gateways[0].peers);
+    struct peers_stats after = peers_get_stats(gateways[0].peers);
     uint64_t bytes =
         after.bytes_in + after.bytes_out - before.bytes_in - before.bytes_out;
     uint64_t per_s = bytes * BEATS_PER_S / (uint64_t)beats;
--- a/tests/store/feed_test.c
+++ b/tests/store/feed_test.c
@@ -263,12 +263,12 @@
     open_all();
     publish(1);
     struct config_feed *feed = open_feed(&seen);
-    CU_ASSERT_FALSE(config_feed_fill(feed, 0, &message));
+    CU_ASSERT_FALSE(config_feed_make_message(feed, 0, &message));
     wait_generation(&seen, 1);
-    CU_ASSERT(config_feed_fill(feed, 0, &old));
+    CU_ASSERT(config_feed_make_message(feed, 0, &old));
     publish(2);
     wait_generation(&seen, 2);
-    CU_ASSERT(config_feed_fill(feed, 0, &message));
+    CU_ASSERT(config_feed_make_message(feed, 0, &message));
     /* A gateway that starts while the store is silent hears from a peer. */
     store_process_faults(&process, "{\"drop\": true}");
     struct config_feed *peer = open_feed(&peer_seen);
@@ -304,10 +304,10 @@
     publish(1);
     struct config_feed *feed = open_feed(&seen);
     wait_generation(&seen, 1);
-    CU_ASSERT(config_feed_fill(feed, 0, &first));
+    CU_ASSERT(config_feed_make_message(feed, 0, &first));
     publish(2);
     wait_generation(&seen, 2);
-    CU_ASSERT(config_feed_fill(feed, 1, &message));
+    CU_ASSERT(config_feed_make_message(feed, 1, &message));
     CU_ASSERT_EQUAL(message.as.config.part_names->len, 1);
     CU_ASSERT(first.as.config.part_names->len > 1);
     store_process_faults(&process, "{\"drop\": true}");
