--- a/egretjobd/config_feed.c
+++ b/egretjobd/config_feed.c
@@ -12,18 +12,30 @@
 #include "platform/json_text.h"
 
 enum {
-    /* How long a call waits for a change; each answer proves how fresh the
-     * orders are. */
+    /* How long a watch waits for a change. Each answer confirms that the
+     * records are current. */
     WATCH_WAIT_MS = 350,
     NEXT_CALL_MS = 20,
     RETRY_MS = 100,
     READ_TIMEOUT_MS = 900,
-    /* Without an answer for this long the peers are asked. */
-    ASK_PEERS_AFTER_MS = 700,
-    ASK_PEERS_INTERVAL_MS = 200,
+    /* Without an answer of the store for this long, the peers are asked. */
+    PEER_FALLBACK_AFTER_MS = 700,
+    PEER_FALLBACK_INTERVAL_MS = 200,
     PEER_LIST_INTERVAL_MS = 5000,
 };
 
+/**
+ * struct config_feed - the operator's records, as last read
+ * @items: struct kv_item, all records as of revision @as_of
+ * @next_items: struct kv_item, records of a read that is not complete
+ * @waves: struct host_wave
+ * @wave_seen_ms: key of a maintenance wave to the time it was first read
+ * @out_of_service: names of data centres, NULL-terminated
+ * @peers: peer addresses of the other processes, NULL-terminated, or NULL
+ * @watch_after: revision after which to watch; 0: read everything first
+ * @confirmed_ms: when the last call was sent whose answer showed that the
+ *                records are current
+ */
 struct config_feed {
     struct node *node;
     struct kv *kv;
@@ -40,9 +52,9 @@
     int64_t watch_after;
     int64_t confirmed_ms;
     int64_t sent_ms;
-    int64_t peer_asked_ms;
+    int64_t peer_requested_ms;
     int64_t peers_read_ms;
-    bool asking_peer;
+    bool peer_request_open;
     size_t next_peer;
 };
 
@@ -57,8 +69,9 @@
 static void
 activate_config(struct config_feed *feed, const struct kv_item *item)
 {
-    int64_t held = feed->config == NULL ? 0 : feed->config->revision;
-    if (item->revision <= held) {
+    int64_t active_revision =
+        feed->config == NULL ? 0 : feed->config->revision;
+    if (item->revision <= active_revision) {
         return;
     }
     struct fleet_config *config =
@@ -80,7 +93,8 @@
     fleet_config_destroy(before);
 }
 
-/* The order itself tells no time; it counts from when it was first read. */
+/* The record of a wave has no time stamp; its time counts from the first
+ * read. */
 static int64_t
 first_seen_ms(struct config_feed *feed, const char *key)
 {
@@ -94,15 +108,15 @@
 }
 
 static void
-apply_commands(struct config_feed *feed)
+apply_fleet_commands(struct config_feed *feed)
 {
-    GPtrArray *out = g_ptr_array_new();
+    GPtrArray *out_of_service = g_ptr_array_new();
     g_ptr_array_set_size(feed->waves, 0);
     for (guint i = 0; i < feed->items->len; i++) {
         const struct kv_item *item = g_ptr_array_index(feed->items, i);
         if (g_str_has_prefix(item->key, PLATFORM_OUT_OF_SERVICE_PREFIX)) {
             g_ptr_array_add(
-                out,
+                out_of_service,
                 g_strdup(item->key + strlen(PLATFORM_OUT_OF_SERVICE_PREFIX)));
         }
         else if (g_str_has_prefix(item->key, PLATFORM_WAVE_PREFIX)) {
@@ -115,12 +129,13 @@
             }
         }
     }
-    g_ptr_array_add(out, NULL);
+    g_ptr_array_add(out_of_service, NULL);
     g_strfreev(feed->out_of_service);
-    feed->out_of_service = (char **)g_ptr_array_free(out, FALSE);
+    feed->out_of_service = (char **)g_ptr_array_free(out_of_service, FALSE);
 }
 
-/* Puts in force what was read as of a revision; never goes back. */
+/* Activates the records that were read as of a revision, unless newer ones are
+ * active. */
 static void
 apply_items(struct config_feed *feed, int64_t as_of, int64_t confirmed_ms)
 {
@@ -134,7 +149,7 @@
     feed->items = feed->next_items;
     feed->next_items = before;
     g_ptr_array_set_size(feed->next_items, 0);
-    apply_commands(feed);
+    apply_fleet_commands(feed);
     for (guint i = 0; i < feed->items->len; i++) {
         const struct kv_item *item = g_ptr_array_index(feed->items, i);
         if (strcmp(item->key, PLATFORM_CONFIG_KEY) == 0) {
@@ -151,7 +166,7 @@
 on_peer_records(void *ctx, const struct http_reply *reply)
 {
     struct config_feed *feed = ctx;
-    feed->asking_peer = false;
+    feed->peer_request_open = false;
     if (reply->status != 200) {
         return;
     }
@@ -176,22 +191,22 @@
             };
             g_ptr_array_add(feed->next_items, kv_item_copy(&item));
         }
-        apply_items(feed, as_of, feed->peer_asked_ms - age_ms);
+        apply_items(feed, as_of, feed->peer_requested_ms - age_ms);
         feed->watch_after = 0;
     }
     cJSON_Delete(body);
 }
 
 static void
-ask_peer(struct config_feed *feed)
+request_peer_records(struct config_feed *feed)
 {
     size_t n_peers = feed->peers == NULL ? 0 : g_strv_length(feed->peers);
-    if (n_peers == 0 || feed->asking_peer) {
+    if (n_peers == 0 || feed->peer_request_open) {
         return;
     }
     const char *peer = feed->peers[feed->next_peer++ % n_peers];
-    feed->asking_peer = true;
-    feed->peer_asked_ms = node_now(feed->node);
+    feed->peer_request_open = true;
+    feed->peer_requested_ms = node_now(feed->node);
     peers_fetch_operator_records(feed->node->peers, peer, on_peer_records,
                                  feed);
 }
@@ -227,7 +242,7 @@
              (struct kv_done){.call = on_range, .ctx = feed});
 }
 
-/* The orders as they are after the changes of a watch. */
+/* Builds the next records from the active ones and the changes of a watch. */
 static void
 merge_changes(struct config_feed *feed, const GPtrArray *events)
 {
@@ -267,8 +282,9 @@
         return;
     }
     if (result->items->len == 0) {
-        /* The revision stays: a change that a watch missed is then still
-         * asked for, or known to be lost. */
+        /* The revision to watch after stays the same, so that a later watch
+         * returns a change that this one missed, or reports that the history
+         * was compacted. */
         feed->confirmed_ms = MAX(feed->confirmed_ms, feed->sent_ms);
     }
     else {
@@ -300,7 +316,7 @@
 }
 
 static void
-read_peers(struct config_feed *feed, int64_t now_ms)
+read_peer_list(struct config_feed *feed, int64_t now_ms)
 {
     if (feed->peers_read_ms != 0 &&
         now_ms - feed->peers_read_ms < PEER_LIST_INTERVAL_MS) {
@@ -318,7 +334,7 @@
     (void)events;
     struct config_feed *feed = ctx;
     int64_t now_ms = node_now(feed->node);
-    read_peers(feed, now_ms);
+    read_peer_list(feed, now_ms);
     feed->sent_ms = now_ms;
     if (feed->watch_after == 0) {
         g_ptr_array_set_size(feed->next_items, 0);
@@ -329,7 +345,8 @@
              WATCH_WAIT_MS, (struct kv_done){.call = on_watch, .ctx = feed});
 }
 
-/* Apart from the store's calls: those may each wait for their timeout. */
+/* Runs on its own timer, since each call to the store may take up to its
+ * timeout. */
 static void
 on_peer_timer(evutil_socket_t fd, short events, void *ctx)
 {
@@ -337,10 +354,10 @@
     (void)events;
     struct config_feed *feed = ctx;
     if (feed->confirmed_ms != 0 &&
-        node_now(feed->node) - feed->confirmed_ms > ASK_PEERS_AFTER_MS) {
-        ask_peer(feed);
+        node_now(feed->node) - feed->confirmed_ms > PEER_FALLBACK_AFTER_MS) {
+        request_peer_records(feed);
     }
-    timer_set(feed->peer_timer, ASK_PEERS_INTERVAL_MS);
+    timer_set(feed->peer_timer, PEER_FALLBACK_INTERVAL_MS);
 }
 
 struct config_feed *
@@ -360,7 +377,7 @@
     feed->timer = evtimer_new(node->base, on_timer, feed);
     feed->peer_timer = evtimer_new(node->base, on_peer_timer, feed);
     timer_set(feed->timer, 0);
-    timer_set(feed->peer_timer, ASK_PEERS_INTERVAL_MS);
+    timer_set(feed->peer_timer, PEER_FALLBACK_INTERVAL_MS);
     return feed;
 }
 
@@ -392,7 +409,7 @@
 bool
 config_feed_fresh(const struct config_feed *feed)
 {
-    /* A tenth is left for the request that relies on it. */
+    /* A tenth of the limit remains for the request that relies on it. */
     int64_t stale_ms = feed->node->settings->config_age_max_ms * 9 / 10;
     return feed->config != NULL &&
            node_now(feed->node) - feed->confirmed_ms < stale_ms;
@@ -422,22 +439,22 @@
     if (!config_feed_fresh(feed)) {
         return NULL;
     }
-    GString *out = g_string_new(NULL);
-    g_string_append_printf(out,
+    GString *out_of_service = g_string_new(NULL);
+    g_string_append_printf(out_of_service,
                            "{\"age_ms\":%" G_GINT64_FORMAT
                            ",\"as_of\":%" G_GINT64_FORMAT ",\"items\":[",
                            node_now(feed->node) - feed->confirmed_ms,
                            feed->as_of);
     for (guint i = 0; i < feed->items->len; i++) {
         const struct kv_item *item = g_ptr_array_index(feed->items, i);
-        g_string_append(out, i == 0 ? "{\"key\":" : ",{\"key\":");
-        json_text_add(out, item->key);
+        g_string_append(out_of_service, i == 0 ? "{\"key\":" : ",{\"key\":");
+        json_text_add(out_of_service, item->key);
         g_string_append_printf(
-            out,
+            out_of_service,
             ",\"revision\":%" G_GINT64_FORMAT ",\"value\":", item->revision);
-        json_text_add(out, item->value);
-        g_string_append_c(out, '}');
+        json_text_add(out_of_service, item->value);
+        g_string_append_c(out_of_service, '}');
     }
-    g_string_append(out, "]}");
-    return g_string_free(out, FALSE);
+    g_string_append(out_of_service, "]}");
+    return g_string_free(out_of_service, FALSE);
 }
--- a/egretjobd/frontend.c
+++ b/egretjobd/frontend.c
@@ -38,7 +38,7 @@
     struct frontend_counters counters;
 };
 
-/* A caller's request on its way; keeps its own copy of what it asks. */
+/** struct caller_request - an open request; owns the texts of @call */
 struct caller_request {
     struct frontend *frontend;
     struct http_exchange *exchange;
@@ -47,7 +47,7 @@
     char *queue;
     char *pool;
     char *team;
-    int64_t since_ms;
+    int64_t received_ms;
 };
 
 static void
@@ -64,7 +64,7 @@
 add_retry_after(struct http_exchange *exchange, int64_t retry_after_ms)
 {
     char text[24];
-    /* The header counts whole seconds. */
+    /* The header has whole seconds. */
     g_snprintf(text, sizeof(text), "%" G_GINT64_FORMAT,
                (retry_after_ms + 999) / 1000);
     http_exchange_add_header(exchange, "Retry-After", text);
@@ -82,7 +82,7 @@
                   "\"job\":\"%s\",\"queue\":\"%s\",\"status\":%d,"
                   "\"after_ms\":%" G_GINT64_FORMAT,
                   request->id, request->queue, status,
-                  node_now(frontend->node) - request->since_ms);
+                  node_now(frontend->node) - request->received_ms);
     }
     else if (status == 504) {
         frontend->counters.unknown++;
@@ -102,9 +102,9 @@
     request_answer(ctx, answer);
 }
 
-/* Without a scheduler that answers, the store itself is asked. */
+/* Handles the request through the store, since no leader answers. */
 static void
-ask_store(struct caller_request *request)
+handle_in_store(struct caller_request *request)
 {
     struct node *node = request->frontend->node;
     struct job_reply reply = {.call = on_store_answer, .ctx = request};
@@ -129,10 +129,10 @@
 on_scheduler_answer(void *ctx, const struct job_answer *answer)
 {
     struct caller_request *request = ctx;
-    if (answer->status == JOB_ANSWER_ASK_STORE ||
-        answer->status == JOB_ANSWER_NONE) {
-        request->call.uncertain = answer->status == JOB_ANSWER_NONE;
-        ask_store(request);
+    if (answer->status == JOB_ANSWER_USE_STORE ||
+        answer->status == JOB_ANSWER_UNANSWERED) {
+        request->call.uncertain = answer->status == JOB_ANSWER_UNANSWERED;
+        handle_in_store(request);
         return;
     }
     request_answer(request, answer);
@@ -147,12 +147,13 @@
         leader_handle_call(node->leader, &request->call, reply);
         return;
     }
-    const char *holder = leadership_leader_address(node->leadership);
-    if (holder != NULL && strcmp(holder, node->settings->peer_address) != 0) {
-        peers_call(node->peers, holder, &request->call, reply);
+    const char *leader_address = leadership_leader_address(node->leadership);
+    if (leader_address != NULL &&
+        strcmp(leader_address, node->settings->peer_address) != 0) {
+        peers_call(node->peers, leader_address, &request->call, reply);
         return;
     }
-    ask_store(request);
+    handle_in_store(request);
 }
 
 static void
@@ -178,7 +179,7 @@
     return text[JOB_ID_CHARS] == '\0';
 }
 
-/* Path without its query, in @path. */
+/* Copies the path without its query; false if it is too long. */
 static bool
 copy_path(const char *uri, char *path)
 {
@@ -191,7 +192,7 @@
     return true;
 }
 
-/* Host header without a port, in @host. */
+/* Copies the Host header without its port. */
 static void
 copy_host(const struct http_exchange *exchange, char *host)
 {
@@ -201,7 +202,7 @@
 }
 
 static bool
-find_kind(const char *method, const char *rest, enum job_call_kind *kind)
+find_call_kind(const char *method, const char *rest, enum job_call_kind *kind)
 {
     if (rest[0] == '\0') {
         *kind = JOB_CALL_QUEUE_LENGTH;
@@ -230,7 +231,7 @@
     g_free(body);
 }
 
-/* Rejects a malformed job with the place of the error. */
+/* Replies 400 to a malformed job, with the position of the error. */
 static bool
 check_body(struct frontend *frontend, struct http_exchange *exchange)
 {
@@ -259,7 +260,7 @@
     request->queue = g_strdup(queue->name);
     request->pool = g_strdup(queue->pool);
     request->team = g_strdup(team);
-    request->since_ms = node_now(frontend->node);
+    request->received_ms = node_now(frontend->node);
     request->call = (struct job_call){
         .kind = kind,
         .id = request->id,
@@ -279,7 +280,8 @@
     struct frontend *frontend = ctx;
     frontend->counters.requests++;
     if (!config_feed_fresh(frontend->node->feed)) {
-        refuse(frontend, exchange, 503, "no fresh configuration");
+        refuse(frontend, exchange, 503,
+               "configuration not confirmed recently");
         return;
     }
     const struct fleet_config *config =
@@ -306,9 +308,11 @@
     }
     const char *rest = path + strlen(queue->prefix);
     enum job_call_kind kind;
-    if (!find_kind(http_exchange_method(exchange), rest, &kind) ||
+    if (!find_call_kind(http_exchange_method(exchange), rest, &kind) ||
         (kind != JOB_CALL_QUEUE_LENGTH && !is_job_id(rest))) {
-        answer_invalid(frontend, exchange, "not a job's id in the path");
+        answer_invalid(
+            frontend, exchange,
+            "path does not end in a job id of 16 hexadecimal digits");
         return;
     }
     if (kind == JOB_CALL_SUBMIT && !check_body(frontend, exchange)) {
--- a/egretjobd/leader.c
+++ b/egretjobd/leader.c
@@ -200,7 +200,7 @@
 {
     for (guint i = 0; i < leader->cancels->len; i++) {
         struct cancel_waiter *waiter = g_ptr_array_index(leader->cancels, i);
-        struct job_answer answer = {.status = JOB_ANSWER_ASK_STORE};
+        struct job_answer answer = {.status = JOB_ANSWER_USE_STORE};
         waiter->reply.call(waiter->reply.ctx, &answer);
         job_unref(waiter->job);
         g_free(waiter);
@@ -379,7 +379,7 @@
                    struct job_reply reply)
 {
     if (!leader_ready(leader) || !leadership_valid(leader->node->leadership)) {
-        reply_with(&reply, JOB_ANSWER_ASK_STORE, NULL);
+        reply_with(&reply, JOB_ANSWER_USE_STORE, NULL);
         return;
     }
     leader_update_validity(leader);
--- a/egretjobd/leader_store.c
+++ b/egretjobd/leader_store.c
@@ -139,8 +139,8 @@
     }
 }
 
-/* A conflict comes from a new holder, or from an earlier write of our own
- * that got no answer; then its revision is taken over. */
+/* A conflict comes from a new holder, or from an earlier write of our own that
+ * got no answer; then its revision is taken over. */
 static bool
 handle_conflict(struct leader *leader, const struct store_batch *batch,
                 const struct kv_result *result)
--- a/egretjobd/main.c
+++ b/egretjobd/main.c
@@ -8,12 +8,12 @@
 #include "egretjobd/node.h"
 #include "platform/job_settings.h"
 
-#define BOOT_VARIABLE "EGRETGLADE_BOOT"
+#define SETTINGS_VARIABLE "EGRETGLADE_BOOT"
 
 const char *argp_program_version = "egretjobd " EGRET_VERSION;
 
 struct arguments {
-    const char *settings;
+    const char *settings_path;
     bool check;
 };
 
@@ -31,10 +31,10 @@
         arguments->check = true;
         return 0;
     case ARGP_KEY_ARG:
-        if (arguments->settings != NULL) {
+        if (arguments->settings_path != NULL) {
             argp_usage(state);
         }
-        arguments->settings = arg;
+        arguments->settings_path = arg;
         return 0;
     default:
         return ARGP_ERR_UNKNOWN;
@@ -50,16 +50,16 @@
         .args_doc = "[SETTINGS]",
         .doc = "Takes jobs from callers and runs them on backend servers. "
                "SETTINGS is the path of the settings file; without it the "
-               "variable " BOOT_VARIABLE " names it.",
+               "environment variable " SETTINGS_VARIABLE " gives it.",
     };
     struct arguments arguments = {0};
     argp_parse(&argp, argc, argv, 0, NULL, &arguments);
-    if (arguments.settings == NULL) {
-        arguments.settings = getenv(BOOT_VARIABLE);
+    if (arguments.settings_path == NULL) {
+        arguments.settings_path = getenv(SETTINGS_VARIABLE);
     }
     struct findings *findings = findings_create();
     struct job_settings *settings =
-        job_settings_read(arguments.settings, findings);
+        job_settings_read(arguments.settings_path, findings);
     findings_print(findings, stderr);
     findings_destroy(findings);
     if (settings == NULL) {
--- a/egretjobd/node.c
+++ b/egretjobd/node.c
@@ -20,12 +20,12 @@
 
 enum {
     SHUTDOWN_POLL_MS = 50,
-    /* Part of the grace period kept for the end of the process itself. */
+    /* Part of the stop grace period reserved for the process exit. */
     SHUTDOWN_MARGIN_MS = 700,
-    /* Answers need this long to leave the process. */
+    /* Time to send the last replies. */
     SHUTDOWN_ANSWER_MS = 200,
-    /* Callers already on their way are still served after the health check
-     * has failed twice, a second apart. */
+    /* Requests that are already routed here are still served; callers stop
+     * coming after the health check has failed twice, a second apart. */
     SHUTDOWN_LINGER_MS = 2500,
     REGISTER_TIMEOUT_MS = 1000,
     REGISTER_RETRY_MS = 300,
@@ -114,8 +114,8 @@
     (void)fd;
     (void)events;
     (void)ctx;
-    /* Addresses and limits hold for the lifetime of a process; the rest of
-     * what changes comes from the store. */
+    /* Addresses and limits in the settings are fixed for the lifetime of the
+     * process; configuration changes come from the store. */
     event_log("reload", "\"signal\":\"HUP\"");
 }
 
@@ -128,7 +128,7 @@
     }
 }
 
-/* Peers find this process by its record. */
+/* Stores this process's peer address, by which the others find it. */
 static void
 on_register_timer(evutil_socket_t fd, short events, void *ctx)
 {
@@ -151,7 +151,8 @@
     node->peers = peers_create(node);
     node->frontend = frontend_create(node);
     if (node->peers == NULL || node->frontend == NULL) {
-        event_log("start_failed", "\"why\":\"an address can't be had\"");
+        event_log("start_failed",
+                  "\"why\":\"cannot listen on an address of the settings\"");
         return false;
     }
     node->acceptor = acceptor_create(node);
@@ -229,7 +230,7 @@
     stop_components(node);
     free_events(&state);
     event_log("stop", "\"code\":%d", started ? 0 : 1);
-    /* Frees connections that were closed during the last turn. */
+    /* Frees connections that were closed in the last loop iteration. */
     event_base_loop(node->base, EVLOOP_ONCE | EVLOOP_NONBLOCK);
     event_base_free(node->base);
     return started ? 0 : 1;
--- a/egretjobd/peers.c
+++ b/egretjobd/peers.c
@@ -228,7 +228,7 @@
     struct job_answer answer = {.status = reply->status, .body = body};
     if (reply->status == 0) {
         answer.status =
-            reply->never_sent ? JOB_ANSWER_ASK_STORE : JOB_ANSWER_NONE;
+            reply->never_sent ? JOB_ANSWER_USE_STORE : JOB_ANSWER_UNANSWERED;
     }
     forwarded->reply.call(forwarded->reply.ctx, &answer);
     g_free(body);
--- a/include/egretjobd/job_call.h
+++ b/include/egretjobd/job_call.h
@@ -38,15 +38,15 @@
 
 enum {
     /* Internal: the process that was called can't answer; use the store. */
-    JOB_ANSWER_ASK_STORE = 421,
+    JOB_ANSWER_USE_STORE = 421,
     /* Internal: the process that was called did not answer, and may still
      * carry the call out. */
-    JOB_ANSWER_NONE = 424,
+    JOB_ANSWER_UNANSWERED = 424,
 };
 
 /**
  * struct job_answer - answer to a call
- * @status: HTTP status for the caller, or JOB_ANSWER_ASK_STORE
+ * @status: HTTP status for the caller, or JOB_ANSWER_USE_STORE
  * @body: JSON text, or NULL
  * @retry_after_ms: when a refused caller may retry; 0: not given
  */
--- a/include/egretjobd/peers.h
+++ b/include/egretjobd/peers.h
@@ -13,7 +13,8 @@
 peers_destroy(struct peers *peers);
 
 /** peers_call() - forward a caller's request to the process at @address;
- * JOB_ANSWER_ASK_STORE if it can't answer, JOB_ANSWER_NONE if it doesn't. */
+ * JOB_ANSWER_USE_STORE if it can't answer, JOB_ANSWER_UNANSWERED if it
+ * doesn't. */
 void
 peers_call(struct peers *peers, const char *address,
            const struct job_call *call, struct job_reply reply);
