--- a/egretd/permit_accounts.c
+++ b/egretd/permit_accounts.c
@@ -9,21 +9,21 @@
 #include "store/store_keys.h"
 
 enum {
-    /* Calls about single teams in one heartbeat. */
-    CALLS_PER_BEAT = 16,
-    RELEASE_CALLS_PER_BEAT = 128,
-    RELEASE_MAX_MS = 3000,
-    /* Between requests for a permit that no task waits for. */
-    IDLE_ASK_MS = 30 * 1000,
+    /* Store calls about single teams in one heartbeat. */
+    STORE_CALLS_PER_HEARTBEAT_MAX = 16,
+    RELEASE_CALLS_PER_HEARTBEAT_MAX = 128,
+    RELEASE_TIMEOUT_MS = 3000,
+    /* Between requests to peers for permits that no task here needs now. */
+    IDLE_REQUEST_INTERVAL_MS = 30 * 1000,
 };
 
 static void
-team_destroy(void *data)
+account_destroy(void *data)
 {
-    struct permit_account *team = data;
-    permits_destroy(team->permits);
-    g_free(team->name);
-    g_free(team);
+    struct permit_account *account = data;
+    permits_destroy(account->permits);
+    g_free(account->name);
+    g_free(account);
 }
 
 static void
@@ -41,12 +41,12 @@
     g_hash_table_unref(accounts->by_name);
     g_ptr_array_unref(accounts->teams);
     g_ptr_array_unref(accounts->members);
-    g_ptr_array_unref(accounts->suspects);
+    g_ptr_array_unref(accounts->unknown_holders);
     g_hash_table_unref(accounts->reclaims);
     g_free(accounts->incarnation);
 }
 
-/* Each call to the store that is under way keeps the accounts. */
+/* Each pending store call holds a reference. */
 static void
 permit_accounts_unref(struct permit_accounts *accounts)
 {
@@ -54,28 +54,28 @@
 }
 
 static void
-on_team_dropped(void *ctx)
+on_account_call_abandoned(void *ctx)
 {
-    struct permit_account *team = ctx;
-    permit_accounts_unref(team->accounts);
+    struct permit_account *account = ctx;
+    permit_accounts_unref(account->accounts);
 }
 
 static void
-on_own_dropped(void *ctx)
+on_call_abandoned(void *ctx)
 {
     permit_accounts_unref(ctx);
 }
 
 struct store_callback
-permit_account_callback(struct permit_account *team,
+permit_account_callback(struct permit_account *account,
                         void (*done)(void *ctx,
                                      const struct store_result *result))
 {
-    g_rc_box_acquire(team->accounts);
+    g_rc_box_acquire(account->accounts);
     return (struct store_callback){
         .done = done,
-        .abandoned = on_team_dropped,
-        .ctx = team,
+        .abandoned = on_account_call_abandoned,
+        .ctx = account,
     };
 }
 
@@ -87,7 +87,7 @@
     g_rc_box_acquire(accounts);
     return (struct store_callback){
         .done = done,
-        .abandoned = on_own_dropped,
+        .abandoned = on_call_abandoned,
         .ctx = accounts,
     };
 }
@@ -107,15 +107,16 @@
     accounts->options = *options;
     accounts->incarnation = g_strdup(options->incarnation);
     accounts->by_name =
-        g_hash_table_new_full(g_str_hash, g_str_equal, NULL, team_destroy);
+        g_hash_table_new_full(g_str_hash, g_str_equal, NULL, account_destroy);
     accounts->teams = g_ptr_array_new();
     accounts->members = g_ptr_array_new_with_free_func(g_free);
-    accounts->suspects = g_ptr_array_new_with_free_func(g_free);
+    accounts->unknown_holders = g_ptr_array_new_with_free_func(g_free);
     accounts->reclaims =
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, reclaim_destroy);
-    accounts->survey_due = true;
-    /* Gateways that start together begin with different teams. */
-    accounts->next = g_str_hash(accounts->incarnation);
+    accounts->scan_due = true;
+    /* Gateways that start together begin with different teams, so that they
+     * don't all write the same records first. */
+    accounts->next_account = g_str_hash(accounts->incarnation);
     return accounts;
 }
 
@@ -132,31 +133,33 @@
 struct permit_account *
 permit_accounts_get(struct permit_accounts *accounts, const char *name)
 {
-    struct permit_account *team = g_hash_table_lookup(accounts->by_name, name);
-    if (team != NULL) {
-        return team;
+    struct permit_account *account =
+        g_hash_table_lookup(accounts->by_name, name);
+    if (account != NULL) {
+        return account;
     }
-    team = g_new0(struct permit_account, 1);
-    team->accounts = accounts;
-    team->name = g_strdup(name);
-    team->permits = permits_create(accounts->incarnation);
-    /* The dispatcher may still have what an older incarnation told it. */
-    team->applied = UINT32_MAX;
-    g_hash_table_insert(accounts->by_name, team->name, team);
-    g_ptr_array_add(accounts->teams, team);
-    return team;
+    account = g_new0(struct permit_account, 1);
+    account->accounts = accounts;
+    account->name = g_strdup(name);
+    account->permits = permits_create(accounts->incarnation);
+    /* The dispatcher may still have the count that a previous incarnation
+     * set, so the first one is always passed on. */
+    account->applied = UINT32_MAX;
+    g_hash_table_insert(accounts->by_name, account->name, account);
+    g_ptr_array_add(accounts->teams, account);
+    return account;
 }
 
 void
-permit_account_apply(struct permit_account *team)
+permit_account_apply(struct permit_account *account)
 {
-    uint32_t usable = permits_usable(team->permits);
-    if (usable == team->applied) {
+    uint32_t usable = permits_usable(account->permits);
+    if (usable == account->applied) {
         return;
     }
-    team->applied = usable;
-    struct permit_accounts_options *options = &team->accounts->options;
-    options->set_permits(options->ctx, team->name, usable);
+    account->applied = usable;
+    struct permit_accounts_options *options = &account->accounts->options;
+    options->set_permits(options->ctx, account->name, usable);
 }
 
 void
@@ -169,16 +172,17 @@
         permit_accounts_get(accounts, config->teams[i].name);
     }
     if (accounts->teams->len > n_known) {
-        /* One call for all new teams in place of one for each. */
-        accounts->surveyed = false;
-        accounts->survey_due = true;
+        /* One read of all records, instead of one read for each new team. */
+        accounts->scanned = false;
+        accounts->scan_due = true;
     }
     for (guint i = 0; i < accounts->teams->len; i++) {
-        struct permit_account *team = accounts->teams->pdata[i];
-        const struct config_team *found = config_find_team(config, team->name);
+        struct permit_account *account = accounts->teams->pdata[i];
+        const struct config_team *found =
+            config_find_team(config, account->name);
         uint32_t limit = found == NULL ? 0 : found->max_running;
-        permits_set_limit(team->permits, limit, config->generation);
-        permit_account_apply(team);
+        permits_set_limit(account->permits, limit, config->generation);
+        permit_account_apply(account);
     }
 }
 
@@ -194,7 +198,7 @@
                             g_strdup(members[i].incarnation));
         }
     }
-    accounts->survey_due = true;
+    accounts->scan_due = true;
 }
 
 bool
@@ -206,13 +210,13 @@
 }
 
 static bool
-fleet_is_live(void *ctx, const char *incarnation)
+is_live(void *ctx, const char *incarnation)
 {
     return permit_accounts_is_member(ctx, incarnation);
 }
 
 static bool
-fleet_reclaimable(void *ctx, const char *incarnation)
+is_reclaimable(void *ctx, const char *incarnation)
 {
     const struct permit_accounts *accounts = ctx;
     return g_hash_table_contains(accounts->reclaims, incarnation);
@@ -227,14 +231,14 @@
     return (struct permits_fleet){
         .n_live = accounts->members->len,
         .rank = rank,
-        .is_live = fleet_is_live,
-        .reclaimable = fleet_reclaimable,
+        .is_live = is_live,
+        .reclaimable = is_reclaimable,
         .ctx = accounts,
     };
 }
 
 void
-permit_account_take_record(struct permit_account *team,
+permit_account_take_record(struct permit_account *account,
                            const struct store_entry *entry)
 {
     struct status status;
@@ -243,48 +247,48 @@
         permits_json_parse(entry->value, entry->size_bytes, &status);
     if (record == NULL) {
         log_line(LOG_LEVEL_ERROR, "permits-damaged", "team=%s reason=%s",
-                 log_quote(team->name), log_quote(status.message));
-        counters_add(team->accounts->options.counters,
+                 log_quote(account->name), log_quote(status.message));
+        counters_add(account->accounts->options.counters,
                      "egret_records_damaged_total", "record=\"permits\"", 1);
         return;
     }
-    permits_read(team->permits, record, entry->version);
+    permits_read(account->permits, record, entry->version);
     permits_record_destroy(record);
-    permit_account_apply(team);
+    permit_account_apply(account);
 }
 
 static void
-on_team_read(void *ctx, const struct store_result *result)
+on_record_read(void *ctx, const struct store_result *result)
 {
-    struct permit_account *team = ctx;
-    team->busy = false;
-    if (!permit_accounts_call_ended(team->accounts)) {
+    struct permit_account *account = ctx;
+    account->busy = false;
+    if (!permit_accounts_call_ended(account->accounts)) {
         return;
     }
     if (result->n_entries > 0) {
-        permit_account_take_record(team, &result->entries[0]);
+        permit_account_take_record(account, &result->entries[0]);
     }
     else if (result->status.code == STATUS_NOT_FOUND) {
-        permits_vanished(team->permits);
-        permits_read(team->permits, NULL, 0);
-        permit_account_apply(team);
+        permits_vanished(account->permits);
+        permits_read(account->permits, NULL, 0);
+        permit_account_apply(account);
     }
 }
 
 static void
-read_team(struct permit_account *team)
+read_record(struct permit_account *account)
 {
-    struct permit_accounts *accounts = team->accounts;
+    struct permit_accounts *accounts = account->accounts;
     accounts->calls_left--;
-    team->busy = true;
-    char *key = g_strconcat(STORE_KEY_PERMITS, team->name, NULL);
+    account->busy = true;
+    char *key = g_strconcat(STORE_KEY_PERMITS, account->name, NULL);
     store_get(accounts->options.store, key,
-              permit_account_callback(team, on_team_read));
+              permit_account_callback(account, on_record_read));
     g_free(key);
 }
 
 static enum permits_answer
-answer_of(const struct store_result *result)
+write_result_of(const struct store_result *result)
 {
     switch (result->status.code) {
     case STATUS_OK:
@@ -299,63 +303,65 @@
 }
 
 static void
-step_team(struct permit_account *team, const struct permits_fleet *fleet);
+advance_account(struct permit_account *account,
+                const struct permits_fleet *fleet);
 
 static void
-on_team_written(void *ctx, const struct store_result *result)
+on_record_written(void *ctx, const struct store_result *result)
 {
-    struct permit_account *team = ctx;
-    team->busy = false;
-    if (!permit_accounts_call_ended(team->accounts)) {
+    struct permit_account *account = ctx;
+    account->busy = false;
+    if (!permit_accounts_call_ended(account->accounts)) {
         return;
     }
     const struct store_entry *entry =
         result->n_entries > 0 ? &result->entries[0] : NULL;
-    permits_written(team->permits, answer_of(result),
+    permits_written(account->permits, write_result_of(result),
                     entry == NULL ? 0 : entry->version);
     if (!status_ok(&result->status) && entry != NULL) {
-        permit_account_take_record(team, entry);
+        permit_account_take_record(account, entry);
     }
     counters_add(
-        team->accounts->options.counters, "egret_permit_writes_total",
+        account->accounts->options.counters, "egret_permit_writes_total",
         status_ok(&result->status) ? "result=\"ok\"" : "result=\"other\"", 1);
-    permit_account_apply(team);
+    permit_account_apply(account);
     if (result->status.code == STATUS_CONFLICT) {
-        /* All gateways take their parts of a new team at the same time. */
-        struct permits_fleet fleet = permit_accounts_fleet(team->accounts);
-        step_team(team, &fleet);
+        /* Conflicts are expected: all gateways take their share of a new team
+         * at the same time. Retries at once, with the record just read. */
+        struct permits_fleet fleet = permit_accounts_fleet(account->accounts);
+        advance_account(account, &fleet);
     }
 }
 
 static void
-write_team(struct permit_account *team, const struct permits_write *write)
+write_record(struct permit_account *account, const struct permits_write *write)
 {
-    struct permit_accounts *accounts = team->accounts;
+    struct permit_accounts *accounts = account->accounts;
     accounts->calls_left--;
-    team->busy = true;
-    char *key = g_strconcat(STORE_KEY_PERMITS, team->name, NULL);
+    account->busy = true;
+    char *key = g_strconcat(STORE_KEY_PERMITS, account->name, NULL);
     char *text = permits_json_format(write->record);
     log_line(LOG_LEVEL_DEBUG, "permits-write",
-             "team=%s version=%" PRIu64 " held=%u", log_quote(team->name),
+             "team=%s version=%" PRIu64 " held=%u", log_quote(account->name),
              write->version,
              permits_record_held(write->record, accounts->incarnation));
     store_cas(accounts->options.store, key, text, strlen(text), write->version,
-              permit_account_callback(team, on_team_written));
+              permit_account_callback(account, on_record_written));
     g_free(text);
     g_free(key);
 }
 
-/* A live holder other than this gateway, another one at each call. */
+/* Returns a live holder other than this gateway: each in turn. */
 static const char *
-choose_holder(struct permit_account *team)
+choose_holder(struct permit_account *account)
 {
-    const struct permits_record *record = permits_record(team->permits);
+    const struct permits_record *record = permits_record(account->permits);
     for (size_t i = 0; i < record->n_holdings; i++) {
-        size_t at = (team->asked + i) % record->n_holdings;
+        size_t at = (account->next_holder + i) % record->n_holdings;
         const char *holder = record->holdings[at].incarnation;
-        if (strcmp(holder, team->accounts->incarnation) != 0 &&
-            permit_accounts_is_member(team->accounts, holder)) {
-            team->asked = (uint32_t)at + 1;
+        if (strcmp(holder, account->accounts->incarnation) != 0 &&
+            permit_accounts_is_member(account->accounts, holder)) {
+            account->next_holder = (uint32_t)at + 1;
             return holder;
         }
     }
@@ -363,52 +369,55 @@
 }
 
 static void
-ask_for_permits(struct permit_account *team, uint32_t shortage)
+request_permits(struct permit_account *account, uint32_t shortage)
 {
-    struct permit_accounts_options *options = &team->accounts->options;
+    struct permit_accounts_options *options = &account->accounts->options;
     int64_t now_ms = ms_clock_now(&options->clock);
-    bool idle = options->running(options->ctx, team->name) == 0 &&
-                options->queued(options->ctx, team->name) == 0;
-    if (idle && team->asked_ms != 0 && now_ms - team->asked_ms < IDLE_ASK_MS) {
+    bool idle = options->running(options->ctx, account->name) == 0 &&
+                options->queued(options->ctx, account->name) == 0;
+    if (idle && account->requested_ms != 0 &&
+        now_ms - account->requested_ms < IDLE_REQUEST_INTERVAL_MS) {
         return;
     }
-    const char *holder = choose_holder(team);
+    const char *holder = choose_holder(account);
     if (holder == NULL) {
         return;
     }
-    team->asked_ms = now_ms;
+    account->requested_ms = now_ms;
     struct message message = {
         .type = MESSAGE_PERMIT_WANT,
-        .as.permit_want = {.team = team->name, .permits = shortage},
+        .as.permit_want = {.team = account->name, .permits = shortage},
     };
-    peers_send(team->accounts->options.peers, holder, &message);
-    /* What the holder gives is seen by reading the record again. */
-    permits_refresh(team->permits);
+    peers_send(account->accounts->options.peers, holder, &message);
+    /* Permits that the holder releases show only in the record. */
+    permits_refresh(account->permits);
 }
 
 static void
-step_team(struct permit_account *team, const struct permits_fleet *fleet)
+advance_account(struct permit_account *account,
+                const struct permits_fleet *fleet)
 {
-    struct permit_accounts *accounts = team->accounts;
-    if (team->busy || accounts->calls_left == 0 || !accounts->surveyed) {
+    struct permit_accounts *accounts = account->accounts;
+    if (account->busy || accounts->calls_left == 0 || !accounts->scanned) {
         return;
     }
-    if (permits_stale(team->permits)) {
-        read_team(team);
+    if (permits_stale(account->permits)) {
+        read_record(account);
         return;
     }
     uint32_t running =
-        accounts->options.running(accounts->options.ctx, team->name);
+        accounts->options.running(accounts->options.ctx, account->name);
     struct permits_write write;
-    if (permits_plan(team->permits, running, fleet, &write)) {
-        /* Lowered here before the store can show it to others. */
-        permit_account_apply(team);
-        write_team(team, &write);
+    if (permits_plan(account->permits, running, fleet, &write)) {
+        /* If the write gives permits away, the dispatcher must stop using them
+         * before another gateway can see them free. */
+        permit_account_apply(account);
+        write_record(account, &write);
         return;
     }
-    uint32_t shortage = permits_shortage(team->permits, fleet);
+    uint32_t shortage = permits_shortage(account->permits, fleet);
     if (shortage > 0) {
-        ask_for_permits(team, shortage);
+        request_permits(account, shortage);
     }
 }
 
@@ -417,26 +426,26 @@
                                const char *peer, const struct message *message)
 {
     const struct message_permit_want *want = &message->as.permit_want;
-    struct permit_account *team =
+    struct permit_account *account =
         g_hash_table_lookup(accounts->by_name, want->team);
-    if (team == NULL ||
+    if (account == NULL ||
         !permit_accounts_is_member(accounts, accounts->incarnation)) {
         return;
     }
-    permits_want(team->permits, peer, want->permits);
+    permits_want(account->permits, peer, want->permits);
     struct permits_fleet fleet = permit_accounts_fleet(accounts);
-    step_team(team, &fleet);
+    advance_account(account, &fleet);
 }
 
 static void
-observe_teams(struct permit_accounts *accounts)
+observe_demand(struct permit_accounts *accounts)
 {
     struct permit_accounts_options *options = &accounts->options;
     for (guint i = 0; i < accounts->teams->len; i++) {
-        struct permit_account *team = accounts->teams->pdata[i];
-        permits_observe(team->permits,
-                        options->running(options->ctx, team->name),
-                        options->queued(options->ctx, team->name));
+        struct permit_account *account = accounts->teams->pdata[i];
+        permits_observe(account->permits,
+                        options->running(options->ctx, account->name),
+                        options->queued(options->ctx, account->name));
     }
 }
 
@@ -444,9 +453,9 @@
 holds_any(const struct permit_accounts *accounts)
 {
     for (guint i = 0; i < accounts->teams->len; i++) {
-        const struct permit_account *team = accounts->teams->pdata[i];
-        if (team->busy ||
-            permits_holds(team->permits, accounts->incarnation)) {
+        const struct permit_account *account = accounts->teams->pdata[i];
+        if (account->busy ||
+            permits_holds(account->permits, accounts->incarnation)) {
             return true;
         }
     }
@@ -458,28 +467,28 @@
 {
     bool late =
         ms_clock_now(&accounts->options.clock) >= accounts->release_by_ms;
-    if (accounts->released == NULL || (!late && holds_any(accounts))) {
+    if (accounts->on_released == NULL || (!late && holds_any(accounts))) {
         return;
     }
-    void (*released)(void *ctx) = accounts->released;
-    accounts->released = NULL;
-    released(accounts->released_ctx);
+    void (*on_released)(void *ctx) = accounts->on_released;
+    accounts->on_released = NULL;
+    on_released(accounts->released_ctx);
 }
 
-/* Teams with work come before those that only wait for their part. */
+/* Teams with tasks come before those that only lack their share. */
 static void
-step_teams_in_use(struct permit_accounts *accounts,
-                  const struct permits_fleet *fleet)
+advance_accounts_in_use(struct permit_accounts *accounts,
+                        const struct permits_fleet *fleet)
 {
     const struct permit_accounts_options *options = &accounts->options;
     for (guint i = 0; i < accounts->teams->len && accounts->calls_left > 0;
          i++) {
-        struct permit_account *team =
+        struct permit_account *account =
             accounts->teams
-                ->pdata[(accounts->next + i) % accounts->teams->len];
-        if (options->queued(options->ctx, team->name) > 0 ||
-            options->running(options->ctx, team->name) > 0) {
-            step_team(team, fleet);
+                ->pdata[(accounts->next_account + i) % accounts->teams->len];
+        if (options->queued(options->ctx, account->name) > 0 ||
+            options->running(options->ctx, account->name) > 0) {
+            advance_account(account, fleet);
         }
     }
 }
@@ -487,20 +496,23 @@
 void
 permit_accounts_tick(struct permit_accounts *accounts)
 {
-    observe_teams(accounts);
+    observe_demand(accounts);
     permit_accounts_scan(accounts);
     if (!permit_accounts_is_member(accounts, accounts->incarnation)) {
         finish_release(accounts);
         return;
     }
-    accounts->calls_left =
-        accounts->releasing ? RELEASE_CALLS_PER_BEAT : CALLS_PER_BEAT;
+    accounts->calls_left = accounts->releasing
+                               ? RELEASE_CALLS_PER_HEARTBEAT_MAX
+                               : STORE_CALLS_PER_HEARTBEAT_MAX;
     struct permits_fleet fleet = permit_accounts_fleet(accounts);
-    step_teams_in_use(accounts, &fleet);
+    advance_accounts_in_use(accounts, &fleet);
     for (guint i = 0; i < accounts->teams->len && accounts->calls_left > 0;
          i++) {
-        accounts->next = (accounts->next + 1) % accounts->teams->len;
-        step_team(accounts->teams->pdata[accounts->next], &fleet);
+        accounts->next_account =
+            (accounts->next_account + 1) % accounts->teams->len;
+        advance_account(accounts->teams->pdata[accounts->next_account],
+                        &fleet);
     }
     finish_release(accounts);
 }
@@ -516,7 +528,7 @@
     reclaim->done = done;
     reclaim->ctx = ctx;
     g_hash_table_replace(accounts->reclaims, reclaim->incarnation, reclaim);
-    accounts->survey_due = true;
+    accounts->scan_due = true;
 }
 
 void
@@ -524,13 +536,13 @@
                         void (*done)(void *ctx), void *ctx)
 {
     accounts->releasing = true;
-    accounts->released = done;
+    accounts->on_released = done;
     accounts->released_ctx = ctx;
     accounts->release_by_ms =
-        ms_clock_now(&accounts->options.clock) + RELEASE_MAX_MS;
+        ms_clock_now(&accounts->options.clock) + RELEASE_TIMEOUT_MS;
     for (guint i = 0; i < accounts->teams->len; i++) {
-        struct permit_account *team = accounts->teams->pdata[i];
-        permits_release(team->permits);
+        struct permit_account *account = accounts->teams->pdata[i];
+        permits_release(account->permits);
     }
     permit_accounts_tick(accounts);
 }
--- a/egretd/permit_accounts_internal.h
+++ b/egretd/permit_accounts_internal.h
@@ -1,4 +1,4 @@
-/* Parts of the accounts that share its state. */
+/* State shared by egretd/permit_accounts*.c. */
 #ifndef EGRETD_PERMIT_ACCOUNTS_INTERNAL_H
 #define EGRETD_PERMIT_ACCOUNTS_INTERNAL_H
 
@@ -8,11 +8,11 @@
 #include "egretd/permit_accounts.h"
 
 /**
- * struct permit_account - one team's permits
- * @busy: a call to the store about it is under way
- * @applied: permits last told to the dispatcher
- * @asked: number of the last request to a peer, turns through the holders
- * @asked_ms: when it was made
+ * struct permit_account - the permits of one team
+ * @busy: a store call about its record is pending
+ * @applied: permits last passed to the dispatcher
+ * @next_holder: index of the holder that the next request goes to
+ * @requested_ms: when permits were last requested from a holder
  */
 struct permit_account {
     struct permit_accounts *accounts;
@@ -20,11 +20,14 @@
     struct permits *permits;
     bool busy;
     uint32_t applied;
-    uint32_t asked;
-    int64_t asked_ms;
+    uint32_t next_holder;
+    int64_t requested_ms;
 };
 
-/** struct permit_reclaim - a gateway whose permits may move */
+/**
+ * struct permit_reclaim - a gateway whose permits may be taken back
+ * @done: called once no record names it any more; may be NULL
+ */
 struct permit_reclaim {
     char *incarnation;
     void (*done)(void *ctx, const char *incarnation);
@@ -33,14 +36,22 @@
 
 /**
  * struct permit_accounts - see the header
- * @closed: destroyed by its owner
- * @by_name: teams by name; @teams: the same in a fixed order
- * @next: team that the next heartbeat begins with
- * @calls_left: calls to the store that are left in this heartbeat
- * @reclaims: by incarnation
- * @surveyed_ms: when all records were last asked for
- * @survey_due: something happened that any record may reflect
- * @suspects: holders that are no members, being looked up
+ * @closed: destroyed by its owner; only pending store calls still refer to it
+ * @by_name: struct permit_account by team; @teams: the same in a fixed order
+ * @next_account: index into @teams that the next heartbeat begins with
+ * @calls_left: store calls that this heartbeat may still make
+ * @members: registered incarnations that are not fenced
+ * @reclaims: struct permit_reclaim by incarnation
+ * @scanning: a read of all permit records is pending
+ * @scanned: a scan has covered all present teams; no calls about single teams
+ *           are made before
+ * @scan_due: teams, members or reclaims changed since the last scan began, or
+ *            it failed
+ * @scan_started_ms: when the last scan began
+ * @unknown_holders: holders that are no members as far as known here; looked
+ *                   up in the members record at the store
+ * @checking_holders: that read is pending
+ * @release_by_ms: @on_released is called by then, whatever is still held
  */
 struct permit_accounts {
     struct permit_accounts_options options;
@@ -49,48 +60,49 @@
     uint64_t generation;
     GHashTable *by_name;
     GPtrArray *teams;
-    guint next;
+    guint next_account;
     uint32_t calls_left;
     GPtrArray *members;
     GHashTable *reclaims;
-    bool surveying;
-    bool surveyed;
-    bool survey_due;
-    int64_t surveyed_ms;
-    GPtrArray *suspects;
-    bool looking_up;
+    bool scanning;
+    bool scanned;
+    bool scan_due;
+    int64_t scan_started_ms;
+    GPtrArray *unknown_holders;
+    bool checking_holders;
     bool releasing;
     int64_t release_by_ms;
-    void (*released)(void *ctx);
+    void (*on_released)(void *ctx);
     void *released_ctx;
 };
 
-/** permit_account_callback() - callback that keeps @accounts until it is
- * called; it gets @ctx, which lives as long as the accounts. */
+/** permit_account_callback() - store callback with @account as its context,
+ * which holds a reference to the accounts until the call ends. */
 struct store_callback
-permit_account_callback(struct permit_account *team,
+permit_account_callback(struct permit_account *account,
                         void (*done)(void *ctx,
                                      const struct store_result *result));
+/** permit_accounts_callback() - the same with @accounts as its context. */
 struct store_callback
 permit_accounts_callback(struct permit_accounts *accounts,
                          void (*done)(void *ctx,
                                       const struct store_result *result));
 
-/** permit_accounts_call_ended() - drop what a callback kept; false when the
- * owner is gone and the result must be ignored. */
+/** permit_accounts_call_ended() - drop the reference of a callback; false when
+ * the accounts were destroyed and the result must be ignored. */
 bool
 permit_accounts_call_ended(struct permit_accounts *accounts);
 
-/** permit_accounts_get() - team by name, made when it is new. */
+/** permit_accounts_get() - account of a team; created if there is none. */
 struct permit_account *
 permit_accounts_get(struct permit_accounts *accounts, const char *name);
 
-/** permit_account_apply() - tell the dispatcher what is usable, if it changed.
- */
+/** permit_account_apply() - pass the usable permits to the dispatcher if their
+ * number changed. */
 void
-permit_account_apply(struct permit_account *team);
+permit_account_apply(struct permit_account *account);
 
-/** permit_accounts_fleet() - facts for the decisions about permits. */
+/** permit_accounts_fleet() - snapshot of the gateways for permits_plan(). */
 struct permits_fleet
 permit_accounts_fleet(struct permit_accounts *accounts);
 
@@ -100,13 +112,13 @@
 permit_accounts_is_member(const struct permit_accounts *accounts,
                           const char *incarnation);
 
-/** permit_accounts_scan() - read all records when that is due. */
+/** permit_accounts_scan() - read all permit records when a scan is due. */
 void
 permit_accounts_scan(struct permit_accounts *accounts);
 
-/** permit_account_take_record() - take a record that came from the store. */
+/** permit_account_take_record() - use a permit record read from the store. */
 void
-permit_account_take_record(struct permit_account *team,
+permit_account_take_record(struct permit_account *account,
                            const struct store_entry *entry);
 
 #endif
--- a/egretd/permit_accounts_scan.c
+++ b/egretd/permit_accounts_scan.c
@@ -6,7 +6,8 @@
 #include "store/store_keys.h"
 
 enum {
-    SURVEY_MS = 10 * 60 * 1000,
+    /* Between scans that nothing asked for. */
+    SCAN_INTERVAL_MS = 10 * 60 * 1000,
 };
 
 static const char *
@@ -17,16 +18,16 @@
 }
 
 static void
-suspect_holders(struct permit_accounts *accounts,
-                const struct permits_record *record)
+note_unknown_holders(struct permit_accounts *accounts,
+                     const struct permits_record *record)
 {
     for (size_t i = 0; record != NULL && i < record->n_holdings; i++) {
         const char *holder = record->holdings[i].incarnation;
         if (!permit_accounts_is_member(accounts, holder) &&
             !g_hash_table_contains(accounts->reclaims, holder) &&
-            !g_ptr_array_find_with_equal_func(accounts->suspects, holder,
-                                              g_str_equal, NULL)) {
-            g_ptr_array_add(accounts->suspects, g_strdup(holder));
+            !g_ptr_array_find_with_equal_func(accounts->unknown_holders,
+                                              holder, g_str_equal, NULL)) {
+            g_ptr_array_add(accounts->unknown_holders, g_strdup(holder));
         }
     }
 }
@@ -35,8 +36,8 @@
 is_held(const struct permit_accounts *accounts, const char *incarnation)
 {
     for (guint i = 0; i < accounts->teams->len; i++) {
-        const struct permit_account *team = accounts->teams->pdata[i];
-        if (permits_holds(team->permits, incarnation)) {
+        const struct permit_account *account = accounts->teams->pdata[i];
+        if (permits_holds(account->permits, incarnation)) {
             return true;
         }
     }
@@ -59,11 +60,11 @@
 }
 
 static void
-reclaim_strays(struct permit_accounts *accounts,
-               const struct members_record *record)
+reclaim_unregistered(struct permit_accounts *accounts,
+                     const struct members_record *record)
 {
-    for (guint i = 0; i < accounts->suspects->len; i++) {
-        const char *holder = accounts->suspects->pdata[i];
+    for (guint i = 0; i < accounts->unknown_holders->len; i++) {
+        const char *holder = accounts->unknown_holders->pdata[i];
         if (members_record_find(record, holder) == NULL) {
             log_line(LOG_LEVEL_WARN, "stray-permits", "incarnation=%s",
                      log_quote(holder));
@@ -73,15 +74,16 @@
 }
 
 /*
- * A holder was registered before it took its permits and is removed only
- * when none of its work can run, so a holder that is not in a record read
- * after its holding was seen can use them no more.
+ * A gateway is registered before it takes permits and is removed from the
+ * members record only when none of its tasks can still run. So a holder that
+ * is missing from a members record read after its holding was seen can't use
+ * its permits any more, and they may be reclaimed.
  */
 static void
 on_members_read(void *ctx, const struct store_result *result)
 {
     struct permit_accounts *accounts = ctx;
-    accounts->looking_up = false;
+    accounts->checking_holders = false;
     if (!permit_accounts_call_ended(accounts)) {
         return;
     }
@@ -91,62 +93,63 @@
         struct members_record *record = members_json_parse(
             result->entries[0].value, result->entries[0].size_bytes, &status);
         if (record != NULL) {
-            reclaim_strays(accounts, record);
+            reclaim_unregistered(accounts, record);
         }
         members_record_destroy(record);
     }
-    g_ptr_array_set_size(accounts->suspects, 0);
+    g_ptr_array_set_size(accounts->unknown_holders, 0);
 }
 
 static void
-look_up_suspects(struct permit_accounts *accounts)
+check_unknown_holders(struct permit_accounts *accounts)
 {
-    if (accounts->suspects->len == 0 || accounts->looking_up) {
+    if (accounts->unknown_holders->len == 0 || accounts->checking_holders) {
         return;
     }
-    accounts->looking_up = true;
+    accounts->checking_holders = true;
     store_get(accounts->options.store, STORE_KEY_MEMBERS,
               permit_accounts_callback(accounts, on_members_read));
 }
 
 static void
-take_records(struct permit_accounts *accounts,
-             const struct store_result *result)
+take_scanned_records(struct permit_accounts *accounts,
+                     const struct store_result *result)
 {
     for (size_t i = 0; i < result->n_entries; i++) {
         const char *name = team_of_key(result->entries[i].key);
         if (name != NULL) {
-            struct permit_account *team = permit_accounts_get(accounts, name);
-            permit_account_take_record(team, &result->entries[i]);
-            suspect_holders(accounts, permits_record(team->permits));
+            struct permit_account *account =
+                permit_accounts_get(accounts, name);
+            permit_account_take_record(account, &result->entries[i]);
+            note_unknown_holders(accounts, permits_record(account->permits));
         }
     }
     for (guint i = 0; i < accounts->teams->len; i++) {
-        struct permit_account *team = accounts->teams->pdata[i];
-        if (permits_record(team->permits) == NULL) {
-            permits_read(team->permits, NULL, 0);
+        struct permit_account *account = accounts->teams->pdata[i];
+        if (permits_record(account->permits) == NULL) {
+            permits_read(account->permits, NULL, 0);
         }
     }
 }
 
 static void
-on_surveyed(void *ctx, const struct store_result *result)
+on_scanned(void *ctx, const struct store_result *result)
 {
     struct permit_accounts *accounts = ctx;
-    accounts->surveying = false;
+    accounts->scanning = false;
     if (!permit_accounts_call_ended(accounts)) {
         return;
     }
     if (!status_ok(&result->status) &&
         result->status.code != STATUS_NOT_FOUND) {
-        accounts->survey_due = true;
+        accounts->scan_due = true;
         return;
     }
-    take_records(accounts, result);
-    /* Teams that came while this read was under way wait for the next. */
-    accounts->surveyed = !accounts->survey_due;
-    if (!accounts->looking_up) {
-        look_up_suspects(accounts);
+    take_scanned_records(accounts, result);
+    /* Teams added while this read was pending wait for the next scan. */
+    accounts->scanned = !accounts->scan_due;
+    if (!accounts->checking_holders) {
+        check_unknown_holders(accounts);
     }
     g_hash_table_foreach_remove(accounts->reclaims, finish_reclaim, accounts);
 }
@@ -154,7 +157,8 @@
 static bool
 is_due(const struct permit_accounts *accounts, int64_t now_ms)
 {
-    if (accounts->survey_due || now_ms - accounts->surveyed_ms >= SURVEY_MS) {
+    if (accounts->scan_due ||
+        now_ms - accounts->scan_started_ms >= SCAN_INTERVAL_MS) {
         return true;
     }
     if (g_hash_table_size(accounts->reclaims) == 0) {
@@ -175,12 +179,12 @@
 permit_accounts_scan(struct permit_accounts *accounts)
 {
     int64_t now_ms = ms_clock_now(&accounts->options.clock);
-    if (accounts->surveying || !is_due(accounts, now_ms)) {
+    if (accounts->scanning || !is_due(accounts, now_ms)) {
         return;
     }
-    accounts->surveying = true;
-    accounts->survey_due = false;
-    accounts->surveyed_ms = now_ms;
+    accounts->scanning = true;
+    accounts->scan_due = false;
+    accounts->scan_started_ms = now_ms;
     store_get(accounts->options.store, STORE_KEY_PERMITS,
-              permit_accounts_callback(accounts, on_surveyed));
+              permit_accounts_callback(accounts, on_scanned));
 }
--- a/include/egretd/permit_accounts.h
+++ b/include/egretd/permit_accounts.h
@@ -1,4 +1,10 @@
-/* Permits of teams held by this gateway, moved by CAS at the store. */
+/*
+ * Permit accounts: how many attempts of each team this gateway may run.
+ *
+ * Each team has a permit record at the store that divides its limit among the
+ * gateways. Gateways change it by compare-and-swap: they take free permits,
+ * release permits that a peer requests, and reclaim those of fenced gateways.
+ */
 #ifndef EGRETD_PERMIT_ACCOUNTS_H
 #define EGRETD_PERMIT_ACCOUNTS_H
 
@@ -10,10 +16,10 @@
 #include "store/store.h"
 
 /**
- * struct permit_accounts_options - parts it works with
- * @running: attempts of @team now counted here
- * @queued: waiting tasks of @team here
- * @permits: sets how many attempts of @team may be counted here
+ * struct permit_accounts_options - what the accounts work with
+ * @running: returns the attempts of @team that count against its permits here
+ * @queued: returns the tasks of @team that wait here
+ * @set_permits: sets how many attempts of @team may run here
  */
 struct permit_accounts_options {
     struct store *store;
@@ -34,43 +40,43 @@
 void
 permit_accounts_destroy(struct permit_accounts *accounts);
 
-/** permit_accounts_set_config() - follow limits of a new generation. */
+/** permit_accounts_set_config() - apply the team limits of @config. */
 void
 permit_accounts_set_config(struct permit_accounts *accounts,
                            const struct config *config);
 
-/** permit_accounts_set_members() - follow the registered gateways. */
+/** permit_accounts_set_members() - set the registered gateways. */
 void
 permit_accounts_set_members(struct permit_accounts *accounts,
                             const struct gateway_member *members,
                             size_t n_members);
 
-/** permit_accounts_handle_request() - MESSAGE_PERMIT_WANT from a peer. */
+/** permit_accounts_handle_request() - handle MESSAGE_PERMIT_WANT of a peer. */
 void
 permit_accounts_handle_request(struct permit_accounts *accounts,
                                const char *peer,
                                const struct message *message);
 
-/** permit_accounts_tick() - called every heartbeat; asks for and moves
- * permits. */
+/** permit_accounts_tick() - request, take and release permits; called once a
+ * heartbeat. */
 void
 permit_accounts_tick(struct permit_accounts *accounts);
 
-/** permit_accounts_reclaim() - move the permits of a fenced gateway whose last
- * possible task has ended back to the free part; @done when no record
- * holds any. */
+/** permit_accounts_reclaim() - make the permits of a fenced gateway free; its
+ * last task must have ended. @done is called once no record names it. */
 void
 permit_accounts_reclaim(struct permit_accounts *accounts,
                         const char *incarnation,
                         void (*done)(void *ctx, const char *incarnation),
                         void *ctx);
 
-/** permit_accounts_release() - give every permit back at shutdown. */
+/** permit_accounts_release() - release every permit at shutdown; @done is
+ * called when none is held, or after a time-out. */
 void
 permit_accounts_release(struct permit_accounts *accounts,
                         void (*done)(void *ctx), void *ctx);
 
-/** permit_accounts_unused() - permits of @team not in use here. */
+/** permit_accounts_unused() - permits of @team held here and not in use. */
 uint32_t
 permit_accounts_unused(const struct permit_accounts *accounts,
                        const char *team);
