--- a/include/net/http_client.h
+++ b/include/net/http_client.h
@@ -1,4 +1,5 @@
-/* HTTP calls over one kept connection, answered in the order they are made. */
+/* HTTP client with one persistent connection; calls are sent and answered in
+ * order. */
 #ifndef NET_HTTP_CLIENT_H
 #define NET_HTTP_CLIENT_H
 
@@ -11,8 +12,8 @@
  * struct http_reply - answer to a call
  * @status: HTTP status; 0: no answer, so the call may have been carried out
  *          unless @never_sent
- * @never_sent: no connection came about, so that no byte has left
- * @body: its body, not terminated
+ * @never_sent: no connection was made, so no byte was sent
+ * @body: its body, not NUL-terminated
  */
 struct http_reply {
     int status;
@@ -21,7 +22,8 @@
     size_t body_bytes;
 };
 
-/** struct http_header - one header of a call; a list ends with a NULL name */
+/** struct http_header - one header of a call; an array of them ends with a
+ * NULL name */
 struct http_header {
     const char *name;
     const char *value;
@@ -31,7 +33,7 @@
  * struct http_call - one call
  * @method: "GET", "POST" or "DELETE"
  * @path: path and query
- * @headers: further headers, or NULL
+ * @headers: additional headers, or NULL
  * @body: JSON body, or NULL
  * @done: called once, never before http_client_send() has returned
  */
@@ -50,13 +52,15 @@
 /**
  * http_client_create() - client of one address; connects when needed
  * @address: "ip:port"
- * @timeout_ms: silence after which the connection and the call are given up
+ * @timeout_ms: time without an answer after which the connection is closed and
+ *              its calls fail
  */
 struct http_client *
 http_client_create(struct event_base *base, const char *address,
                    int64_t timeout_ms);
 
-/** http_client_destroy() - calls under way never call back. */
+/** http_client_destroy() - open calls never call back; may be called from a
+ * callback of the client. */
 void
 http_client_destroy(struct http_client *client);
 
@@ -67,7 +71,8 @@
 uint32_t
 http_client_pending(const struct http_client *client);
 
-/** http_client_least_busy() - the one of @n_clients with least to answer. */
+/** http_client_least_busy() - the one of @n_clients with the fewest open
+ * calls. */
 struct http_client *
 http_client_least_busy(struct http_client **clients, size_t n_clients);
 
--- a/include/net/http_server.h
+++ b/include/net/http_server.h
@@ -1,4 +1,4 @@
-/* HTTP server of one address. */
+/* HTTP server that listens on one address. */
 #ifndef NET_HTTP_SERVER_H
 #define NET_HTTP_SERVER_H
 
@@ -11,9 +11,9 @@
 struct evhttp_request;
 
 /**
- * struct http_exchange - a request that waits for its answer
+ * struct http_exchange - a request that waits for its reply
  * @request: the library's request
- * @server: server that took it
+ * @server: server that received it
  */
 struct http_exchange {
     struct evhttp_request *request;
@@ -21,8 +21,9 @@
 };
 
 /**
- * http_server_create() - listen on @address, "ip:port"; NULL if it can't
- * @handle: called per request; owes one http_exchange_reply()
+ * http_server_create() - listen on @address, "ip:port"; NULL if it can't be
+ *                        bound
+ * @handle: called for each request; must lead to one http_exchange_reply()
  */
 struct http_server *
 http_server_create(struct event_base *base, const char *address,
@@ -31,17 +32,18 @@
 void
 http_server_destroy(struct http_server *server);
 
-/** http_server_limit() - bounds of a request; 0 leaves a bound as it is. */
+/** http_server_limit() - set the limits of requests; 0 leaves a limit
+ * unchanged. */
 void
 http_server_limit(struct http_server *server, int64_t header_bytes,
                   int64_t body_bytes, int64_t idle_ms);
 
 /** http_server_disable_keep_alive() - close each connection after its next
- * answer. */
+ * reply. */
 void
 http_server_disable_keep_alive(struct http_server *server);
 
-/** http_server_open_exchanges() - requests without an answer yet. */
+/** http_server_open_exchanges() - requests that have no reply yet. */
 uint32_t
 http_server_open_exchanges(const struct http_server *server);
 
@@ -60,12 +62,13 @@
 const char *
 http_exchange_body(const struct http_exchange *exchange, size_t *bytes);
 
-/** http_exchange_add_header() - add a header to the answer. */
+/** http_exchange_add_header() - add a header to the reply. */
 void
 http_exchange_add_header(struct http_exchange *exchange, const char *name,
                          const char *value);
 
-/** http_exchange_reply() - answer with a JSON body or none; frees. */
+/** http_exchange_reply() - send the reply, with a JSON body or none, and free
+ * @exchange. */
 void
 http_exchange_reply(struct http_exchange *exchange, int status,
                     const char *body);
--- a/include/platform/decode.h
+++ b/include/platform/decode.h
@@ -28,8 +28,8 @@
 decode_backend(const char *id, const char *text, size_t bytes,
                struct backend_entry *entry);
 
-/** decode_wave() - maintenance wave; false if it can't be read. Free the
- * hosts with g_strfreev(). */
+/** decode_wave() - maintenance wave; false if it can't be read. Free the hosts
+ * with g_strfreev(). */
 bool
 decode_wave(const char *text, size_t bytes, struct host_wave *wave);
 
@@ -50,8 +50,8 @@
 const char *
 encode_job_state(enum job_state state, bool begun);
 
-/** encode_queue_length() - answer to a question for a queue's length; g_free()
- */
+/** encode_queue_length() - answer to a question for a queue's length;
+ * g_free() */
 char *
 encode_queue_length(int64_t waiting);
 
--- a/include/platform/ingress.h
+++ b/include/platform/ingress.h
@@ -1,4 +1,4 @@
-/* Names in callers' requests and in the platform's health check. */
+/* Names of the platform's HTTP interface for callers and health checks. */
 #ifndef PLATFORM_INGRESS_H
 #define PLATFORM_INGRESS_H
 
--- a/include/platform/json_text.h
+++ b/include/platform/json_text.h
@@ -1,4 +1,4 @@
-/* Short forms for reading and writing JSON texts. */
+/* Helpers that read and write JSON. */
 #ifndef PLATFORM_JSON_TEXT_H
 #define PLATFORM_JSON_TEXT_H
 
@@ -15,7 +15,8 @@
 const char *
 json_text_get(const cJSON *object, const char *member);
 
-/** json_int_get() - integer member, or @fallback if missing or no number. */
+/** json_int_get() - integer member, or @fallback if missing or not a
+ * number. */
 int64_t
 json_int_get(const cJSON *object, const char *member, int64_t fallback);
 
--- a/include/platform/kv.h
+++ b/include/platform/kv.h
@@ -1,4 +1,4 @@
-/* Calls of the platform's key-value service. */
+/* Client of the platform's key-value store. */
 #ifndef PLATFORM_KV_H
 #define PLATFORM_KV_H
 
@@ -9,7 +9,7 @@
 #include <stdint.h>
 
 enum {
-    /* The service takes at most 32 entries in a transaction. */
+    /* The store accepts at most this many entries in a transaction. */
     KV_TXN_ENTRIES_MAX = 32,
 };
 
@@ -17,9 +17,10 @@
  * enum kv_outcome - result of a call
  * @KV_NOT_FOUND: no such key or lease
  * @KV_CONFLICT: a condition of a transaction does not hold
- * @KV_COMPACTED: the history asked for is gone; read everything anew
+ * @KV_COMPACTED: the history to watch has been compacted; read everything
+ * again
  * @KV_REFUSED: certainly not carried out
- * @KV_UNKNOWN: no answer; may be carried out, also later
+ * @KV_UNKNOWN: no answer; it may have been carried out, or may be later
  */
 enum kv_outcome {
     KV_OK,
@@ -34,7 +35,7 @@
  * struct kv_item - a key with its value, or a deletion
  * @value: decoded and NUL-terminated; NULL if @deleted
  * @revision: revision of the last change; 0: there is no such key
- * @lease: lease that it hangs on; 0: none
+ * @lease: lease that it is attached to; 0: none
  */
 struct kv_item {
     char *key;
@@ -48,8 +49,8 @@
 /**
  * struct kv_result - answer to a call
  * @items: struct kv_item; owned by the result
- * @has_more: a range goes on after its last key
- * @as_of: revision of the service at the time of a read
+ * @has_more: the range continues after the last key of @items
+ * @as_of: revision of the store at the time of a read
  * @revision: revision of a transaction
  * @lease: lease granted
  * @ttl_ms: its time to live
@@ -71,14 +72,14 @@
     int64_t revision;
 };
 
-/** struct kv_put - write @value under @key, hanging on @lease if not 0 */
+/** struct kv_put - write @value under @key, attached to @lease if not 0 */
 struct kv_put {
     const char *key;
     const char *value;
     int64_t lease;
 };
 
-/** struct kv_txn - all-or-nothing change, at most KV_TXN_ENTRIES_MAX rows */
+/** struct kv_txn - atomic transaction of at most KV_TXN_ENTRIES_MAX entries */
 struct kv_txn {
     const struct kv_condition *conditions;
     size_t n_conditions;
@@ -88,13 +89,13 @@
     size_t n_deletes;
 };
 
-/** struct kv_done - where an answer goes; called once */
+/** struct kv_done - callback that receives the answer; called once */
 struct kv_done {
     void (*call)(void *ctx, const struct kv_result *result);
     void *ctx;
 };
 
-/** kv_item_copy() - whole copy, to be freed with kv_item_destroy(). */
+/** kv_item_copy() - deep copy, to be freed with kv_item_destroy(). */
 struct kv_item *
 kv_item_copy(const struct kv_item *item);
 void
@@ -103,11 +104,12 @@
 struct kv;
 
 /**
- * struct kv_route - how calls reach the service; decided by the caller
- * @relay: address of a peer that passes the next call on, or NULL for the
- *         direct way; may be NULL itself
- * @report: HTTP status of an answer, 0 for none, and the peer that the call
- *          went through, which may be an earlier one; may be NULL
+ * struct kv_route - callbacks that choose the route of calls to the store
+ * @relay: returns the address of a peer that relays the next call, or NULL for
+ *         the direct route; may be NULL itself: always direct
+ * @report: receives the HTTP status of each answer, 0 for none, and the peer
+ *          that relayed the call, which may be an earlier one, or NULL; may be
+ *          NULL
  */
 struct kv_route {
     const char *(*relay)(void *ctx);
@@ -115,10 +117,10 @@
     void *ctx;
 };
 
-/* Path prefix under which a peer passes calls on to the service. */
+/* Path prefix of calls that a peer relays to the store. */
 #define KV_RELAY_PREFIX "/relay"
 
-/** kv_create() - client with one connection; calls go out in order. */
+/** kv_create() - client with one connection; calls are sent in order. */
 struct kv *
 kv_create(struct event_base *base, const char *address, int64_t timeout_ms,
           struct kv_route route);
@@ -154,10 +156,15 @@
 void
 kv_commit_encoded(struct kv *kv, const char *body, struct kv_done done);
 
+/** kv_lease_grant() - create a lease, which expires after @ttl_ms unless it is
+ * renewed. */
 void
 kv_lease_grant(struct kv *kv, int64_t ttl_ms, struct kv_done done);
 void
 kv_lease_renew(struct kv *kv, int64_t lease, struct kv_done done);
+
+/** kv_lease_revoke() - end a lease; the store deletes the keys attached to
+ * it. */
 void
 kv_lease_revoke(struct kv *kv, int64_t lease, struct kv_done done);
 
--- a/net/http_client.c
+++ b/net/http_client.c
@@ -8,6 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+/** struct pending_call - a call without an answer */
 struct pending_call {
     struct http_client *client;
     void (*done)(void *ctx, const struct http_reply *reply);
@@ -19,7 +20,7 @@
     struct evhttp_connection *connection;
     char *host;
     GPtrArray *pending;
-    bool dead;
+    bool destroyed;
 };
 
 struct http_client *
@@ -66,16 +67,17 @@
         return;
     }
     /* May be called from a callback of the connection itself. */
-    client->dead = true;
+    client->destroyed = true;
     struct timeval now = {0};
     event_base_once(client->base, -1, EV_TIMEOUT, client_free, client, &now);
 }
 
 static void
-finish(struct pending_call *pending, const struct http_reply *reply)
+pending_call_finish(struct pending_call *pending,
+                    const struct http_reply *reply)
 {
     struct http_client *client = pending->client;
-    if (client->dead) {
+    if (client->destroyed) {
         return;
     }
     g_ptr_array_remove_fast(client->pending, pending);
@@ -89,14 +91,14 @@
     struct http_reply reply = {0};
     if (request != NULL) {
         reply.status = evhttp_request_get_response_code(request);
-        /* libevent hands back the request itself only if it has an answer or
-         * if the connection that it waited for failed. */
+        /* libevent passes the request only if it has an answer or if the
+         * connection for it could not be made; otherwise it passes NULL. */
         reply.never_sent = reply.status == 0;
         struct evbuffer *input = evhttp_request_get_input_buffer(request);
         reply.body_bytes = evbuffer_get_length(input);
         reply.body = (const char *)evbuffer_pullup(input, -1);
     }
-    finish(ctx, &reply);
+    pending_call_finish(ctx, &reply);
 }
 
 static void
@@ -105,7 +107,7 @@
     (void)fd;
     (void)events;
     struct http_reply reply = {.never_sent = true};
-    finish(ctx, &reply);
+    pending_call_finish(ctx, &reply);
 }
 
 static enum evhttp_cmd_type
--- a/net/http_server.c
+++ b/net/http_server.c
@@ -11,7 +11,7 @@
     void (*handle)(void *ctx, struct http_exchange *exchange);
     void *ctx;
     uint32_t open_exchanges;
-    bool leaving;
+    bool keep_alive_disabled;
 };
 
 static void
@@ -85,7 +85,7 @@
 void
 http_server_disable_keep_alive(struct http_server *server)
 {
-    server->leaving = true;
+    server->keep_alive_disabled = true;
 }
 
 uint32_t
@@ -150,7 +150,7 @@
         http_exchange_add_header(exchange, "Content-Type", "application/json");
         evbuffer_add(output, body, strlen(body));
     }
-    if (server->leaving) {
+    if (server->keep_alive_disabled) {
         http_exchange_add_header(exchange, "Connection", "close");
     }
     server->open_exchanges--;
