--- a/core/jobs/advice.c
+++ b/core/jobs/advice.c
@@ -39,14 +39,15 @@
 tasks_that_fit(const struct backend *backend, const struct job_step *step)
 {
     int64_t fit = INT32_MAX;
-    const struct job_room *need = &step->need;
-    if (need->cpu_milli > 0 && !step->fills) {
-        fit = (backend->entry.room.cpu_milli - backend->used.cpu_milli) /
+    const struct resources *need = &step->need;
+    if (need->cpu_milli > 0 && !step->best_effort) {
+        fit = (backend->entry.capacity.cpu_milli - backend->used.cpu_milli) /
               need->cpu_milli;
     }
     if (need->mem_mb > 0) {
-        fit = MIN(fit, (backend->entry.room.mem_mb - backend->used.mem_mb) /
-                           need->mem_mb);
+        fit =
+            MIN(fit, (backend->entry.capacity.mem_mb - backend->used.mem_mb) /
+                         need->mem_mb);
     }
     if (step->max_per_backend > 0) {
         fit = MIN(fit, (int64_t)step->max_per_backend);
@@ -57,8 +58,8 @@
 static int64_t
 tasks_waiting(const struct asking *asking)
 {
-    const struct job_part *part =
-        job_part(asking->job, asking->occurrence, asking->step);
+    const struct step_progress *part =
+        job_step_progress(asking->job, asking->occurrence, asking->step);
     int64_t waiting = 0;
     for (uint32_t t = 0; t < asking->job->steps[asking->step].task_count;
          t++) {
@@ -85,7 +86,8 @@
     struct scheduler *sched = asking->sched;
     const struct job_step *step = &asking->job->steps[asking->step];
     const struct step_advice *advice =
-        job_part(asking->job, asking->occurrence, asking->step)->advice;
+        job_step_progress(asking->job, asking->occurrence, asking->step)
+            ->advice;
     GPtrArray *expired = g_ptr_array_new();
     GPtrArray *unasked = g_ptr_array_new();
     double left = (double)tasks_waiting(asking) * ASK_SURPLUS;
@@ -99,8 +101,9 @@
                              asking->step)) {
             continue;
         }
-        enum advice_known known = step_advice_known(
-            advice, backend->entry.id, backend->entry.born_ms, asking->now_ms);
+        enum advice_status known = step_advice_status(
+            advice, backend->entry.id, backend->entry.incarnation_start_ms,
+            asking->now_ms);
         if (known == ADVICE_GRANTED) {
             left -= (double)tasks_that_fit(backend, step);
         }
@@ -149,8 +152,8 @@
     sched_note(sched, "advice_asked", "\"step\":\"%s\",\"backends\":%u", step,
                backends->len);
     g_ptr_array_add(open->asked, NULL);
-    sched->ops.advise(sched->ops.ctx, step,
-                      (const char *const *)open->asked->pdata);
+    sched->ops.request_advice(sched->ops.ctx, step,
+                              (const char *const *)open->asked->pdata);
 }
 
 static bool
@@ -186,7 +189,7 @@
 void
 sched_ask_advice(struct scheduler *sched)
 {
-    if (sched->ops.advise == NULL || sched->advice.job != NULL ||
+    if (sched->ops.request_advice == NULL || sched->advice.job != NULL ||
         sched_now(sched) < sched->advice.retry_ms) {
         return;
     }
@@ -194,7 +197,7 @@
         struct job *job = g_ptr_array_index(sched->active, i);
         const struct queue_config *queue =
             fleet_config_queue(sched->config, job->queue);
-        if (queue != NULL && queue->advised &&
+        if (queue != NULL && queue->needs_advice &&
             ask_for_job(sched, job, queue->pool)) {
             return;
         }
@@ -235,7 +238,8 @@
         close_call(sched);
         return;
     }
-    struct job_part *part = job_part(open->job, open->occurrence, open->step);
+    struct step_progress *part =
+        job_step_progress(open->job, open->occurrence, open->step);
     if (part->advice == NULL) {
         part->advice = step_advice_create();
     }
@@ -243,7 +247,8 @@
         const char *id = g_ptr_array_index(open->asked, i);
         const struct backend *backend = scheduler_find_backend(sched, id);
         const struct advice_row *row = find_row(answer, id);
-        int64_t born_ms = backend == NULL ? 0 : backend->entry.born_ms;
+        int64_t born_ms =
+            backend == NULL ? 0 : backend->entry.incarnation_start_ms;
         if (row == NULL) {
             step_advice_refuse(part->advice, id, born_ms);
         }
--- a/core/jobs/backend.c
+++ b/core/jobs/backend.c
@@ -54,7 +54,8 @@
 struct job_task *
 run_task(const struct run *run)
 {
-    return &job_part(run->job, run->occurrence, run->step)->tasks[run->index];
+    return &job_step_progress(run->job, run->occurrence, run->step)
+                ->tasks[run->index];
 }
 
 struct backend *
@@ -65,14 +66,14 @@
     backend->entry = *copy;
     g_free(copy);
     backend->runs = g_ptr_array_new();
-    g_queue_init(&backend->ends);
+    g_queue_init(&backend->completions);
     return backend;
 }
 
 static void
 end_free(void *data)
 {
-    struct pending_end *end = data;
+    struct pending_completion *end = data;
     job_unref(end->job);
     g_free(end);
 }
@@ -83,35 +84,36 @@
     if (backend == NULL) {
         return;
     }
-    g_queue_clear_full(&backend->ends, end_free);
+    g_queue_clear_full(&backend->completions, end_free);
     g_ptr_array_unref(backend->runs);
     backend_entry_clear(&backend->entry);
     g_free(backend);
 }
 
 void
-backend_clock_told(struct backend *backend, int64_t clock_ms, int64_t now_ms)
+backend_clock_sampled(struct backend *backend, int64_t clock_ms,
+                      int64_t now_ms)
 {
     /* Answers on different connections may overtake each other. */
-    if (backend->clock_at_ms != 0 &&
+    if (backend->clock_sampled_ms != 0 &&
         clock_ms < backend_clock_at_least_ms(backend, now_ms)) {
         return;
     }
     backend->clock_ms = clock_ms;
-    backend->clock_at_ms = now_ms;
+    backend->clock_sampled_ms = now_ms;
 }
 
 int64_t
 backend_clock_at_least_ms(const struct backend *backend, int64_t now_ms)
 {
-    int64_t elapsed_ms = now_ms - backend->clock_at_ms;
+    int64_t elapsed_ms = now_ms - backend->clock_sampled_ms;
     return backend->clock_ms + elapsed_ms * (100 - CLOCK_SLOW_PERCENT) / 100;
 }
 
 bool
-backend_lapsed(const struct backend *backend, int64_t now_ms)
+backend_leases_expired(const struct backend *backend, int64_t now_ms)
 {
-    if (backend->lapse_ms != 0 && now_ms < backend->lapse_ms) {
+    if (backend->leases_expire_ms != 0 && now_ms < backend->leases_expire_ms) {
         return false;
     }
     if (backend->granted_until_ms == 0) {
@@ -122,7 +124,7 @@
 }
 
 int64_t
-backend_grant(struct backend *backend, int64_t lease_ms, int64_t now_ms)
+backend_grant_lease(struct backend *backend, int64_t lease_ms, int64_t now_ms)
 {
     int64_t until_ms = backend_clock_at_least_ms(backend, now_ms) + lease_ms;
     if (until_ms > backend->granted_until_ms) {
@@ -132,16 +134,17 @@
 }
 
 void
-backend_note_seen(struct backend *backend)
+backend_ack_completions(struct backend *backend)
 {
     for (;;) {
-        struct pending_end *end = g_queue_peek_head(&backend->ends);
+        struct pending_completion *end =
+            g_queue_peek_head(&backend->completions);
         if (end == NULL ||
             (end->job != NULL && end->job->stored_version < end->version)) {
             return;
         }
-        backend->acked_end = end->number;
-        end_free(g_queue_pop_head(&backend->ends));
+        backend->acked_completion = end->number;
+        end_free(g_queue_pop_head(&backend->completions));
     }
 }
 
--- a/core/jobs/claim_turn.c
+++ b/core/jobs/claim_turn.c
@@ -13,20 +13,20 @@
 /* A host with this many cores carries the scheduler of the grown fleet. */
 static const double STRONG_HOST_CORES = 0.5;
 
-enum claim_step
-claim_turn_next(struct claim_turn *turn, bool vacant, double cores,
-                double chance, int64_t *delay_ms)
+enum election_action
+election_backoff_next(struct election_backoff *turn, bool vacant, double cores,
+                      double chance, int64_t *delay_ms)
 {
     if (!vacant) {
         turn->waited = false;
-        return CLAIM_LEAVE;
+        return ELECTION_NONE;
     }
     if (turn->waited) {
         turn->waited = false;
-        return CLAIM_NOW;
+        return ELECTION_CAMPAIGN;
     }
     turn->waited = true;
     double lack = 1 - MIN(cores / STRONG_HOST_CORES, 1);
     *delay_ms = (int64_t)(lack * WEAK_HOST_MS + chance * CLAIM_SPREAD_MS);
-    return CLAIM_WAIT;
+    return ELECTION_WAIT;
 }
--- a/core/jobs/drain.c
+++ b/core/jobs/drain.c
@@ -27,7 +27,8 @@
     g_hash_table_iter_init(&iter, sched->backends);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct backend *backend = value;
-        if (backend->entry.draining && backend->listed && !backend->silent) {
+        if (backend->entry.draining && backend->listed &&
+            !backend->unresponsive) {
             empty_backend(sched, backend);
         }
     }
--- a/core/jobs/host_plan.c
+++ b/core/jobs/host_plan.c
@@ -43,10 +43,10 @@
     g_free(host->last_incarnation);
     host->last_incarnation = g_strdup(host->backend_id);
     if (host->intent == HOST_REBOOTS) {
-        sched->ops.reboot(sched->ops.ctx, host->name, host->wave);
+        sched->ops.reboot_host(sched->ops.ctx, host->name, host->wave);
     }
     else {
-        sched->ops.move(sched->ops.ctx, host->name, host->target_pool);
+        sched->ops.move_host(sched->ops.ctx, host->name, host->target_pool);
     }
 }
 
@@ -69,7 +69,7 @@
 in_order_gap(const struct scheduler *sched)
 {
     return sched_now(sched) < sched->taken_over_ms +
-                                  sched->timings.order_gap_ms +
+                                  sched->timings.command_gap_ms +
                                   TAKEOVER_MARGIN_MS;
 }
 
@@ -78,15 +78,16 @@
 static bool
 order_allowed(const struct scheduler *sched, const struct host *host)
 {
-    int64_t gap_ms = sched->timings.order_gap_ms + TAKEOVER_MARGIN_MS;
+    int64_t gap_ms = sched->timings.command_gap_ms + TAKEOVER_MARGIN_MS;
     int64_t now_ms = sched_now(sched);
     if (!host->ordered_before || !in_order_gap(sched)) {
         return true;
     }
     const struct backend *backend = sched_host_backend(sched, host);
     return now_ms >= sched->taken_over_ms + TAKEOVER_SETTLE_MS &&
-           backend != NULL && backend->entry.born_ms > 0 &&
-           ms_clock_now(&sched->unix_clock) - backend->entry.born_ms >=
+           backend != NULL && backend->entry.incarnation_start_ms > 0 &&
+           ms_clock_now(&sched->unix_clock) -
+                   backend->entry.incarnation_start_ms >=
                gap_ms + CLOCK_DIFFERENCE_MS;
 }
 
@@ -226,7 +227,7 @@
         struct host *host = value;
         if (surplus_hosts(load, now_ms) <= 0 ||
             !order_budget_ample(&sched->order_budget,
-                                sched->timings.host_orders_per_s)) {
+                                sched->timings.host_commands_per_s)) {
             return;
         }
         if (movable(sched, host) && strcmp(host->pool, load->pool) == 0) {
@@ -276,8 +277,8 @@
         return;
     }
     sched->plan_due_ms = now_ms + PLAN_PERIOD_MS;
-    order_budget_refill(&sched->order_budget, sched->timings.host_orders_per_s,
-                        now_ms);
+    order_budget_refill(&sched->order_budget,
+                        sched->timings.host_commands_per_s, now_ms);
     sched_measure_pools(sched);
     if (now_ms >= sched->taken_over_ms + TAKEOVER_SETTLE_MS) {
         sched_plan_waves(sched);
--- a/core/jobs/hosts.c
+++ b/core/jobs/hosts.c
@@ -32,8 +32,9 @@
     if (pool != NULL && pool->spare) {
         return backend == NULL || backend->runs->len == 0;
     }
-    return backend != NULL && backend->reconciled && !backend->inherited &&
-           !backend->silent && backend->runs->len == 0;
+    return backend != NULL && backend->report_received &&
+           !backend->unreconciled && !backend->unresponsive &&
+           backend->runs->len == 0;
 }
 
 void
@@ -61,9 +62,9 @@
     }
     sched_backend_lost(sched, backend, "its host has a new incarnation");
     backend->granted_until_ms = 0;
-    backend->lapse_ms = 0;
-    backend->inherited = false;
-    backend->silent = true;
+    backend->leases_expire_ms = 0;
+    backend->unreconciled = false;
+    backend->unresponsive = true;
     scheduler_backend_gone(sched, backend->entry.id);
 }
 
@@ -106,7 +107,7 @@
 }
 
 void
-scheduler_host_ordered_before(struct scheduler *sched, const char *name)
+scheduler_host_commanded_before(struct scheduler *sched, const char *name)
 {
     sched_host_find_or_add(sched, name)->ordered_before = true;
 }
@@ -125,23 +126,24 @@
     }
     const struct backend *present = sched_host_backend(sched, host);
     if (g_strcmp0(host->last_incarnation, backend->entry.id) == 0 ||
-        (present != NULL && present->entry.born_ms > backend->entry.born_ms)) {
+        (present != NULL && present->entry.incarnation_start_ms >
+                                backend->entry.incarnation_start_ms)) {
         end_incarnation(sched, backend);
         return;
     }
     new_incarnation(sched, host, backend->entry.id);
     set_text(&host->pool, backend->entry.pool);
     /* The entry of an incarnation that has ended lingers while its host is
-     * away. */
+     * unavailable. */
     if (host->down_unix_ms == 0 ||
-        backend->entry.born_ms >= host->down_unix_ms) {
+        backend->entry.incarnation_start_ms >= host->down_unix_ms) {
         host->up = true;
         host->down_unix_ms = 0;
     }
 }
 
 static void
-host_read(struct scheduler *sched, const struct host_fact *fact)
+host_read(struct scheduler *sched, const struct host_info *fact)
 {
     struct host *host = sched_host_find_or_add(sched, fact->host);
     int64_t now_ms = sched_now(sched);
@@ -152,8 +154,9 @@
         return;
     }
     struct backend *present = sched_host_backend(sched, host);
-    if (fact->away && present != NULL &&
-        ms_clock_now(&sched->unix_clock) - present->entry.born_ms >
+    if (fact->unavailable && present != NULL &&
+        ms_clock_now(&sched->unix_clock) -
+                present->entry.incarnation_start_ms >
             LIST_AGE_MS) {
         end_incarnation(sched, present);
     }
@@ -177,7 +180,7 @@
 }
 
 void
-scheduler_hosts_read(struct scheduler *sched, const struct host_fact *hosts,
+scheduler_hosts_read(struct scheduler *sched, const struct host_info *hosts,
                      size_t n_hosts)
 {
     sched->hosts_read = sched->hosts_read || n_hosts > 0;
@@ -212,8 +215,8 @@
 }
 
 void
-scheduler_on_host_order(struct scheduler *sched, const char *name,
-                        int64_t number, enum host_answer answer)
+scheduler_on_host_command(struct scheduler *sched, const char *name,
+                          int64_t number, enum host_command_result answer)
 {
     struct host *host = g_hash_table_lookup(sched->hosts, name);
     sched_note(sched, "host_order_answer",
@@ -224,10 +227,10 @@
     }
     host->ordering = false;
     switch (answer) {
-    case HOST_ORDER_DONE:
+    case HOST_COMMAND_DONE:
         order_accepted(sched, host, number);
         break;
-    case HOST_ORDER_NOT_WANTED:
+    case HOST_COMMAND_NOT_WANTED:
         if (sched_find_wave(sched, number) != NULL) {
             g_hash_table_add(sched_find_wave(sched, number)->begun,
                              g_strdup(name));
@@ -235,11 +238,11 @@
         }
         sched_host_intend(sched, host, HOST_STAYS, NULL);
         break;
-    case HOST_ORDER_UNKNOWN:
+    case HOST_COMMAND_UNKNOWN:
         /* Given again until it is answered: the same order twice is one. */
         host->retry_ms = sched_now(sched) + ORDER_RETRY_MS;
         break;
-    case HOST_ORDER_REFUSED:
+    case HOST_COMMAND_REFUSED:
         host->retry_ms = sched_now(sched) + ORDER_RETRY_MS;
         if (number == 0) {
             sched_host_intend(sched, host, HOST_STAYS, NULL);
--- a/core/jobs/job.c
+++ b/core/jobs/job.c
@@ -3,14 +3,15 @@
 #include <string.h>
 
 bool
-room_fits(const struct job_room *free_room, const struct job_room *need)
+resources_fit(const struct resources *free_room, const struct resources *need)
 {
     return need->cpu_milli <= free_room->cpu_milli &&
            need->mem_mb <= free_room->mem_mb && need->gpus <= free_room->gpus;
 }
 
 void
-room_add(struct job_room *room, const struct job_room *by, int64_t times)
+resources_add(struct resources *room, const struct resources *by,
+              int64_t times)
 {
     room->cpu_milli += by->cpu_milli * times;
     room->mem_mb += by->mem_mb * times;
@@ -32,7 +33,7 @@
 job_prepare(struct job *job)
 {
     size_t n_parts = (size_t)job->n_occurrences * job->n_steps;
-    job->parts = g_new0(struct job_part, n_parts);
+    job->parts = g_new0(struct step_progress, n_parts);
     for (size_t i = 0; i < n_parts; i++) {
         uint32_t n_tasks = job->steps[i % job->n_steps].task_count;
         job->parts[i].tasks = g_new0(struct job_task, n_tasks);
@@ -83,8 +84,8 @@
     g_free(job);
 }
 
-struct job_part *
-job_part(const struct job *job, uint32_t occurrence, uint32_t step)
+struct step_progress *
+job_step_progress(const struct job *job, uint32_t occurrence, uint32_t step)
 {
     return &job->parts[(size_t)occurrence * job->n_steps + step];
 }
@@ -95,7 +96,7 @@
     const struct job_step *this_step = &job->steps[step];
     for (uint32_t i = 0; i < this_step->n_after; i++) {
         uint32_t before = this_step->after[i];
-        if (job_part(job, occurrence, before)->done <
+        if (job_step_progress(job, occurrence, before)->done <
             job->steps[before].task_count) {
             return false;
         }
@@ -125,7 +126,7 @@
 }
 
 bool
-job_lasts(const struct job *job)
+job_is_service(const struct job *job)
 {
     for (uint32_t i = 0; i < job->n_steps; i++) {
         if (job->steps[i].long_running) {
@@ -136,7 +137,7 @@
 }
 
 int64_t
-job_chain_ms(const struct job *job)
+job_critical_path_ms(const struct job *job)
 {
     int64_t until_ms[JOB_STEPS_MAX] = {0};
     int64_t longest_ms = 0;
@@ -152,7 +153,7 @@
 }
 
 int64_t
-job_core_ms(const struct job *job)
+job_millicore_ms(const struct job *job)
 {
     int64_t sum = 0;
     for (uint32_t i = 0; i < job->n_steps; i++) {
@@ -174,19 +175,19 @@
     if (step->max_per_backend > 0) {
         g_string_append_printf(out, "/apart%u", step->max_per_backend);
     }
-    if (step->tail_target_ms > 0) {
+    if (step->tail_latency_target_ms > 0) {
         g_string_append_printf(out, "/tail%" G_GINT64_FORMAT,
-                               step->tail_target_ms);
+                               step->tail_latency_target_ms);
     }
-    if (step->may_miss > 0) {
-        g_string_append_printf(out, "/miss%u", step->may_miss);
+    if (step->max_unavailable > 0) {
+        g_string_append_printf(out, "/miss%u", step->max_unavailable);
     }
     const struct {
         bool set;
         const char *name;
     } flags[] = {
         {step->long_running, "/lasts"},
-        {step->fills, "/fills"},
+        {step->best_effort, "/fills"},
         {step->checkpointing, "/saves"},
         {step->gang, "/gang"},
         {step->same_rack, "/rack"},
@@ -213,7 +214,7 @@
 }
 
 bool
-job_task_failed(struct job_task *task, uint32_t run_number)
+job_task_record_failure(struct job_task *task, uint32_t run_number)
 {
     uint32_t known = MIN(task->failures, JOB_FAILED_RUNS_MAX);
     for (uint32_t i = 0; i < known; i++) {
@@ -229,7 +230,7 @@
 }
 
 void
-job_touch(struct job *job)
+job_mark_changed(struct job *job)
 {
     job->version++;
 }
--- a/core/jobs/order.c
+++ b/core/jobs/order.c
@@ -21,7 +21,7 @@
         for (uint32_t a = 0; a < step->n_after; a++) {
             from_ms = MAX(from_ms, until_ms[step->after[a]]);
         }
-        bool done = job_part(job, last, i)->done >= step->task_count;
+        bool done = job_step_progress(job, last, i)->done >= step->task_count;
         until_ms[i] = from_ms + (done ? 0 : step->estimate_ms);
         longest_ms = MAX(longest_ms, until_ms[i]);
     }
@@ -45,17 +45,17 @@
 static struct job_rank
 rank_job(const struct scheduler *sched, const struct job *job, int64_t unix_ms)
 {
-    if (job_lasts(job)) {
-        return (struct job_rank){URGENCY_LASTS, job->accepted_unix_ms};
+    if (job_is_service(job)) {
+        return (struct job_rank){URGENCY_SERVICE, job->accepted_unix_ms};
     }
     const struct queue_config *queue =
         fleet_config_queue(sched->config, job->queue);
-    double stretch = queue == NULL ? 1 : queue->stretch;
+    double stretch = queue == NULL ? 1 : queue->deadline_factor;
     int64_t objective_ms = queue == NULL ? 0 : queue->objective_ms;
     int64_t from_ms =
         job->first_ms > 0 ? job->first_ms : job->accepted_unix_ms;
-    int64_t by_ms =
-        from_ms + (int64_t)(stretch * job_chain_ms(job)) + objective_ms;
+    int64_t by_ms = from_ms + (int64_t)(stretch * job_critical_path_ms(job)) +
+                    objective_ms;
     int64_t slack_ms = by_ms - unix_ms - remaining_chain_ms(job);
     if (slack_ms >= 0) {
         return (struct job_rank){URGENCY_ATTAINABLE, remaining_core_ms(job)};
--- a/core/jobs/pace_runs.c
+++ b/core/jobs/pace_runs.c
@@ -1,4 +1,4 @@
-/* Carries the pace to the filling tasks that run beside serving ones. */
+/* Carries the throttle to the filling tasks that run beside serving ones. */
 #include "core/jobs/scheduler.h"
 
 #include <stdio.h>
@@ -12,7 +12,7 @@
 static bool
 run_serves(const struct run *run)
 {
-    return run_step(run)->tail_target_ms > 0;
+    return run_step(run)->tail_latency_target_ms > 0;
 }
 
 bool
@@ -23,7 +23,7 @@
     for (guint i = 0; i < backend->runs->len; i++) {
         const struct run *run = g_ptr_array_index(backend->runs, i);
         serves = serves || run_serves(run);
-        fills = fills || run_step(run)->fills;
+        fills = fills || run_step(run)->best_effort;
     }
     return serves && fills;
 }
@@ -35,8 +35,8 @@
     for (guint i = 0; i < backend->runs->len; i++) {
         const struct run *run = g_ptr_array_index(backend->runs, i);
         if (run_serves(run) && run->state == RUN_WORKING) {
-            double share =
-                (double)run->figure / (double)run_step(run)->tail_target_ms;
+            double share = (double)run->load_metric /
+                           (double)run_step(run)->tail_latency_target_ms;
             worst = MAX(worst, share);
         }
     }
@@ -49,9 +49,9 @@
     char name[JOB_ID_CHARS + 48];
     snprintf(name, sizeof(name), "%s.%u.%u.%u", run->job->id, run->occurrence,
              run->step, run->index);
-    run->pace_sent_ms = sched_now(sched);
-    run->pace_pending = true;
-    struct pace_order order = {
+    run->throttle_sent_ms = sched_now(sched);
+    run->throttle_pending = true;
+    struct throttle_command order = {
         .backend = run->backend,
         .handle = run->handle,
         .task = name,
@@ -61,7 +61,7 @@
     sched_note(sched, "task_paced",
                "\"task\":\"%s\",\"backend\":\"%s\",\"percent\":%d", name,
                run->backend->entry.id, percent);
-    sched->ops.pace(sched->ops.ctx, &order);
+    sched->ops.throttle(sched->ops.ctx, &order);
 }
 
 static void
@@ -69,20 +69,20 @@
 {
     int32_t level = 100;
     if (sched_backend_mixed(backend)) {
-        level = backend->pace.level;
+        level = backend->throttle.cpu_limit_percent;
         /* Each list is one sample of the tails. */
-        if (backend->pace.changed_ms == 0 ||
-            backend->listed_ms > backend->pace_sample_ms) {
-            level = pace_step(&backend->pace, worst_tail(backend),
-                              sched_now(sched));
-            backend->pace_sample_ms = backend->listed_ms;
+        if (backend->throttle.changed_ms == 0 ||
+            backend->report_read_ms > backend->throttle_sample_ms) {
+            level = throttle_update(&backend->throttle, worst_tail(backend),
+                                    sched_now(sched));
+            backend->throttle_sample_ms = backend->report_read_ms;
         }
     }
     for (guint i = 0; i < backend->runs->len; i++) {
         struct run *run = g_ptr_array_index(backend->runs, i);
-        if (run_step(run)->fills && run->state == RUN_WORKING &&
-            run->paced != level && !run->pace_pending &&
-            sched_now(sched) - run->pace_sent_ms >= PACE_RETRY_MS) {
+        if (run_step(run)->best_effort && run->state == RUN_WORKING &&
+            run->cpu_limit_percent != level && !run->throttle_pending &&
+            sched_now(sched) - run->throttle_sent_ms >= PACE_RETRY_MS) {
             send_pace(sched, run, level);
         }
     }
@@ -91,7 +91,7 @@
 void
 sched_pace(struct scheduler *sched)
 {
-    if (sched->ops.pace == NULL) {
+    if (sched->ops.throttle == NULL) {
         return;
     }
     GHashTableIter iter;
@@ -99,23 +99,23 @@
     g_hash_table_iter_init(&iter, sched->backends);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct backend *backend = value;
-        if (backend->runs->len > 0 && !backend->silent) {
+        if (backend->runs->len > 0 && !backend->unresponsive) {
             pace_backend(sched, backend);
         }
     }
 }
 
 void
-scheduler_on_pace(struct scheduler *sched, uint64_t handle, int32_t percent,
-                  bool acked)
+scheduler_on_throttle(struct scheduler *sched, uint64_t handle,
+                      int32_t percent, bool acked)
 {
     struct run *run = g_hash_table_lookup(sched->runs, &handle);
     if (run == NULL) {
         return;
     }
-    run->pace_pending = false;
+    run->throttle_pending = false;
     if (acked) {
-        run->paced = percent;
+        run->cpu_limit_percent = percent;
         /* Its progress stands or moves anew from here. */
         run->percent_at_ms = sched_now(sched);
     }
--- a/core/jobs/place.c
+++ b/core/jobs/place.c
@@ -1,6 +1,6 @@
 /*
  * Placement of waiting tasks. Packs tasks onto the fullest backend server
- * that has room, so that the others run empty and their hosts can move or
+ * that has capacity, so that the others run empty and their hosts can move or
  * be rebooted without stopping anything.
  */
 #include "core/jobs/scheduler.h"
@@ -10,7 +10,8 @@
 #include "scheduler_state.h"
 
 /* Tasks of one step that last are moved one after the other when a host has
- * to be emptied: two on one server weigh as much as a fifth of its room. */
+ * to be emptied: two on one server weigh as much as a fifth of its capacity.
+ */
 static const double SPREAD_WEIGHT = 0.2;
 
 struct placer {
@@ -50,15 +51,15 @@
 static bool
 would_disturb(const struct backend *backend, const struct job_step *step)
 {
-    bool serves = step->tail_target_ms > 0;
-    if (!serves && !step->fills) {
+    bool serves = step->tail_latency_target_ms > 0;
+    if (!serves && !step->best_effort) {
         return false;
     }
     for (guint i = 0; i < backend->runs->len; i++) {
         const struct run *run = g_ptr_array_index(backend->runs, i);
         const struct job_step *other = run_step(run);
-        if ((step->fills && other->tail_target_ms > 0) ||
-            (serves && other->fills)) {
+        if ((step->best_effort && other->tail_latency_target_ms > 0) ||
+            (serves && other->best_effort)) {
             return true;
         }
     }
@@ -70,13 +71,13 @@
               const struct place_want *want)
 {
     const struct job_step *step = want->step;
-    struct job_room need = step->need;
-    if (step->fills) {
+    struct resources need = step->need;
+    if (step->best_effort) {
         need.cpu_milli = 0;
     }
-    struct job_room free_room = backend->entry.room;
-    room_add(&free_room, &backend->used, -1);
-    if (!room_fits(&free_room, &need)) {
+    struct resources free_room = backend->entry.capacity;
+    resources_add(&free_room, &backend->used, -1);
+    if (!resources_fit(&free_room, &need)) {
         return false;
     }
     if (backend->suspect_until_ms > placer->now_ms && backend->runs->len > 0) {
@@ -94,9 +95,9 @@
         return false;
     }
     return !want->advised ||
-           step_advice_known(want->advice, backend->entry.id,
-                             backend->entry.born_ms,
-                             placer->now_ms) == ADVICE_GRANTED;
+           step_advice_status(want->advice, backend->entry.id,
+                              backend->entry.incarnation_start_ms,
+                              placer->now_ms) == ADVICE_GRANTED;
 }
 
 static double
@@ -104,7 +105,7 @@
             const struct place_want *want)
 {
     double score = (double)backend->used.cpu_milli /
-                   (double)MAX(backend->entry.room.cpu_milli, 1);
+                   (double)MAX(backend->entry.capacity.cpu_milli, 1);
     if (want->step->data_rack != NULL &&
         backend_has_label(backend, want->step->data_rack)) {
         score += 10;
@@ -180,15 +181,15 @@
 
 static bool
 team_allows(struct scheduler *sched, const struct job *job,
-            const struct job_room *need)
+            const struct resources *need)
 {
     const struct team_config *team =
         fleet_config_team(sched->config, job->team);
     if (team == NULL) {
         return true;
     }
-    const struct job_room *used = sched_team_used(sched, job->team);
-    const struct job_room *most = &team->maximum;
+    const struct resources *used = sched_team_used(sched, job->team);
+    const struct resources *most = &team->maximum;
     return (most->cpu_milli == 0 ||
             used->cpu_milli + need->cpu_milli <= most->cpu_milli) &&
            (most->mem_mb == 0 ||
@@ -202,14 +203,14 @@
     struct backend *backend = run->backend;
     int64_t lease_ms =
         sched->outage ? sched->timings.lease_max_ms : (int64_t)LEASE_MS;
-    sched->figures.started++;
-    struct start_order order = {
+    sched->stats.started++;
+    struct start_command order = {
         .backend = backend,
         .handle = run->handle,
         .run = run,
-        .until_ms = backend_grant(backend, lease_ms, run->started_ms),
+        .until_ms = backend_grant_lease(backend, lease_ms, run->started_ms),
         .ticket = step_advice_ticket(
-            job_part(run->job, run->occurrence, run->step)->advice,
+            job_step_progress(run->job, run->occurrence, run->step)->advice,
             backend->entry.id, run->started_ms),
     };
     sched->ops.start(sched->ops.ctx, &order);
@@ -234,7 +235,8 @@
 {
     struct scheduler *sched = placer->sched;
     struct job_task *task =
-        &job_part(job, want->occurrence, want->step_index)->tasks[index];
+        &job_step_progress(job, want->occurrence, want->step_index)
+             ->tasks[index];
     if (!team_allows(sched, job, &want->step->need)) {
         return NULL;
     }
@@ -252,7 +254,8 @@
 place_gang_in(struct placer *placer, struct job *job, const char *pool,
               struct place_want *want)
 {
-    struct job_part *part = job_part(job, want->occurrence, want->step_index);
+    struct step_progress *part =
+        job_step_progress(job, want->occurrence, want->step_index);
     uint32_t n_tasks = want->step->task_count;
     uint32_t number = 0;
     for (uint32_t t = 0; t < n_tasks; t++) {
@@ -284,7 +287,8 @@
 place_gang(struct placer *placer, struct job *job, const char *pool,
            struct place_want *want)
 {
-    struct job_part *part = job_part(job, want->occurrence, want->step_index);
+    struct step_progress *part =
+        job_step_progress(job, want->occurrence, want->step_index);
     for (uint32_t t = 0; t < want->step->task_count; t++) {
         if (!task_waits(placer, &part->tasks[t])) {
             return;
@@ -316,13 +320,14 @@
 {
     /* A job outlives the queue it came through. */
     const char *pool = queue == NULL ? job->pool : queue->pool;
-    struct job_part *part = job_part(job, occurrence, step_index);
+    struct step_progress *part =
+        job_step_progress(job, occurrence, step_index);
     struct place_want want = {
         .job = job,
         .step = &job->steps[step_index],
         .occurrence = occurrence,
         .step_index = step_index,
-        .advised = queue != NULL && queue->advised,
+        .advised = queue != NULL && queue->needs_advice,
         .advice = part->advice,
     };
     if (part->done >= want.step->task_count) {
@@ -384,7 +389,7 @@
     g_hash_table_iter_init(&iter, placer->sched->backends);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct backend *backend = value;
-        if (backend->inherited) {
+        if (backend->unreconciled) {
             g_hash_table_add(placer->unsettled, backend->entry.pool);
         }
         if (!sched_usable(placer->sched, backend)) {
--- a/core/jobs/pool_load.c
+++ b/core/jobs/pool_load.c
@@ -58,12 +58,12 @@
 void
 sched_note_arrival(struct scheduler *sched, const struct job *job)
 {
-    if (job_lasts(job) || job->pool == NULL) {
+    if (job_is_service(job) || job->pool == NULL) {
         return;
     }
     struct pool_load *load = sched_pool_load(sched, job->pool);
     int64_t now_ms = sched_now(sched);
-    double core_ms = (double)job_core_ms(job);
+    double core_ms = (double)job_millicore_ms(job);
     load->arrival_milli =
         decayed(load, load->arrival_milli, ARRIVAL_TAU_MS, now_ms) +
         core_ms / ARRIVAL_TAU_MS;
@@ -81,13 +81,14 @@
              uint32_t occurrence, uint32_t index, double share)
 {
     const struct job_step *step = &job->steps[index];
-    const struct job_part *part = job_part(job, occurrence, index);
+    const struct step_progress *part =
+        job_step_progress(job, occurrence, index);
     int64_t left = step->task_count - part->done;
     if (left == 0 || !job_step_ready(job, occurrence, index)) {
         return;
     }
-    struct job_room need = step->need;
-    if (step->fills) {
+    struct resources need = step->need;
+    if (step->best_effort) {
         need.cpu_milli = 0;
     }
     if (step->max_per_backend > 0) {
@@ -98,10 +99,10 @@
     }
     left = (int64_t)((double)left / share);
     if (step->long_running) {
-        room_add(&load->lasting, &need, left);
+        resources_add(&load->lasting, &need, left);
         return;
     }
-    room_add(&load->ready, &need, left);
+    resources_add(&load->ready, &need, left);
     load->ready_milli += need.cpu_milli * left *
                          MIN(step->estimate_ms, READY_HORIZON_MS) /
                          READY_HORIZON_MS;
@@ -113,7 +114,7 @@
     struct pool_load *load = sched_pool_load(sched, job->pool);
     const struct queue_config *queue =
         fleet_config_queue(sched->config, job->queue);
-    double share = queue != NULL && queue->advised
+    double share = queue != NULL && queue->needs_advice
                        ? MAX(sched->advice.share, ADVISED_SHARE_LEAST)
                        : 1;
     for (uint32_t k = 0; k < job->n_occurrences; k++) {
@@ -130,12 +131,13 @@
 measure_backend(struct scheduler *sched, const struct backend *backend)
 {
     struct pool_load *load = sched_pool_load(sched, backend->entry.pool);
-    const struct job_room *room = &backend->entry.room;
+    const struct resources *room = &backend->entry.capacity;
     load->host.cpu_milli = MAX(load->host.cpu_milli, room->cpu_milli);
     load->host.mem_mb = MAX(load->host.mem_mb, room->mem_mb);
     load->host.gpus = MAX(load->host.gpus, room->gpus);
     if (backend->listed && !backend->leaving && !backend->entry.draining &&
-        !backend->silent && !sched_is_out(sched, backend->entry.data_centre)) {
+        !backend->unresponsive &&
+        !sched_is_out(sched, backend->entry.data_centre)) {
         load->hosts++;
         load->used_milli += backend->used.cpu_milli;
     }
@@ -150,8 +152,8 @@
     g_hash_table_iter_init(&iter, sched->pools);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct pool_load *load = value;
-        load->lasting = (struct job_room){0};
-        load->ready = (struct job_room){0};
+        load->lasting = (struct resources){0};
+        load->ready = (struct resources){0};
         load->ready_milli = 0;
         load->spread_hosts = 0;
         load->hosts = 0;
--- a/core/jobs/relay_peer.c
+++ b/core/jobs/relay_peer.c
@@ -12,7 +12,7 @@
     guint n_peers = peers == NULL ? 0 : g_strv_length(peers);
     g_free(peer->address);
     peer->address =
-        n_peers == 0 ? NULL : g_strdup(peers[peer->turn++ % n_peers]);
+        n_peers == 0 ? NULL : g_strdup(peers[peer->choice_count++ % n_peers]);
 }
 
 void
--- a/core/jobs/scheduler.c
+++ b/core/jobs/scheduler.c
@@ -135,7 +135,7 @@
 void
 sched_note(struct scheduler *sched, const char *event, const char *format, ...)
 {
-    if (sched->ops.note == NULL) {
+    if (sched->ops.log_event == NULL) {
         return;
     }
     char fields[NOTE_BYTES];
@@ -143,7 +143,7 @@
     va_start(args, format);
     vsnprintf(fields, sizeof(fields), format, args);
     va_end(args);
-    sched->ops.note(sched->ops.ctx, event, fields);
+    sched->ops.log_event(sched->ops.ctx, event, fields);
 }
 
 void
@@ -153,7 +153,7 @@
 }
 
 void
-scheduler_take_out(struct scheduler *sched, char **data_centres)
+scheduler_set_out_of_service(struct scheduler *sched, char **data_centres)
 {
     g_strfreev(sched->out);
     sched->out = g_strdupv(data_centres);
@@ -167,13 +167,13 @@
 }
 
 void
-scheduler_set_valid(struct scheduler *sched, bool valid)
+scheduler_set_leadership_valid(struct scheduler *sched, bool valid)
 {
-    if (sched->valid != valid) {
+    if (sched->leadership_valid != valid) {
         sched_note(sched, valid ? "orders_allowed" : "orders_suspended",
                    "\"term\":%u", sched->term);
     }
-    sched->valid = valid;
+    sched->leadership_valid = valid;
 }
 
 void
@@ -189,7 +189,7 @@
     g_hash_table_iter_init(&iter, sched->backends);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct backend *backend = value;
-        backend->hold_due_ms = 0;
+        backend->report_due_ms = 0;
     }
 }
 
@@ -214,7 +214,7 @@
 void
 sched_mark_dirty(struct scheduler *sched, struct job *job)
 {
-    job_touch(job);
+    job_mark_changed(job);
     if (!job->storing && !g_ptr_array_find(sched->dirty, job, NULL)) {
         g_ptr_array_add(sched->dirty, job_ref(job));
     }
@@ -301,7 +301,7 @@
     int64_t waiting = 0;
     for (guint i = 0; i < sched->active->len; i++) {
         const struct job *job = g_ptr_array_index(sched->active, i);
-        if (!job->begun && strcmp(job->queue, queue) == 0) {
+        if (!job->started && strcmp(job->queue, queue) == 0) {
             waiting++;
         }
     }
@@ -317,7 +317,7 @@
     }
     sched_expire_backends(sched);
     sched_register_backends(sched);
-    if (sched->valid && !sched->fenced) {
+    if (sched->leadership_valid && !sched->fenced) {
         sched_watch_runs(sched);
         sched_empty_draining(sched);
         sched_pace(sched);
@@ -335,20 +335,20 @@
 }
 
 void
-scheduler_figures(const struct scheduler *sched, struct sched_figures *figures)
+scheduler_stats(const struct scheduler *sched, struct sched_stats *figures)
 {
-    *figures = sched->figures;
+    *figures = sched->stats;
     figures->jobs_active = sched->active->len;
     figures->runs = g_hash_table_size(sched->runs);
     figures->backends = g_hash_table_size(sched->backends);
-    figures->backends_unsettled = 0;
+    figures->backends_unreconciled = 0;
     GHashTableIter iter;
     void *value;
     g_hash_table_iter_init(&iter, sched->backends);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct backend *backend = value;
-        if (backend->inherited) {
-            figures->backends_unsettled++;
+        if (backend->unreconciled) {
+            figures->backends_unreconciled++;
         }
     }
 }
--- a/core/jobs/scheduler_backends.c
+++ b/core/jobs/scheduler_backends.c
@@ -12,7 +12,7 @@
 }
 
 GPtrArray *
-scheduler_list_backends(const struct scheduler *sched)
+scheduler_backend_ids(const struct scheduler *sched)
 {
     GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
     GHashTableIter iter;
@@ -33,17 +33,17 @@
 renew_incarnation(struct scheduler *sched, struct backend *backend)
 {
     sched_backend_lost(sched, backend, "restarted");
-    backend->reconciled = false;
-    backend->inherited = false;
-    backend->settle_ms = 0;
-    backend->clock_at_ms = 0;
+    backend->report_received = false;
+    backend->unreconciled = false;
+    backend->reconcile_due_ms = 0;
+    backend->clock_sampled_ms = 0;
     backend->clock_ms = 0;
     backend->granted_until_ms = 0;
-    backend->lapse_ms = 0;
-    backend->last_end = 0;
-    backend->acked_end = 0;
+    backend->leases_expire_ms = 0;
+    backend->last_completion = 0;
+    backend->acked_completion = 0;
     backend->acked_sent = 0;
-    backend->silent = false;
+    backend->unresponsive = false;
 }
 
 static struct backend *
@@ -82,14 +82,14 @@
                    entry->host == NULL ? "" : entry->host);
     }
     else {
-        int64_t born_before_ms = backend->entry.born_ms;
+        int64_t born_before_ms = backend->entry.incarnation_start_ms;
         if (entry->draining && !backend->entry.draining) {
             sched_note(sched, "backend_draining", "\"backend\":\"%s\"",
                        entry->id);
         }
         update_entry(backend, entry);
-        if (born_before_ms != 0 && entry->born_ms != 0 &&
-            born_before_ms != entry->born_ms) {
+        if (born_before_ms != 0 && entry->incarnation_start_ms != 0 &&
+            born_before_ms != entry->incarnation_start_ms) {
             renew_incarnation(sched, backend);
         }
     }
@@ -118,12 +118,13 @@
     if (backend == NULL) {
         backend = add_backend(sched, entry);
     }
-    backend->inherited = true;
+    backend->unreconciled = true;
     backend->registered = true;
     sched->inherited_long = sched->inherited_long || lease_ms > LEASE_MS;
     /* The scheduler before granted its last lease before this one began. */
     int64_t open_ms = MIN(lease_ms, sched->timings.lease_max_ms);
-    backend->lapse_ms = sched->taken_over_ms + open_ms * 102 / 100 + 100;
+    backend->leases_expire_ms =
+        sched->taken_over_ms + open_ms * 102 / 100 + 100;
     sched_host_incarnation(sched, backend);
 }
 
@@ -145,8 +146,9 @@
 bool
 sched_usable(const struct scheduler *sched, const struct backend *backend)
 {
-    return backend->listed && backend->reconciled && backend->registered &&
-           !backend->entry.draining && !backend->silent && !backend->leaving &&
+    return backend->listed && backend->report_received &&
+           backend->registered && !backend->entry.draining &&
+           !backend->unresponsive && !backend->leaving &&
            !sched_is_out(sched, backend->entry.data_centre);
 }
 
@@ -160,15 +162,15 @@
     g_hash_table_iter_init(&iter, sched->backends);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct backend *backend = value;
-        bool lapsed = backend_lapsed(backend, now_ms);
-        if (lapsed && backend->silent && backend->runs->len > 0) {
+        bool lapsed = backend_leases_expired(backend, now_ms);
+        if (lapsed && backend->unresponsive && backend->runs->len > 0) {
             sched_backend_lost(sched, backend, "lapsed");
         }
-        if (lapsed && backend->silent) {
-            backend->inherited = false;
+        if (lapsed && backend->unresponsive) {
+            backend->unreconciled = false;
         }
         if (backend->listed || !lapsed || backend->runs->len > 0 ||
-            backend->hold_in_flight || backend->registering) {
+            backend->report_in_flight || backend->registering) {
             continue;
         }
         if (backend->registered) {
--- a/core/jobs/scheduler_lists.c
+++ b/core/jobs/scheduler_lists.c
@@ -1,4 +1,5 @@
-/* Reads the lists of backend servers: leases, ends, and runs taken over. */
+/* Reads the lists of backend servers: leases, completions, and runs taken
+ * over. */
 #include "core/jobs/scheduler.h"
 
 #include <stdio.h>
@@ -8,7 +9,7 @@
 #include "scheduler_state.h"
 
 enum {
-    /* The users' pages: ends come 500 at a time. */
+    /* The users' pages: completions come 500 at a time. */
     ENDS_PER_LIST = 500,
     /* A backend server's clock may be 2 % slow; a stop is on its way. */
     STOP_MARGIN_MS = 100,
@@ -63,15 +64,15 @@
 
 static void
 stop_stray(struct scheduler *sched, struct backend *backend,
-           const struct listed_run *listed)
+           const struct reported_run *listed)
 {
-    if (!sched->valid || sched->fenced) {
+    if (!sched->leadership_valid || sched->fenced) {
         return;
     }
     sched_note(sched, "stray_stopped",
                "\"task\":\"%s\",\"run\":%u,\"backend\":\"%s\"", listed->task,
                listed->number, backend->entry.id);
-    struct stop_order order = {
+    struct stop_command order = {
         .backend = backend,
         .task = listed->task,
         .number = listed->number,
@@ -81,12 +82,12 @@
 
 static void
 update_run(struct scheduler *sched, struct run *run,
-           const struct listed_run *listed)
+           const struct reported_run *listed)
 {
     int64_t now_ms = sched_now(sched);
-    run->known_ms = now_ms;
-    run->job->begun = true;
-    run->figure = listed->figure;
+    run->confirmed_ms = now_ms;
+    run->job->started = true;
+    run->load_metric = listed->load_metric;
     if (run->percent != listed->percent) {
         run->percent = listed->percent;
         run->percent_at_ms = now_ms;
@@ -104,7 +105,7 @@
 
 static void
 take_running(struct scheduler *sched, struct backend *backend,
-             const struct listed_run *listed)
+             const struct reported_run *listed)
 {
     struct task_name name;
     struct job *job = find_task(sched, listed->task, &name);
@@ -113,7 +114,7 @@
         return;
     }
     struct job_task *task =
-        &job_part(job, name.occurrence, name.step)->tasks[name.index];
+        &job_step_progress(job, name.occurrence, name.step)->tasks[name.index];
     task->run_number = MAX(task->run_number, listed->number);
     if (task->run != NULL && task->run->backend == backend &&
         task->run->number == listed->number) {
@@ -128,7 +129,7 @@
                                        name.index, listed->number, backend);
     run->state = RUN_WORKING;
     /* The holder before may have slowed it down. */
-    run->paced = -1;
+    run->cpu_limit_percent = -1;
     update_run(sched, run, listed);
     sched_note(sched, "run_adopted", "\"task\":\"%s\",\"backend\":\"%s\"",
                listed->task, backend->entry.id);
@@ -137,21 +138,21 @@
 static void
 queue_end(struct backend *backend, int64_t number, struct job *job)
 {
-    struct pending_end *end = g_new0(struct pending_end, 1);
+    struct pending_completion *end = g_new0(struct pending_completion, 1);
     end->number = number;
     if (job != NULL) {
         end->job = job_ref(job);
         end->version = job->version;
     }
-    g_queue_push_tail(&backend->ends, end);
-    backend->last_end = number;
+    g_queue_push_tail(&backend->completions, end);
+    backend->last_completion = number;
 }
 
 static void
 take_end(struct scheduler *sched, struct backend *backend,
-         const struct listed_end *listed)
+         const struct run_completion *listed)
 {
-    if (listed->number <= backend->last_end) {
+    if (listed->number <= backend->last_completion) {
         return;
     }
     struct task_name name;
@@ -161,7 +162,7 @@
         return;
     }
     struct job_task *task =
-        &job_part(job, name.occurrence, name.step)->tasks[name.index];
+        &job_step_progress(job, name.occurrence, name.step)->tasks[name.index];
     task->run_number = MAX(task->run_number, listed->run);
     struct run *run = task->run;
     if (run != NULL && run->backend == backend && run->number == listed->run) {
@@ -184,25 +185,25 @@
     return sched->timings.stop_ms + STOP_MARGIN_MS;
 }
 
-/* A run that was confirmed, or barred by a stop, before the list was asked
- * for and stands in neither list is not there. */
+/* A run that was confirmed, or barred by a stop, before the report was asked
+ * for and stands in neither list of the report is not there. */
 static void
 drop_absent(struct scheduler *sched, struct backend *backend,
-            const struct backend_lists *lists)
+            const struct run_report *lists)
 {
-    if (lists->n_ends >= ENDS_PER_LIST) {
+    if (lists->n_completions >= ENDS_PER_LIST) {
         return;
     }
     int64_t now_ms = sched_now(sched);
     for (guint i = backend->runs->len; i > 0; i--) {
         struct run *run = g_ptr_array_index(backend->runs, i - 1);
-        bool listed_now = run->known_ms == now_ms;
-        bool confirmed =
-            run->known_ms != 0 && run->known_ms < backend->hold_sent_ms;
-        /* A run that is being stopped may be in neither list. */
-        bool barred =
-            run->stop_acked_ms != 0 &&
-            run->stop_acked_ms + stop_shows_ms(sched) < backend->hold_sent_ms;
+        bool listed_now = run->confirmed_ms == now_ms;
+        bool confirmed = run->confirmed_ms != 0 &&
+                         run->confirmed_ms < backend->report_requested_ms;
+        /* A run that is being stopped may be in neither list of the report. */
+        bool barred = run->stop_acked_ms != 0 &&
+                      run->stop_acked_ms + stop_shows_ms(sched) <
+                          backend->report_requested_ms;
         if (listed_now || (run->state != RUN_STOPPING && !confirmed) ||
             (run->state == RUN_STOPPING && !barred)) {
             continue;
@@ -210,7 +211,7 @@
         sched_note(sched, "run_absent",
                    "\"job\":\"%s\",\"step\":%u,\"task\":%u,\"backend\":\"%s\"",
                    run->job->id, run->step, run->index, backend->entry.id);
-        sched->figures.lost++;
+        sched->stats.lost++;
         sched_run_free(sched, run);
     }
 }
@@ -220,117 +221,119 @@
 {
     sched_note(sched, "backend_other_incarnation", "\"backend\":\"%s\"",
                backend->entry.id);
-    backend->silent = true;
-    backend->hold_due_ms = sched_now(sched) + LIST_RETRY_MS;
+    backend->unresponsive = true;
+    backend->report_due_ms = sched_now(sched) + LIST_RETRY_MS;
 }
 
-/* A run that an earlier scheduler is stopping stands in neither list; until
- * that has shown, nothing it may be is started again. */
+/* A run that an earlier scheduler is stopping stands in neither list of the
+ * report; until that has shown, nothing it may be is started again. */
 static void
 settle(struct scheduler *sched, struct backend *backend)
 {
-    if (!backend->inherited) {
+    if (!backend->unreconciled) {
         return;
     }
-    if (backend->settle_ms == 0) {
-        backend->settle_ms = sched_now(sched) + stop_shows_ms(sched);
+    if (backend->reconcile_due_ms == 0) {
+        backend->reconcile_due_ms = sched_now(sched) + stop_shows_ms(sched);
     }
-    else if (backend->hold_sent_ms >= backend->settle_ms) {
-        backend->inherited = false;
+    else if (backend->report_requested_ms >= backend->reconcile_due_ms) {
+        backend->unreconciled = false;
         return;
     }
     if (backend->runs->len == 0) {
-        backend->hold_due_ms = backend->settle_ms;
+        backend->report_due_ms = backend->reconcile_due_ms;
     }
 }
 
 void
-scheduler_on_list(struct scheduler *sched, const char *backend_id,
-                  const struct backend_lists *lists)
+scheduler_on_report(struct scheduler *sched, const char *backend_id,
+                    const struct run_report *lists)
 {
     struct backend *backend = scheduler_find_backend(sched, backend_id);
     if (backend == NULL) {
         return;
     }
     int64_t now_ms = sched_now(sched);
-    backend->hold_in_flight = false;
-    backend->hold_due_ms = now_ms + LIST_GAP_MS;
-    if (lists->outcome == LIST_FENCED) {
+    backend->report_in_flight = false;
+    backend->report_due_ms = now_ms + LIST_GAP_MS;
+    if (lists->outcome == REPORT_FENCED) {
         sched->fenced = true;
         return;
     }
-    if (lists->outcome == LIST_OTHER_INCARNATION) {
+    if (lists->outcome == REPORT_OTHER_INCARNATION) {
         other_incarnation(sched, backend);
         return;
     }
-    if (lists->outcome == LIST_NO_ANSWER) {
-        if (!backend->silent) {
+    if (lists->outcome == REPORT_NO_ANSWER) {
+        if (!backend->unresponsive) {
             sched_note(sched, "backend_silent", "\"backend\":\"%s\"",
                        backend->entry.id);
         }
-        backend->silent = true;
-        backend->hold_due_ms = now_ms + LIST_RETRY_MS;
+        backend->unresponsive = true;
+        backend->report_due_ms = now_ms + LIST_RETRY_MS;
         return;
     }
-    if (lists->born_ms != 0 && backend->entry.born_ms != 0 &&
-        lists->born_ms != backend->entry.born_ms) {
+    if (lists->incarnation_start_ms != 0 &&
+        backend->entry.incarnation_start_ms != 0 &&
+        lists->incarnation_start_ms != backend->entry.incarnation_start_ms) {
         /* The answer is of an incarnation that the host list doesn't show yet.
          */
-        if (lists->born_ms < backend->entry.born_ms) {
+        if (lists->incarnation_start_ms <
+            backend->entry.incarnation_start_ms) {
             return;
         }
         struct backend_entry *entry = backend_entry_copy(&backend->entry);
-        entry->born_ms = lists->born_ms;
+        entry->incarnation_start_ms = lists->incarnation_start_ms;
         bool listed = backend->listed;
         scheduler_backend_seen(sched, entry);
         backend->listed = listed;
         backend_entry_destroy(entry);
-        backend->hold_due_ms = 0;
+        backend->report_due_ms = 0;
         return;
     }
-    if (backend->silent) {
+    if (backend->unresponsive) {
         sched_note(sched, "backend_answers", "\"backend\":\"%s\"",
                    backend->entry.id);
     }
-    backend->silent = false;
-    backend_clock_told(backend, lists->clock_ms, now_ms);
-    for (size_t i = 0; i < lists->n_ends; i++) {
-        take_end(sched, backend, &lists->ends[i]);
+    backend->unresponsive = false;
+    backend_clock_sampled(backend, lists->clock_ms, now_ms);
+    for (size_t i = 0; i < lists->n_completions; i++) {
+        take_end(sched, backend, &lists->completions[i]);
     }
     for (size_t i = 0; i < lists->n_running; i++) {
         take_running(sched, backend, &lists->running[i]);
     }
     drop_absent(sched, backend, lists);
-    backend->listed_ms = now_ms;
-    backend->reconciled = true;
+    backend->report_read_ms = now_ms;
+    backend->report_received = true;
     settle(sched, backend);
 }
 
 static bool
 list_wanted(const struct scheduler *sched, const struct backend *backend)
 {
-    if (backend->runs->len > 0 || backend->inherited) {
+    if (backend->runs->len > 0 || backend->unreconciled) {
         return true;
     }
-    if (!g_queue_is_empty((GQueue *)&backend->ends) ||
-        backend->acked_sent < backend->acked_end) {
+    if (!g_queue_is_empty((GQueue *)&backend->completions) ||
+        backend->acked_sent < backend->acked_completion) {
         return true;
     }
     const struct pool_config *pool =
         fleet_config_pool(sched->config, backend->entry.pool);
     return backend->listed && pool != NULL && !pool->spare &&
-           (!backend->reconciled || backend->silent);
+           (!backend->report_received || backend->unresponsive);
 }
 
 static void
 read_list(struct scheduler *sched, struct backend *backend)
 {
     int64_t now_ms = sched_now(sched);
-    backend_note_seen(backend);
-    bool first = !backend->reconciled || backend->silent;
+    backend_ack_completions(backend);
+    bool first = !backend->report_received || backend->unresponsive;
     int64_t until_ms = 0;
-    if (sched->valid && !first && backend->runs->len > 0) {
-        until_ms = backend_grant(
+    if (sched->leadership_valid && !first && backend->runs->len > 0) {
+        until_ms = backend_grant_lease(
             backend, sched->outage ? sched->timings.lease_max_ms : LEASE_MS,
             now_ms);
     }
@@ -348,11 +351,11 @@
     if (!wait && backend->runs->len > 0 && sched->outage) {
         wait_ms = LIST_WAIT_MS / 4;
     }
-    backend->hold_in_flight = true;
-    backend->hold_sent_ms = now_ms;
-    backend->acked_sent = backend->acked_end;
-    sched->ops.list(sched->ops.ctx, backend, until_ms, backend->acked_end,
-                    wait_ms);
+    backend->report_in_flight = true;
+    backend->report_requested_ms = now_ms;
+    backend->acked_sent = backend->acked_completion;
+    sched->ops.request_report(sched->ops.ctx, backend, until_ms,
+                              backend->acked_completion, wait_ms);
 }
 
 void
@@ -367,19 +370,20 @@
     g_hash_table_iter_init(&iter, sched->backends);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct backend *backend = value;
-        if (backend->hold_in_flight &&
-            now_ms - backend->hold_sent_ms > ANSWER_OVERDUE_MS) {
-            backend->hold_in_flight = false;
-            backend->silent = true;
+        if (backend->report_in_flight &&
+            now_ms - backend->report_requested_ms > ANSWER_OVERDUE_MS) {
+            backend->report_in_flight = false;
+            backend->unresponsive = true;
         }
-        if (backend->hold_in_flight || now_ms < backend->hold_due_ms ||
+        if (backend->report_in_flight || now_ms < backend->report_due_ms ||
             !list_wanted(sched, backend)) {
             continue;
         }
-        if (backend->runs->len == 0 && backend->reconciled &&
-            !backend->silent && !g_queue_is_empty(&backend->ends)) {
-            backend_note_seen(backend);
-            if (!g_queue_is_empty(&backend->ends)) {
+        if (backend->runs->len == 0 && backend->report_received &&
+            !backend->unresponsive &&
+            !g_queue_is_empty(&backend->completions)) {
+            backend_ack_completions(backend);
+            if (!g_queue_is_empty(&backend->completions)) {
                 continue;
             }
         }
--- a/core/jobs/scheduler_runs.c
+++ b/core/jobs/scheduler_runs.c
@@ -6,7 +6,7 @@
 
 #include "scheduler_state.h"
 
-struct job_room *
+struct resources *
 sched_team_used(struct scheduler *sched, const char *team)
 {
     struct team_use *use = g_hash_table_lookup(sched->team_use, team);
@@ -19,11 +19,11 @@
 }
 
 /* Room of a task on its backend server: filling tasks use what is left. */
-static struct job_room
+static struct resources
 backend_need(const struct job_step *step)
 {
-    struct job_room need = step->need;
-    if (step->fills) {
+    struct resources need = step->need;
+    if (step->best_effort) {
         need.cpu_milli = 0;
     }
     return need;
@@ -33,9 +33,9 @@
 run_count(struct scheduler *sched, struct run *run, int64_t times)
 {
     const struct job_step *step = run_step(run);
-    struct job_room need = backend_need(step);
-    room_add(&run->backend->used, &need, times);
-    room_add(sched_team_used(sched, run->job->team), &step->need, times);
+    struct resources need = backend_need(step);
+    resources_add(&run->backend->used, &need, times);
+    resources_add(sched_team_used(sched, run->job->team), &step->need, times);
 }
 
 struct run *
@@ -54,7 +54,7 @@
     run->started_ms = sched_now(sched);
     run->percent_at_ms = run->started_ms;
     run->percent = -1;
-    run->paced = 100;
+    run->cpu_limit_percent = 100;
     g_hash_table_insert(sched->runs, &run->handle, run);
     g_ptr_array_add(backend->runs, run);
     struct job_task *task = run_task(run);
@@ -87,7 +87,7 @@
              run->step, run->index);
     run->stop_sent_ms = sched_now(sched);
     run->stop_pending = true;
-    struct stop_order order = {
+    struct stop_command order = {
         .backend = run->backend,
         .handle = run->handle,
         .task = name,
@@ -104,7 +104,7 @@
     }
     run->state = RUN_STOPPING;
     run->stop_acked_ms = 0;
-    if (sched->valid && !sched->fenced) {
+    if (sched->leadership_valid && !sched->fenced) {
         send_stop(sched, run);
     }
 }
@@ -120,7 +120,7 @@
     if (acked) {
         run->stop_acked_ms = sched_now(sched);
         /* The list that shows the end, or its absence, comes at once. */
-        run->backend->hold_due_ms = 0;
+        run->backend->report_due_ms = 0;
     }
 }
 
@@ -131,7 +131,7 @@
     struct job_task *task = run_task(run);
     struct job *job = run->job;
     struct backend *backend = run->backend;
-    sched->figures.failed++;
+    sched->stats.failed++;
     sched_note(sched, "task_failed",
                "\"task\":\"%s.%u.%u.%u\",\"run\":%u,\"backend\":\"%s\"",
                job->id, run->occurrence, run->step, run->index, run->number,
@@ -141,7 +141,7 @@
     if (run_step(run)->long_running) {
         return;
     }
-    if (!job_task_failed(task, run->number)) {
+    if (!job_task_record_failure(task, run->number)) {
         return;
     }
     backend->failures++;
@@ -169,9 +169,11 @@
                    uint32_t occurrence, uint32_t step, uint32_t index,
                    uint32_t number)
 {
-    struct job_task *task = &job_part(job, occurrence, step)->tasks[index];
+    struct job_task *task =
+        &job_step_progress(job, occurrence, step)->tasks[index];
     if (job->state != JOB_ACTIVE || task->done ||
-        job->steps[step].long_running || !job_task_failed(task, number)) {
+        job->steps[step].long_running ||
+        !job_task_record_failure(task, number)) {
         return;
     }
     sched_mark_dirty(sched, job);
@@ -184,15 +186,15 @@
 sched_task_done(struct scheduler *sched, struct job *job, uint32_t occurrence,
                 uint32_t step, uint32_t index)
 {
-    struct job_part *part = job_part(job, occurrence, step);
+    struct step_progress *part = job_step_progress(job, occurrence, step);
     struct job_task *task = &part->tasks[index];
     if (task->done) {
         return;
     }
     task->done = true;
     part->done++;
-    job->begun = true;
-    sched->figures.done++;
+    job->started = true;
+    sched->stats.done++;
     sched_mark_dirty(sched, job);
     if (task->run != NULL) {
         sched_run_stop(sched, task->run);
@@ -214,11 +216,11 @@
 }
 
 void
-sched_run_end(struct scheduler *sched, struct run *run, enum end_reason reason,
-              const char *saved)
+sched_run_end(struct scheduler *sched, struct run *run,
+              enum completion_reason reason, const char *saved)
 {
     struct job *job = job_ref(run->job);
-    job->begun = true;
+    job->started = true;
     struct job_task *task = run_task(run);
     const struct job_step *step = run_step(run);
     bool was_stopping = run->state == RUN_STOPPING;
@@ -252,7 +254,7 @@
     else if (give_up) {
         sched_finish_job(sched, job, JOB_FAILED);
     }
-    else if (!was_stopping && reason == END_ALONE) {
+    else if (!was_stopping && reason == END_GANG_INCOMPLETE) {
         task->wait_until_ms = sched_now(sched) + START_RETRY_MS;
     }
     job_unref(job);
@@ -269,7 +271,7 @@
     }
     while (backend->runs->len > 0) {
         struct run *run = g_ptr_array_index(backend->runs, 0);
-        sched->figures.lost++;
+        sched->stats.lost++;
         sched_run_free(sched, run);
     }
 }
@@ -280,7 +282,8 @@
 run_stalled(const struct run *run, int64_t now_ms)
 {
     return run->state == RUN_WORKING && run->percent >= 0 &&
-           run->percent < 100 && run->paced == 100 && !run->backend->silent &&
+           run->percent < 100 && run->cpu_limit_percent == 100 &&
+           !run->backend->unresponsive &&
            now_ms - run->percent_at_ms > STALL_MS;
 }
 
@@ -295,8 +298,9 @@
     if (run->stop_pending && now_ms - run->stop_sent_ms > ANSWER_OVERDUE_MS) {
         run->stop_pending = false;
     }
-    if (run->pace_pending && now_ms - run->pace_sent_ms > ANSWER_OVERDUE_MS) {
-        run->pace_pending = false;
+    if (run->throttle_pending &&
+        now_ms - run->throttle_sent_ms > ANSWER_OVERDUE_MS) {
+        run->throttle_pending = false;
     }
 }
 
@@ -351,11 +355,11 @@
     struct backend *backend = run->backend;
     int64_t now_ms = sched_now(sched);
     if (clock_ms != 0) {
-        backend_clock_told(backend, clock_ms, now_ms);
+        backend_clock_sampled(backend, clock_ms, now_ms);
     }
     if (answer == START_DONE) {
-        run->known_ms = now_ms;
-        run->job->begun = true;
+        run->confirmed_ms = now_ms;
+        run->job->started = true;
         if (run->state == RUN_STARTING) {
             run->state = RUN_WORKING;
         }
@@ -375,18 +379,18 @@
                "\"answer\":%d",
                run->job->id, run->step, run->index, backend->entry.id, answer);
     run_task(run)->wait_until_ms =
-        answer == START_OLD_NUMBER ? 0 : now_ms + START_RETRY_MS;
+        answer == START_STALE_RUN_NUMBER ? 0 : now_ms + START_RETRY_MS;
     if (answer == START_OTHER_INCARNATION) {
-        backend->silent = true;
+        backend->unresponsive = true;
     }
     if (answer == START_NO_TICKET) {
         struct step_advice *advice =
-            job_part(run->job, run->occurrence, run->step)->advice;
+            job_step_progress(run->job, run->occurrence, run->step)->advice;
         if (advice != NULL) {
             step_advice_forget(advice, backend->entry.id);
         }
     }
-    if (answer == START_REFUSED || answer == START_NO_ROOM) {
+    if (answer == START_REFUSED || answer == START_NO_CAPACITY) {
         g_free(run_task(run)->avoid);
         run_task(run)->avoid = g_strdup(backend->entry.id);
     }
--- a/core/jobs/scheduler_state.h
+++ b/core/jobs/scheduler_state.h
@@ -100,7 +100,7 @@
 
 struct team_use {
     char *team;
-    struct job_room used;
+    struct resources used;
 };
 
 /**
@@ -125,11 +125,11 @@
     double recent_milli;
     double recent_jobs;
     int64_t arrival_at_ms;
-    struct job_room lasting;
-    struct job_room ready;
+    struct resources lasting;
+    struct resources ready;
     int64_t ready_milli;
     int64_t spread_hosts;
-    struct job_room host;
+    struct resources host;
     int64_t hosts;
     int64_t coming;
     int64_t used_milli;
@@ -171,7 +171,7 @@
     uint32_t term;
     const struct fleet_config *config;
     char **out;
-    bool valid;
+    bool leadership_valid;
     bool outage;
     int64_t outage_ms;
     bool inherited_long;
@@ -194,7 +194,7 @@
     int64_t plan_due_ms;
     struct order_budget order_budget;
     struct open_advice advice;
-    struct sched_figures figures;
+    struct sched_stats stats;
 };
 
 static inline int64_t
@@ -235,8 +235,8 @@
 void
 sched_run_stop(struct scheduler *sched, struct run *run);
 void
-sched_run_end(struct scheduler *sched, struct run *run, enum end_reason reason,
-              const char *saved);
+sched_run_end(struct scheduler *sched, struct run *run,
+              enum completion_reason reason, const char *saved);
 void
 sched_task_done(struct scheduler *sched, struct job *job, uint32_t occurrence,
                 uint32_t step, uint32_t index);
@@ -250,7 +250,7 @@
                    const char *why);
 void
 sched_watch_runs(struct scheduler *sched);
-struct job_room *
+struct resources *
 sched_team_used(struct scheduler *sched, const char *team);
 
 /* scheduler_lists.c */
--- a/core/jobs/step_advice.c
+++ b/core/jobs/step_advice.c
@@ -8,7 +8,7 @@
  * @until_ms: end of the ticket on the scheduler's clock
  */
 struct verdict {
-    int64_t born_ms;
+    int64_t incarnation_start_ms;
     char *ticket;
     int64_t until_ms;
 };
@@ -45,17 +45,19 @@
 }
 
 void
-step_advice_refuse(struct step_advice *advice, const char *id, int64_t born_ms)
+step_advice_refuse(struct step_advice *advice, const char *id,
+                   int64_t incarnation_start_ms)
 {
-    step_advice_grant(advice, id, born_ms, NULL, 0);
+    step_advice_grant(advice, id, incarnation_start_ms, NULL, 0);
 }
 
 void
-step_advice_grant(struct step_advice *advice, const char *id, int64_t born_ms,
-                  const char *ticket, int64_t until_ms)
+step_advice_grant(struct step_advice *advice, const char *id,
+                  int64_t incarnation_start_ms, const char *ticket,
+                  int64_t until_ms)
 {
     struct verdict *verdict = g_new0(struct verdict, 1);
-    verdict->born_ms = born_ms;
+    verdict->incarnation_start_ms = incarnation_start_ms;
     verdict->ticket = g_strdup(ticket);
     verdict->until_ms = until_ms;
     g_hash_table_replace(advice->by_backend, g_strdup(id), verdict);
@@ -67,9 +69,9 @@
     g_hash_table_remove(advice->by_backend, id);
 }
 
-enum advice_known
-step_advice_known(const struct step_advice *advice, const char *id,
-                  int64_t born_ms, int64_t now_ms)
+enum advice_status
+step_advice_status(const struct step_advice *advice, const char *id,
+                   int64_t incarnation_start_ms, int64_t now_ms)
 {
     const struct verdict *verdict =
         advice == NULL ? NULL : g_hash_table_lookup(advice->by_backend, id);
@@ -80,7 +82,8 @@
     if (verdict->ticket == NULL) {
         return ADVICE_REFUSED;
     }
-    return verdict->born_ms == born_ms && now_ms < verdict->until_ms
+    return verdict->incarnation_start_ms == incarnation_start_ms &&
+                   now_ms < verdict->until_ms
                ? ADVICE_GRANTED
                : ADVICE_EXPIRED;
 }
--- a/core/jobs/wave_plan.c
+++ b/core/jobs/wave_plan.c
@@ -52,7 +52,7 @@
     struct wave *wave = find_or_add(sched, order->number);
     int64_t within_ms =
         order->within_ms > 0 ? order->within_ms : (int64_t)DEFAULT_WITHIN_MS;
-    wave->most = MAX(order->most, 1);
+    wave->most = MAX(order->max_unavailable, 1);
     wave->complete_by_ms = order->seen_ms + within_ms;
     g_ptr_array_set_size(wave->hosts, 0);
     for (char **host = order->hosts; *host != NULL; host++) {
@@ -61,13 +61,14 @@
 }
 
 void
-scheduler_wave_begun(struct scheduler *sched, int64_t number, const char *host)
+scheduler_wave_host_started(struct scheduler *sched, int64_t number,
+                            const char *host)
 {
     g_hash_table_add(find_or_add(sched, number)->begun, g_strdup(host));
 }
 
 char *
-scheduler_wave_begun_list(const struct scheduler *sched, int64_t number)
+scheduler_wave_started_hosts(const struct scheduler *sched, int64_t number)
 {
     const struct wave *wave = sched_find_wave(sched, number);
     GString *text = g_string_new(NULL);
@@ -111,11 +112,11 @@
 sched_run_may_stop(const struct run *run)
 {
     const struct job_step *step = run_step(run);
-    if (step->may_miss == 0) {
+    if (step->max_unavailable == 0) {
         return true;
     }
-    const struct job_part *part =
-        job_part(run->job, run->occurrence, run->step);
+    const struct step_progress *part =
+        job_step_progress(run->job, run->occurrence, run->step);
     uint32_t away = 0;
     for (uint32_t t = 0; t < step->task_count; t++) {
         const struct run *other = part->tasks[t].run;
@@ -123,11 +124,11 @@
             continue;
         }
         if (other == NULL || other->state != RUN_WORKING ||
-            other->percent < 100 || other->backend->silent) {
+            other->percent < 100 || other->backend->unresponsive) {
             away++;
         }
     }
-    return away < step->may_miss;
+    return away < step->max_unavailable;
 }
 
 static uint32_t
@@ -158,7 +159,7 @@
     double use =
         room_milli == 0 ? 1 : (double)load->used_milli / (double)room_milli;
     return use + (double)backend->used.cpu_milli /
-                     (double)MAX(backend->entry.room.cpu_milli, 1) / 2;
+                     (double)MAX(backend->entry.capacity.cpu_milli, 1) / 2;
 }
 
 static struct host *
--- a/egretjobd/frontend.c
+++ b/egretjobd/frontend.c
@@ -337,30 +337,31 @@
 {
     struct frontend *frontend = ctx;
     const struct frontend_counters *f = &frontend->counters;
-    struct sched_figures s;
+    struct sched_stats s;
     leader_stats(frontend->node->leader, &s);
     char text[METRICS_BYTES];
-    g_snprintf(
-        text, sizeof(text),
-        "requests_total %" G_GUINT64_FORMAT "\n"
-        "jobs_accepted_total %" G_GUINT64_FORMAT "\n"
-        "requests_refused_total %" G_GUINT64_FORMAT "\n"
-        "requests_unauthorized_total %" G_GUINT64_FORMAT "\n"
-        "requests_not_found_total %" G_GUINT64_FORMAT "\n"
-        "requests_invalid_total %" G_GUINT64_FORMAT "\n"
-        "requests_unknown_total %" G_GUINT64_FORMAT "\n"
-        "scheduler_held %d\n"
-        "config_fresh %d\n"
-        "jobs_active %u\nruns %u\nbackends %u\n"
-        "backends_unsettled %u\n"
-        "runs_started_total %" G_GUINT64_FORMAT "\n"
-        "tasks_done_total %" G_GUINT64_FORMAT "\n"
-        "runs_failed_total %" G_GUINT64_FORMAT "\n"
-        "runs_lost_total %" G_GUINT64_FORMAT "\n",
-        f->requests, f->accepted, f->refused, f->unauthorized, f->not_found,
-        f->invalid, f->unknown, leadership_held(frontend->node->leadership),
-        config_feed_fresh(frontend->node->feed), s.jobs_active, s.runs,
-        s.backends, s.backends_unsettled, s.started, s.done, s.failed, s.lost);
+    g_snprintf(text, sizeof(text),
+               "requests_total %" G_GUINT64_FORMAT "\n"
+               "jobs_accepted_total %" G_GUINT64_FORMAT "\n"
+               "requests_refused_total %" G_GUINT64_FORMAT "\n"
+               "requests_unauthorized_total %" G_GUINT64_FORMAT "\n"
+               "requests_not_found_total %" G_GUINT64_FORMAT "\n"
+               "requests_invalid_total %" G_GUINT64_FORMAT "\n"
+               "requests_unknown_total %" G_GUINT64_FORMAT "\n"
+               "scheduler_held %d\n"
+               "config_fresh %d\n"
+               "jobs_active %u\nruns %u\nbackends %u\n"
+               "backends_unsettled %u\n"
+               "runs_started_total %" G_GUINT64_FORMAT "\n"
+               "tasks_done_total %" G_GUINT64_FORMAT "\n"
+               "runs_failed_total %" G_GUINT64_FORMAT "\n"
+               "runs_lost_total %" G_GUINT64_FORMAT "\n",
+               f->requests, f->accepted, f->refused, f->unauthorized,
+               f->not_found, f->invalid, f->unknown,
+               leadership_held(frontend->node->leadership),
+               config_feed_fresh(frontend->node->feed), s.jobs_active, s.runs,
+               s.backends, s.backends_unreconciled, s.started, s.done,
+               s.failed, s.lost);
     http_exchange_reply(exchange, 200, text);
 }
 
--- a/egretjobd/leader.c
+++ b/egretjobd/leader.c
@@ -25,7 +25,8 @@
 leader_update_validity(struct leader *leader)
 {
     struct leadership *leadership = leader->node->leadership;
-    scheduler_set_valid(leader->sched, leadership_valid(leadership));
+    scheduler_set_leadership_valid(leader->sched,
+                                   leadership_valid(leadership));
     scheduler_set_outage(leader->sched,
                          leadership_renewal_overdue(leadership));
 }
@@ -101,7 +102,7 @@
 }
 
 static void
-on_hosts(void *ctx, const struct host_fact *hosts, size_t n_hosts)
+on_hosts(void *ctx, const struct host_info *hosts, size_t n_hosts)
 {
     struct leader *leader = ctx;
     if (hosts != NULL) {
@@ -112,11 +113,11 @@
 
 static void
 on_host_command(void *ctx, const char *host, int64_t wave,
-                enum host_answer answer)
+                enum host_command_result answer)
 {
     struct leader *leader = ctx;
     leader_update_validity(leader);
-    scheduler_on_host_order(leader->sched, host, wave, answer);
+    scheduler_on_host_command(leader->sched, host, wave, answer);
     leader_tick_soon(leader);
 }
 
@@ -270,8 +271,8 @@
     if (leader == NULL) {
         return;
     }
-    scheduler_take_out(leader->sched,
-                       config_feed_out_of_service(leader->node->feed));
+    scheduler_set_out_of_service(
+        leader->sched, config_feed_out_of_service(leader->node->feed));
     const GPtrArray *waves = config_feed_waves(leader->node->feed);
     for (guint i = 0; i < waves->len; i++) {
         scheduler_wave_set(leader->sched, g_ptr_array_index(waves, i));
@@ -304,7 +305,8 @@
               "\"job\":\"%s\",\"queue\":\"%s\",\"pool\":\"%s\","
               "\"team\":\"%s\",\"chain_ms\":%" G_GINT64_FORMAT
               ",\"steps\":\"%s\"",
-              id, job->queue, job->pool, job->team, job_chain_ms(job), steps);
+              id, job->queue, job->pool, job->team, job_critical_path_ms(job),
+              steps);
     job_unref(job);
     leader_tick_soon(leader);
 }
@@ -350,7 +352,7 @@
     bool stored = job->stored_version == job->version;
     enum job_state state =
         stored || job->state == JOB_ACTIVE ? job->state : JOB_ACTIVE;
-    reply_with(&reply, 200, encode_job_state(state, job->begun));
+    reply_with(&reply, 200, encode_job_state(state, job->started));
 }
 
 static void
@@ -412,10 +414,10 @@
 }
 
 void
-leader_stats(const struct leader *leader, struct sched_figures *figures)
+leader_stats(const struct leader *leader, struct sched_stats *figures)
 {
-    *figures = (struct sched_figures){0};
+    *figures = (struct sched_stats){0};
     if (leader != NULL) {
-        scheduler_figures(leader->sched, figures);
+        scheduler_stats(leader->sched, figures);
     }
 }
--- a/egretjobd/leader_commands.c
+++ b/egretjobd/leader_commands.c
@@ -37,15 +37,15 @@
 {
     struct leader *leader = ctx;
     leader_update_validity(leader);
-    scheduler_on_pace(leader->sched, handle, percent, acked);
+    scheduler_on_throttle(leader->sched, handle, percent, acked);
 }
 
 static void
-on_report(void *ctx, const char *backend_id, const struct backend_lists *lists)
+on_report(void *ctx, const char *backend_id, const struct run_report *lists)
 {
     struct leader *leader = ctx;
     leader_update_validity(leader);
-    scheduler_on_list(leader->sched, backend_id, lists);
+    scheduler_on_report(leader->sched, backend_id, lists);
     leader_tick_soon(leader);
 }
 
@@ -87,7 +87,7 @@
 }
 
 static void
-op_start(void *ctx, const struct start_order *order)
+op_start(void *ctx, const struct start_command *order)
 {
     struct leader *leader = ctx;
     const struct run *run = order->run;
@@ -112,7 +112,7 @@
 }
 
 static void
-op_stop(void *ctx, const struct stop_order *order)
+op_stop(void *ctx, const struct stop_command *order)
 {
     struct leader *leader = ctx;
     event_log("task_stop", "\"task\":\"%s\",\"run\":%u,\"backend\":\"%s\"",
@@ -122,7 +122,7 @@
 }
 
 static void
-op_throttle(void *ctx, const struct pace_order *order)
+op_throttle(void *ctx, const struct throttle_command *order)
 {
     struct leader *leader = ctx;
     backend_client_throttle(client_of(leader, order->backend), order,
@@ -131,11 +131,11 @@
 
 static void
 op_request_report(void *ctx, struct backend *backend, int64_t until_ms,
-                  int64_t acked_end, int64_t wait_ms)
+                  int64_t acked_completion, int64_t wait_ms)
 {
     struct leader *leader = ctx;
     backend_client_request_report(client_of(leader, backend), until_ms,
-                                  leader->token, acked_end, wait_ms);
+                                  leader->token, acked_completion, wait_ms);
 }
 
 static void
@@ -181,13 +181,13 @@
     return (struct sched_ops){
         .start = op_start,
         .stop = op_stop,
-        .pace = op_throttle,
-        .list = op_request_report,
+        .throttle = op_throttle,
+        .request_report = op_request_report,
         .store = op_store,
-        .move = op_move,
-        .reboot = op_reboot,
-        .advise = leader->advice == NULL ? NULL : op_advise,
-        .note = op_log_event,
+        .move_host = op_move,
+        .reboot_host = op_reboot,
+        .request_advice = leader->advice == NULL ? NULL : op_advise,
+        .log_event = op_log_event,
         .ctx = leader,
     };
 }
--- a/egretjobd/leader_host_commands.c
+++ b/egretjobd/leader_host_commands.c
@@ -87,7 +87,7 @@
     char **hosts = g_strsplit(item->value, " ", 0);
     for (char **host = hosts; *host != NULL; host++) {
         if ((*host)[0] != '\0') {
-            scheduler_host_ordered_before(commands->leader->sched, *host);
+            scheduler_host_commanded_before(commands->leader->sched, *host);
         }
     }
     g_strfreev(hosts);
@@ -134,8 +134,8 @@
             send_command(commands, command);
         }
         else {
-            scheduler_on_host_order(leader->sched, command->host,
-                                    command->wave, HOST_ORDER_REFUSED);
+            scheduler_on_host_command(leader->sched, command->host,
+                                      command->wave, HOST_COMMAND_REFUSED);
         }
     }
     g_ptr_array_remove_range(commands->queue, 0, commands->recorded);
@@ -181,8 +181,9 @@
 encode_recent(struct host_commands *commands)
 {
     int64_t now_ms = node_now(commands->leader->node);
-    int64_t keep_ms = commands->leader->node->settings->timings.order_gap_ms +
-                      RECORD_MARGIN_MS;
+    int64_t keep_ms =
+        commands->leader->node->settings->timings.command_gap_ms +
+        RECORD_MARGIN_MS;
     for (guint i = 0; i < commands->queue->len; i++) {
         const struct queued_host_command *command =
             g_ptr_array_index(commands->queue, i);
--- a/egretjobd/leader_load.c
+++ b/egretjobd/leader_load.c
@@ -99,8 +99,8 @@
     char **hosts = g_strsplit(item->value == NULL ? "" : item->value, " ", 0);
     for (char **host = hosts; *host != NULL; host++) {
         if ((*host)[0] != '\0') {
-            scheduler_wave_begun(leader->sched,
-                                 g_ascii_strtoll(number, NULL, 10), *host);
+            scheduler_wave_host_started(
+                leader->sched, g_ascii_strtoll(number, NULL, 10), *host);
         }
     }
     g_strfreev(hosts);
@@ -150,11 +150,11 @@
     leader->stage = STAGE_READY;
     leader->backends_as_of = leader->ranges[STAGE_BACKENDS].as_of;
     g_hash_table_remove_all(leader->progress);
-    struct sched_figures figures;
-    scheduler_figures(leader->sched, &figures);
+    struct sched_stats figures;
+    scheduler_stats(leader->sched, &figures);
     event_log("leader_ready", "\"jobs\":%u,\"backends\":%u,\"unsettled\":%u",
               figures.jobs_active, figures.backends,
-              figures.backends_unsettled);
+              figures.backends_unreconciled);
     leader_config_changed(leader);
     leader_operator_records_changed(leader);
     leader_add_early_jobs(leader);
@@ -246,7 +246,7 @@
 static void
 drop_unregistered(struct leader *leader)
 {
-    GPtrArray *ids = scheduler_list_backends(leader->sched);
+    GPtrArray *ids = scheduler_backend_ids(leader->sched);
     for (guint i = 0; i < ids->len; i++) {
         const char *id = g_ptr_array_index(ids, i);
         if (!g_hash_table_contains(leader->registered_ids, id)) {
--- a/egretjobd/leader_store.c
+++ b/egretjobd/leader_store.c
@@ -256,7 +256,7 @@
 report_wave(struct leader *leader, const struct host_wave *wave)
 {
     bool done = scheduler_wave_done(leader->sched, wave->number);
-    char *begun = scheduler_wave_begun_list(leader->sched, wave->number);
+    char *begun = scheduler_wave_started_hosts(leader->sched, wave->number);
     char *number = g_strdup_printf("%" G_GINT64_FORMAT, wave->number);
     char *report = g_strconcat(done ? "completed " : "running ", begun, NULL);
     if (g_strcmp0(g_hash_table_lookup(leader->wave_status, number), report) ==
--- a/egretjobd/leadership.c
+++ b/egretjobd/leadership.c
@@ -74,7 +74,7 @@
     int64_t handover_lease_ms;
     uint32_t term;
     bool watching;
-    struct claim_turn backoff;
+    struct election_backoff backoff;
     bool call_in_flight;
 };
 
@@ -214,20 +214,20 @@
 claim_or_watch(struct leadership *leadership)
 {
     int64_t delay_ms = 0;
-    switch (claim_turn_next(
+    switch (election_backoff_next(
         &leadership->backoff,
         claimable(leadership) && !leadership->node->stopping,
         leadership->node->settings->cores, g_random_double(), &delay_ms)) {
-    case CLAIM_LEAVE:
+    case ELECTION_NONE:
         watch_record(leadership);
         break;
-    case CLAIM_WAIT:
+    case ELECTION_WAIT:
         /* No other process claims the record of an earlier incarnation of this
          * process, so no wait is needed. */
         read_record_later(leadership,
                           leadership->record_revision == 0 ? delay_ms : 0);
         break;
-    case CLAIM_NOW:
+    case ELECTION_CAMPAIGN:
         claim(leadership);
         break;
     }
--- a/egretjobd/records.c
+++ b/egretjobd/records.c
@@ -63,7 +63,7 @@
 static void
 encode_part(GString *out, const struct job *job, uint32_t part_index)
 {
-    const struct job_part *part = &job->parts[part_index];
+    const struct step_progress *part = &job->parts[part_index];
     uint32_t n_tasks = job->steps[part_index % job->n_steps].task_count;
     if (part_index > 0) {
         g_string_append_c(out, ',');
@@ -135,13 +135,13 @@
 static void
 apply_part(struct job *job, uint32_t part_index, const char *task_marks)
 {
-    struct job_part *part = &job->parts[part_index];
+    struct step_progress *part = &job->parts[part_index];
     uint32_t n_tasks = job->steps[part_index % job->n_steps].task_count;
     for (uint32_t t = 0; t < n_tasks && task_marks[t] != '\0'; t++) {
         if (task_marks[t] == 'd') {
             part->tasks[t].done = true;
             part->done++;
-            job->begun = true;
+            job->started = true;
         }
     }
 }
@@ -160,7 +160,8 @@
     }
     struct job_task *task = &job->parts[p->valueint].tasks[t->valueint];
     for (int i = 3; i < cJSON_GetArraySize(row); i++) {
-        job_task_failed(task, (uint32_t)cJSON_GetArrayItem(row, i)->valueint);
+        job_task_record_failure(
+            task, (uint32_t)cJSON_GetArrayItem(row, i)->valueint);
     }
     if (saved != NULL && saved[0] != '\0') {
         task->saved = g_strdup(saved);
@@ -207,7 +208,7 @@
     add_text_member(out, "address", entry->address);
     add_text_member(out, "data_centre", entry->data_centre);
     add_text_member(out, "host", entry->host);
-    add_int_member(out, "born_ms", entry->born_ms);
+    add_int_member(out, "born_ms", entry->incarnation_start_ms);
     g_string_append_c(out, '}');
     return g_string_free(out, FALSE);
 }
@@ -227,7 +228,7 @@
         entry->address = g_strdup(address);
         entry->data_centre = g_strdup(json_text_get(record, "data_centre"));
         entry->host = g_strdup(json_text_get(record, "host"));
-        entry->born_ms = json_int_get(record, "born_ms", 0);
+        entry->incarnation_start_ms = json_int_get(record, "born_ms", 0);
     }
     cJSON_Delete(record);
     return valid;
--- a/egretjobd/store_route.c
+++ b/egretjobd/store_route.c
@@ -83,7 +83,7 @@
 {
     struct store_route *route = g_new0(struct store_route, 1);
     route->node = node;
-    route->peer.turn = g_random_int();
+    route->peer.choice_count = g_random_int();
     return route;
 }
 
--- a/include/core/jobs/backend.h
+++ b/include/core/jobs/backend.h
@@ -12,24 +12,25 @@
 /**
  * struct backend_entry - what the host list says of a backend server
  * @id: its id, which names the incarnation of a host
- * @born_ms: Unix time of its start; tells incarnations under one id apart
+ * @incarnation_start_ms: Unix time of its start; tells incarnations under one
+ * id apart
  * @pool: pool that it serves
  * @address: "ip:port" of its interface
  * @data_centre: where it stands
  * @host: the host whose incarnation it is, or NULL if not told
  * @labels: kind and rack, NULL-terminated; the rack comes last
- * @room: its whole capacity
+ * @capacity: its whole capacity
  * @draining: leaves soon and takes nothing new
  */
 struct backend_entry {
     char *id;
-    int64_t born_ms;
+    int64_t incarnation_start_ms;
     char *pool;
     char *address;
     char *data_centre;
     char *host;
     char **labels;
-    struct job_room room;
+    struct resources capacity;
     bool draining;
 };
 
@@ -65,16 +66,17 @@
  * @backend: where it runs
  * @state: what is known of it
  * @started_ms: when the order was sent
- * @known_ms: when the backend server last confirmed it
+ * @confirmed_ms: when the backend server last confirmed it
  * @stop_sent_ms: when a stop was last sent; 0: never
  * @stop_acked_ms: when a stop was acknowledged; 0: never
  * @stop_pending: a stop order is in flight
  * @percent: progress as listed, 100 for lasting tasks at work
  * @percent_at_ms: when @percent last changed
- * @figure: as listed, see struct listed_run
- * @paced: share of its speed that it may use, in percent; -1: not known
- * @pace_sent_ms: when that was last ordered; 0: never
- * @pace_pending: such an order is in flight
+ * @load_metric: as listed, see struct reported_run
+ * @cpu_limit_percent: share of its speed that it may use, in percent; -1: not
+ * known
+ * @throttle_sent_ms: when that was last ordered; 0: never
+ * @throttle_pending: such an order is in flight
  */
 struct run {
     uint64_t handle;
@@ -86,16 +88,16 @@
     struct backend *backend;
     enum run_state state;
     int64_t started_ms;
-    int64_t known_ms;
+    int64_t confirmed_ms;
     int64_t stop_sent_ms;
     int64_t stop_acked_ms;
     bool stop_pending;
     int32_t percent;
     int64_t percent_at_ms;
-    int64_t figure;
-    int32_t paced;
-    int64_t pace_sent_ms;
-    bool pace_pending;
+    int64_t load_metric;
+    int32_t cpu_limit_percent;
+    int64_t throttle_sent_ms;
+    bool throttle_pending;
 };
 
 /** run_step() - the step that @run belongs to. */
@@ -107,12 +109,12 @@
 run_task(const struct run *run);
 
 /**
- * struct pending_end - an end whose effect may not be stored yet
+ * struct pending_completion - an end whose effect may not be stored yet
  * @number: number given by the backend server
  * @job: job that it changed, referenced, or NULL
  * @version: version of the job's progress that contains it
  */
-struct pending_end {
+struct pending_completion {
     int64_t number;
     struct job *job;
     uint64_t version;
@@ -121,62 +123,62 @@
 /**
  * struct backend - a backend server as the scheduler knows it
  * @entry: what the host list says
- * @used: room taken by runs
+ * @used: capacity taken by runs
  * @runs: struct run, all that may be in progress here
  * @listed: stands in the host list
  * @registered: stored as possibly holding runs; required before any start
  * @registering: the write of that record is under way
- * @reconciled: its lists were read with the current fencing token
- * @inherited: registered by an earlier scheduler, whose runs and stops here
+ * @report_received: its lists were read with the current fencing token
+ * @unreconciled: registered by an earlier scheduler, whose runs and stops here
  *             are not all known yet
- * @settle_ms: when a stop sent by that scheduler has surely shown; 0: its
- *             lists were not read yet
- * @silent: its last call got no answer
+ * @reconcile_due_ms: when a stop sent by that scheduler has surely shown; 0:
+ * its lists were not read yet
+ * @unresponsive: its last call got no answer
  * @leaving: its host is about to move or to be rebooted
  * @clock_ms: its clock when last told
- * @clock_at_ms: the scheduler's clock at that moment
+ * @clock_sampled_ms: the scheduler's clock at that moment
  * @granted_until_ms: latest end of lease sent, on its clock
- * @lapse_ms: without a clock sample: when all leases are over
- * @ends: struct pending_end, oldest first
- * @last_end: highest end processed
- * @acked_end: highest end whose effect is stored, to be acknowledged
+ * @leases_expire_ms: without a clock sample: when all leases are over
+ * @completions: struct pending_completion, oldest first
+ * @last_completion: highest end processed
+ * @acked_completion: highest end whose effect is stored, to be acknowledged
  * @acked_sent: highest end acknowledged to the backend server
- * @hold_in_flight: a list call is under way
- * @hold_sent_ms: when it was sent
- * @hold_due_ms: earliest time of the next
- * @listed_ms: when its lists were last read
- * @pace: pace of the filling tasks on it
- * @pace_sample_ms: the lists that the pace has taken into account
+ * @report_in_flight: a list call is under way
+ * @report_requested_ms: when it was sent
+ * @report_due_ms: earliest time of the next
+ * @report_read_ms: when its lists were last read
+ * @throttle: throttle of the filling tasks on it
+ * @throttle_sample_ms: the lists that the throttle has taken into account
  * @failures: runs that failed in a row, over different jobs
  * @suspect_until_ms: takes at most one run at a time until then
  * @empty_since_ms: when its last run ended
  */
 struct backend {
     struct backend_entry entry;
-    struct job_room used;
+    struct resources used;
     GPtrArray *runs;
     bool listed;
     bool registered;
     bool registering;
-    bool reconciled;
-    bool inherited;
-    int64_t settle_ms;
-    bool silent;
+    bool report_received;
+    bool unreconciled;
+    int64_t reconcile_due_ms;
+    bool unresponsive;
     bool leaving;
     int64_t clock_ms;
-    int64_t clock_at_ms;
+    int64_t clock_sampled_ms;
     int64_t granted_until_ms;
-    int64_t lapse_ms;
-    GQueue ends;
-    int64_t last_end;
-    int64_t acked_end;
+    int64_t leases_expire_ms;
+    GQueue completions;
+    int64_t last_completion;
+    int64_t acked_completion;
     int64_t acked_sent;
-    bool hold_in_flight;
-    int64_t hold_sent_ms;
-    int64_t hold_due_ms;
-    int64_t listed_ms;
-    struct pace pace;
-    int64_t pace_sample_ms;
+    bool report_in_flight;
+    int64_t report_requested_ms;
+    int64_t report_due_ms;
+    int64_t report_read_ms;
+    struct throttle throttle;
+    int64_t throttle_sample_ms;
     uint32_t failures;
     int64_t suspect_until_ms;
     int64_t empty_since_ms;
@@ -187,9 +189,10 @@
 void
 backend_destroy(struct backend *backend);
 
-/** backend_clock_told() - its clock read @clock_ms at @now_ms. */
+/** backend_clock_sampled() - its clock read @clock_ms at @now_ms. */
 void
-backend_clock_told(struct backend *backend, int64_t clock_ms, int64_t now_ms);
+backend_clock_sampled(struct backend *backend, int64_t clock_ms,
+                      int64_t now_ms);
 
 /**
  * backend_clock_at_least_ms() - lower bound of its clock at @now_ms
@@ -199,17 +202,19 @@
 int64_t
 backend_clock_at_least_ms(const struct backend *backend, int64_t now_ms);
 
-/** backend_lapsed() - whether every lease granted to it is surely over. */
+/** backend_leases_expired() - whether every lease granted to it is surely
+ * over. */
 bool
-backend_lapsed(const struct backend *backend, int64_t now_ms);
+backend_leases_expired(const struct backend *backend, int64_t now_ms);
 
-/** backend_grant() - end of a lease of @lease_ms, noted as granted. */
+/** backend_grant_lease() - end of a lease of @lease_ms, noted as granted. */
 int64_t
-backend_grant(struct backend *backend, int64_t lease_ms, int64_t now_ms);
+backend_grant_lease(struct backend *backend, int64_t lease_ms, int64_t now_ms);
 
-/** backend_note_seen() - acknowledge ends whose effects are stored. */
+/** backend_ack_completions() - acknowledge completions whose effects are
+ * stored. */
 void
-backend_note_seen(struct backend *backend);
+backend_ack_completions(struct backend *backend);
 
 /** backend_has_label() - whether it carries @label. */
 bool
--- a/include/core/jobs/claim_turn.h
+++ b/include/core/jobs/claim_turn.h
@@ -8,26 +8,27 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** enum claim_step - what to do about the duty now */
-enum claim_step {
-    CLAIM_LEAVE,
-    CLAIM_WAIT,
-    CLAIM_NOW,
+/** enum election_action - what to do about the duty now */
+enum election_action {
+    ELECTION_NONE,
+    ELECTION_WAIT,
+    ELECTION_CAMPAIGN,
 };
 
-/** struct claim_turn - @waited: the wait for the present vacancy is over */
-struct claim_turn {
+/** struct election_backoff - @waited: the wait for the present vacancy is over
+ */
+struct election_backoff {
     bool waited;
 };
 
 /**
- * claim_turn_next() - step for a duty that is vacant, or not
+ * election_backoff_next() - step for a duty that is vacant, or not
  * @cores: processor of this host, in cores
  * @chance: random number from 0 to 1
- * @delay_ms: receives how long to wait, for CLAIM_WAIT
+ * @delay_ms: receives how long to wait, for ELECTION_WAIT
  */
-enum claim_step
-claim_turn_next(struct claim_turn *turn, bool vacant, double cores,
-                double chance, int64_t *delay_ms);
+enum election_action
+election_backoff_next(struct election_backoff *turn, bool vacant, double cores,
+                      double chance, int64_t *delay_ms);
 
 #endif
--- a/include/core/jobs/fleet_config.h
+++ b/include/core/jobs/fleet_config.h
@@ -18,7 +18,7 @@
 struct team_config {
     char *name;
     char **keys;
-    struct job_room maximum;
+    struct resources maximum;
 };
 
 /**
@@ -29,11 +29,11 @@
  * @pool: pool whose backend servers run its tasks
  * @priority: 0 comes first
  * @attempts: runs of a task that may fail before its job fails
- * @stretch: share of the job's chain of work that its objective allows
- * @objective_ms: added to @stretch times the chain
+ * @deadline_factor: share of the job's chain of work that its objective allows
+ * @objective_ms: added to @deadline_factor times the chain
  * @timeout_ms: bound of one request on it
  * @open: needs no key
- * @advised: a policy of its own names the backend servers of each step
+ * @needs_advice: a policy of its own names the backend servers of each step
  */
 struct queue_config {
     char *name;
@@ -42,22 +42,22 @@
     char *pool;
     int64_t priority;
     uint32_t attempts;
-    double stretch;
+    double deadline_factor;
     int64_t objective_ms;
     int64_t timeout_ms;
     bool open;
-    bool advised;
+    bool needs_advice;
 };
 
 /**
  * struct pool_config - a pool of hosts
  * @name: its name
- * @guards_room: its backend servers refuse what does not fit
+ * @enforces_capacity: its backend servers refuse what does not fit
  * @spare: its hosts are off and cost nothing
  */
 struct pool_config {
     char *name;
-    bool guards_room;
+    bool enforces_capacity;
     bool spare;
 };
 
--- a/include/core/jobs/job.h
+++ b/include/core/jobs/job.h
@@ -21,24 +21,25 @@
 };
 
 /**
- * struct job_room - resources of a backend server or of a task
+ * struct resources - resources of a backend server or of a task
  * @cpu_milli: thousandths of a core
  * @mem_mb: memory in MB
  * @gpus: accelerators
  */
-struct job_room {
+struct resources {
     int64_t cpu_milli;
     int64_t mem_mb;
     int64_t gpus;
 };
 
-/** room_fits() - whether @need fits into @free_room. */
+/** resources_fit() - whether @need fits into @free_room. */
 bool
-room_fits(const struct job_room *free_room, const struct job_room *need);
+resources_fit(const struct resources *free_room, const struct resources *need);
 
-/** room_add() - add @times times @by to @room; @times may be negative. */
+/** resources_add() - add @times times @by to @room; @times may be negative. */
 void
-room_add(struct job_room *room, const struct job_room *by, int64_t times);
+resources_add(struct resources *room, const struct resources *by,
+              int64_t times);
 
 /**
  * struct job_step - tasks of a job that may run side by side
@@ -51,20 +52,20 @@
  * @data_rack: rack near the step's data, or NULL
  * @max_per_backend: most tasks of the step on one backend server; 0: any
  * @image: name of the program that the tasks run, or NULL
- * @tail_target_ms: bound of the tail of a serving task's response time; 0:
- *                  the task serves nobody
- * @may_miss: tasks that the system may make unavailable at once; 0: none is
- *            counted
+ * @tail_latency_target_ms: bound of the tail of a serving task's response
+ * time; 0: the task serves nobody
+ * @max_unavailable: tasks that the system may make unavailable at once; 0:
+ * none is counted
  * @checkpointing: tasks save their progress
  * @gang: tasks work only when all run
  * @same_rack: tasks slow down when spread over racks
  * @speculative: copies may run side by side
  * @long_running: tasks run until the job is cancelled
- * @fills: the tasks' processor need isn't counted against the server
+ * @best_effort: the tasks' processor need isn't counted against the server
  */
 struct job_step {
     uint32_t task_count;
-    struct job_room need;
+    struct resources need;
     int64_t estimate_ms;
     uint32_t *after;
     uint32_t n_after;
@@ -72,14 +73,14 @@
     char *data_rack;
     uint32_t max_per_backend;
     char *image;
-    int64_t tail_target_ms;
-    uint32_t may_miss;
+    int64_t tail_latency_target_ms;
+    uint32_t max_unavailable;
     bool checkpointing;
     bool gang;
     bool same_rack;
     bool speculative;
     bool long_running;
-    bool fills;
+    bool best_effort;
 };
 
 /**
@@ -106,12 +107,12 @@
 };
 
 /**
- * struct job_part - one step of one occurrence
+ * struct step_progress - one step of one occurrence
  * @tasks: its tasks
  * @done: tasks that are done
  * @advice: which backend servers may run it; NULL: nothing was asked
  */
-struct job_part {
+struct step_progress {
     struct job_task *tasks;
     uint32_t done;
     struct step_advice *advice;
@@ -130,12 +131,12 @@
 
 /**
  * enum job_urgency - class of a waiting job, most urgent first
- * @URGENCY_LASTS: holds its room for good and starts once
+ * @URGENCY_SERVICE: holds its room for good and starts once
  * @URGENCY_ATTAINABLE: can still meet its objective
  * @URGENCY_LATE: cannot
  */
 enum job_urgency {
-    URGENCY_LASTS,
+    URGENCY_SERVICE,
     URGENCY_ATTAINABLE,
     URGENCY_LATE,
 };
@@ -161,7 +162,7 @@
  * @steps: the steps; @n_steps of them
  * @parts: progress, @n_occurrences x @n_steps
  * @state: state of the job
- * @begun: whether a task is known to have started
+ * @started: whether a task is known to have started
  * @version: counts changes of the progress
  * @stored_version: newest version known to be stored
  * @revision: revision of the stored progress; 0: none
@@ -183,9 +184,9 @@
     uint32_t n_occurrences;
     struct job_step *steps;
     uint32_t n_steps;
-    struct job_part *parts;
+    struct step_progress *parts;
     enum job_state state;
-    bool begun;
+    bool started;
     uint64_t version;
     uint64_t stored_version;
     int64_t revision;
@@ -208,9 +209,9 @@
 void
 job_unref(struct job *job);
 
-/** job_part() - progress of step @step of occurrence @occurrence. */
-struct job_part *
-job_part(const struct job *job, uint32_t occurrence, uint32_t step);
+/** job_step_progress() - progress of step @step of occurrence @occurrence. */
+struct step_progress *
+job_step_progress(const struct job *job, uint32_t occurrence, uint32_t step);
 
 /** job_step_ready() - whether all steps before @step are done. */
 bool
@@ -224,30 +225,31 @@
 bool
 job_all_done(const struct job *job);
 
-/** job_lasts() - whether any step runs until the job is cancelled. */
+/** job_is_service() - whether any step runs until the job is cancelled. */
 bool
-job_lasts(const struct job *job);
+job_is_service(const struct job *job);
 
-/** job_chain_ms() - declared run time of the longest chain of steps. */
+/** job_critical_path_ms() - declared run time of the longest chain of steps.
+ */
 int64_t
-job_chain_ms(const struct job *job);
+job_critical_path_ms(const struct job *job);
 
-/** job_core_ms() - declared work in thousandths of a core times ms. */
+/** job_millicore_ms() - declared work in thousandths of a core times ms. */
 int64_t
-job_core_ms(const struct job *job);
+job_millicore_ms(const struct job *job);
 
 /** job_describe() - its steps in one line for the log, into @text. */
 void
 job_describe(const struct job *job, char *text, size_t bytes);
 
-/** job_task_failed() - note a run that ended as failed; false if that was
- * noted before. */
+/** job_task_record_failure() - note a run that ended as failed; false if that
+ * was noted before. */
 bool
-job_task_failed(struct job_task *task, uint32_t run_number);
+job_task_record_failure(struct job_task *task, uint32_t run_number);
 
-/** job_touch() - note that the progress has changed. */
+/** job_mark_changed() - note that the progress has changed. */
 void
-job_touch(struct job *job);
+job_mark_changed(struct job *job);
 
 /** job_state_name() - stable lower-case name of @state. */
 const char *
--- a/include/core/jobs/relay_peer.h
+++ b/include/core/jobs/relay_peer.h
@@ -7,11 +7,11 @@
 /**
  * struct relay_peer - the peer in use
  * @address: its address, or NULL
- * @turn: counts choices; its start spreads processes over the peers
+ * @choice_count: counts choices; its start spreads processes over the peers
  */
 struct relay_peer {
     char *address;
-    uint32_t turn;
+    uint32_t choice_count;
 };
 
 /** relay_peer_choose() - the next of @peers, NULL-terminated or NULL. */
--- a/include/core/jobs/scheduler.h
+++ b/include/core/jobs/scheduler.h
@@ -18,31 +18,31 @@
  * struct sched_timings - bounds given by the platform's settings
  * @lease_max_ms: longest lease that a backend server grants
  * @stop_ms: longest time that a stop takes
- * @move_ms: time that a host is away while it moves
- * @reboot_ms: time that a host is away for maintenance
- * @order_gap_ms: wait after a takeover before orders about hosts
- * @keep_ms: how long a finished job stays readable
- * @host_orders_per_s: orders about hosts that the platform accepts a second
+ * @move_ms: time that a host is unavailable while it moves
+ * @reboot_ms: time that a host is unavailable for maintenance
+ * @command_gap_ms: wait after a takeover before orders about hosts
+ * @retention_ms: how long a finished job stays readable
+ * @host_commands_per_s: orders about hosts that the platform accepts a second
  */
 struct sched_timings {
     int64_t lease_max_ms;
     int64_t stop_ms;
     int64_t move_ms;
     int64_t reboot_ms;
-    int64_t order_gap_ms;
-    int64_t keep_ms;
-    double host_orders_per_s;
+    int64_t command_gap_ms;
+    int64_t retention_ms;
+    double host_commands_per_s;
 };
 
 /**
- * struct start_order - a task to start
+ * struct start_command - a task to start
  * @backend: where
  * @handle: handle of the run, to be given back with the answer
  * @run: the run
  * @until_ms: end of its lease on the backend server's clock
  * @ticket: proof that the queue's policy allows it, or NULL
  */
-struct start_order {
+struct start_command {
     struct backend *backend;
     uint64_t handle;
     const struct run *run;
@@ -51,13 +51,13 @@
 };
 
 /**
- * struct stop_order - a run to stop
+ * struct stop_command - a run to stop
  * @backend: where
  * @handle: handle of the run; 0: a run that is not tracked
  * @task: name of the task, JOB.OCCURRENCE.STEP.INDEX
  * @number: number of the run
  */
-struct stop_order {
+struct stop_command {
     struct backend *backend;
     uint64_t handle;
     const char *task;
@@ -65,10 +65,10 @@
 };
 
 /**
- * struct pace_order - how much of its speed a run may use
+ * struct throttle_command - how much of its speed a run may use
  * @percent: 0 to 100
  */
-struct pace_order {
+struct throttle_command {
     struct backend *backend;
     uint64_t handle;
     const char *task;
@@ -80,29 +80,32 @@
  * struct sched_ops - how the scheduler's orders leave; all share @ctx
  * @start: start a task; answer through scheduler_on_start()
  * @stop: stop a run; answer through scheduler_on_stop()
- * @pace: slow a run down or let it go; answer through scheduler_on_pace()
- * @list: read the lists of a backend server; @until_ms 0 renews nothing;
- *        answer through scheduler_on_list()
+ * @throttle: slow a run down or let it go; answer through
+ * scheduler_on_throttle()
+ * @request_report: read the lists of a backend server; @until_ms 0 renews
+ * nothing; answer through scheduler_on_report()
  * @store: there is something to store, see scheduler_store.h
- * @move: move a host to a pool; answer through scheduler_on_host_order()
- * @reboot: start a host's maintenance; answer likewise
- * @advise: ask which of @backend_ids, NULL-terminated, may run @step, named
- *          JOB.OCCURRENCE.STEP; answer through scheduler_on_advice(). NULL:
+ * @move_host: move a host to a pool; answer through
+ * scheduler_on_host_command()
+ * @reboot_host: start a host's maintenance; answer likewise
+ * @request_advice: ask which of @backend_ids, NULL-terminated, may run @step,
+ * named JOB.OCCURRENCE.STEP; answer through scheduler_on_advice(). NULL:
  *          nobody can be asked
- * @note: one decision for the log; @fields is the inside of a JSON object
+ * @log_event: one decision for the log; @fields is the inside of a JSON object
  */
 struct sched_ops {
-    void (*start)(void *ctx, const struct start_order *order);
-    void (*stop)(void *ctx, const struct stop_order *order);
-    void (*pace)(void *ctx, const struct pace_order *order);
-    void (*list)(void *ctx, struct backend *backend, int64_t until_ms,
-                 int64_t acked_end, int64_t wait_ms);
+    void (*start)(void *ctx, const struct start_command *order);
+    void (*stop)(void *ctx, const struct stop_command *order);
+    void (*throttle)(void *ctx, const struct throttle_command *order);
+    void (*request_report)(void *ctx, struct backend *backend,
+                           int64_t until_ms, int64_t acked_completion,
+                           int64_t wait_ms);
     void (*store)(void *ctx);
-    void (*move)(void *ctx, const char *host, const char *pool);
-    void (*reboot)(void *ctx, const char *host, int64_t wave);
-    void (*advise)(void *ctx, const char *step,
-                   const char *const *backend_ids);
-    void (*note)(void *ctx, const char *event, const char *fields);
+    void (*move_host)(void *ctx, const char *host, const char *pool);
+    void (*reboot_host)(void *ctx, const char *host, int64_t wave);
+    void (*request_advice)(void *ctx, const char *step,
+                           const char *const *backend_ids);
+    void (*log_event)(void *ctx, const char *event, const char *fields);
     void *ctx;
 };
 
@@ -110,9 +113,10 @@
  * enum start_answer - what a backend server said to a start
  * @START_NO_ANSWER: it may be carried out, also later
  * @START_REFUSED: certainly not carried out
- * @START_NO_ROOM: refused for want of room
+ * @START_NO_CAPACITY: refused for want of room
  * @START_NO_TICKET: refused for want of a valid ticket
- * @START_OLD_NUMBER: refused, a run with this or a higher number ended here
+ * @START_STALE_RUN_NUMBER: refused, a run with this or a higher number ended
+ * here
  * @START_FENCED: a newer scheduler gives orders here
  * @START_OTHER_INCARNATION: the addressed incarnation of the backend server is
  * over
@@ -121,76 +125,76 @@
     START_DONE,
     START_NO_ANSWER,
     START_REFUSED,
-    START_NO_ROOM,
+    START_NO_CAPACITY,
     START_NO_TICKET,
-    START_OLD_NUMBER,
+    START_STALE_RUN_NUMBER,
     START_FENCED,
     START_OTHER_INCARNATION,
 };
 
-/** enum end_reason - how a run ended */
-enum end_reason {
+/** enum completion_reason - how a run ended */
+enum completion_reason {
     END_DONE,
     END_FAILED,
     END_STOPPED,
-    END_LAPSED,
+    END_LEASE_EXPIRED,
     END_BROKEN,
-    END_ALONE,
+    END_GANG_INCOMPLETE,
 };
 
 /**
- * struct listed_run - a run that a backend server lists
+ * struct reported_run - a run that a backend server lists
  * @task: JOB.OCCURRENCE.STEP.INDEX
  * @number: number of the run
  * @saved: last checkpoint, empty if none
  * @percent: progress
- * @figure: rough tail in ms of a serving task, else processor in use
+ * @load_metric: rough tail in ms of a serving task, else processor in use
  */
-struct listed_run {
+struct reported_run {
     const char *task;
     uint32_t number;
     const char *saved;
     int32_t percent;
-    int64_t figure;
+    int64_t load_metric;
 };
 
 /**
- * struct listed_end - an end that a backend server lists
+ * struct run_completion - an end that a backend server lists
  * @number: number of the end
  * @task: JOB.OCCURRENCE.STEP.INDEX
  * @run: number of the run
  * @reason: how it ended
  * @saved: last checkpoint, empty if none
  */
-struct listed_end {
+struct run_completion {
     int64_t number;
     const char *task;
     uint32_t run;
-    enum end_reason reason;
+    enum completion_reason reason;
     const char *saved;
 };
 
-/** enum list_outcome - result of reading a backend server's lists */
-enum list_outcome {
-    LIST_READ,
-    LIST_NO_ANSWER,
-    LIST_FENCED,
-    LIST_OTHER_INCARNATION,
+/** enum report_outcome - result of reading a backend server's lists */
+enum report_outcome {
+    REPORT_READ,
+    REPORT_NO_ANSWER,
+    REPORT_FENCED,
+    REPORT_OTHER_INCARNATION,
 };
 
 /**
- * struct backend_lists - lists of a backend server
- * @born_ms: start of the incarnation that answered; 0: not told
+ * struct run_report - lists of a backend server
+ * @incarnation_start_ms: start of the incarnation that answered; 0: not told
  * @clock_ms: its clock
  */
-struct backend_lists {
-    enum list_outcome outcome;
-    int64_t born_ms;
+struct run_report {
+    enum report_outcome outcome;
+    int64_t incarnation_start_ms;
     int64_t clock_ms;
-    struct listed_run *running;
+    struct reported_run *running;
     size_t n_running;
-    struct listed_end *ends;
-    size_t n_ends;
+    struct run_completion *completions;
+    size_t n_completions;
 };
 
 struct scheduler;
@@ -213,13 +217,15 @@
 scheduler_configure(struct scheduler *sched,
                     const struct fleet_config *config);
 
-/** scheduler_take_out() - data centres that get nothing; NULL-terminated. */
+/** scheduler_set_out_of_service() - data centres that get nothing;
+ * NULL-terminated. */
 void
-scheduler_take_out(struct scheduler *sched, char **data_centres);
+scheduler_set_out_of_service(struct scheduler *sched, char **data_centres);
 
-/** scheduler_set_valid() - whether orders may be given at this moment. */
+/** scheduler_set_leadership_valid() - whether orders may be given at this
+ * moment. */
 void
-scheduler_set_valid(struct scheduler *sched, bool valid);
+scheduler_set_leadership_valid(struct scheduler *sched, bool valid);
 
 /** scheduler_set_outage() - grant the longest leases while it lasts. */
 void
@@ -248,9 +254,9 @@
 int64_t
 scheduler_longest_lease_ms(const struct scheduler *sched);
 
-/** scheduler_list_backends() - ids of all that are in the host list. */
+/** scheduler_backend_ids() - ids of all that are in the host list. */
 GPtrArray *
-scheduler_list_backends(const struct scheduler *sched);
+scheduler_backend_ids(const struct scheduler *sched);
 
 /** scheduler_add_job() - take over a stored job; keeps a reference. */
 void
@@ -274,11 +280,11 @@
 void
 scheduler_on_stop(struct scheduler *sched, uint64_t handle, bool acked);
 void
-scheduler_on_pace(struct scheduler *sched, uint64_t handle, int32_t percent,
-                  bool acked);
+scheduler_on_throttle(struct scheduler *sched, uint64_t handle,
+                      int32_t percent, bool acked);
 void
-scheduler_on_list(struct scheduler *sched, const char *backend_id,
-                  const struct backend_lists *lists);
+scheduler_on_report(struct scheduler *sched, const char *backend_id,
+                    const struct run_report *lists);
 
 /** struct advice_row - a backend server that may run the step */
 struct advice_row {
@@ -311,13 +317,13 @@
 scheduler_fenced(const struct scheduler *sched);
 
 /**
- * struct sched_figures - figures for metrics and peers
+ * struct sched_stats - figures for metrics and peers
  */
-struct sched_figures {
+struct sched_stats {
     uint32_t jobs_active;
     uint32_t runs;
     uint32_t backends;
-    uint32_t backends_unsettled;
+    uint32_t backends_unreconciled;
     uint64_t started;
     uint64_t done;
     uint64_t failed;
@@ -325,8 +331,7 @@
 };
 
 void
-scheduler_figures(const struct scheduler *sched,
-                  struct sched_figures *figures);
+scheduler_stats(const struct scheduler *sched, struct sched_stats *figures);
 
 /* What has to be stored. */
 
@@ -371,75 +376,76 @@
  * struct host_wave - maintenance that the operator asked for
  * @number: its number
  * @hosts: hosts, NULL-terminated
- * @most: hosts that may be away for it at once
+ * @most: hosts that may be unavailable for it at once
  * @within_ms: time in which it should be complete
  * @seen_ms: when the order was first seen, on the scheduler's clock
  */
 struct host_wave {
     int64_t number;
     char **hosts;
-    int64_t most;
+    int64_t max_unavailable;
     int64_t within_ms;
     int64_t seen_ms;
 };
 
 /**
- * struct host_fact - a host as the platform lists it
+ * struct host_info - a host as the platform lists it
  * @host: its name
  * @pool: its pool
  * @backend_id: the backend server that is its present incarnation, may be NULL
  * @up: it runs and is neither moving nor rebooting
- * @away: it is moving or rebooting, so that its last incarnation has ended
+ * @unavailable: it is moving or rebooting, so that its last incarnation has
+ * ended
  */
-struct host_fact {
+struct host_info {
     const char *host;
     const char *pool;
     const char *backend_id;
     const char *data_centre;
     bool up;
-    bool away;
+    bool unavailable;
 };
 
 /** scheduler_hosts_read() - the whole list of hosts was read. */
 void
-scheduler_hosts_read(struct scheduler *sched, const struct host_fact *hosts,
+scheduler_hosts_read(struct scheduler *sched, const struct host_info *hosts,
                      size_t n_hosts);
 
-/** scheduler_host_ordered_before() - the holder before may have given an
+/** scheduler_host_commanded_before() - the holder before may have given an
  * order about this host shortly before the takeover. */
 void
-scheduler_host_ordered_before(struct scheduler *sched, const char *host);
+scheduler_host_commanded_before(struct scheduler *sched, const char *host);
 
 /** scheduler_wave_set() - a wave was ordered or changed; idempotent. */
 void
 scheduler_wave_set(struct scheduler *sched, const struct host_wave *wave);
 
-/** scheduler_wave_begun() - an earlier scheduler stored that the maintenance
- * of @host in wave @number was accepted. */
+/** scheduler_wave_host_started() - an earlier scheduler stored that the
+ * maintenance of @host in wave @number was accepted. */
 void
-scheduler_wave_begun(struct scheduler *sched, int64_t number,
-                     const char *host);
+scheduler_wave_host_started(struct scheduler *sched, int64_t number,
+                            const char *host);
 
-/** scheduler_wave_begun_list() - hosts of a wave whose maintenance was
+/** scheduler_wave_started_hosts() - hosts of a wave whose maintenance was
  * accepted, separated by spaces; g_free(). */
 char *
-scheduler_wave_begun_list(const struct scheduler *sched, int64_t number);
+scheduler_wave_started_hosts(const struct scheduler *sched, int64_t number);
 
 /** scheduler_wave_done() - whether every host of the wave was maintained. */
 bool
 scheduler_wave_done(const struct scheduler *sched, int64_t number);
 
-/** enum host_answer - result of an order about a host */
-enum host_answer {
-    HOST_ORDER_DONE,
-    HOST_ORDER_REFUSED,
-    HOST_ORDER_NOT_WANTED,
-    HOST_ORDER_UNKNOWN,
+/** enum host_command_result - result of an order about a host */
+enum host_command_result {
+    HOST_COMMAND_DONE,
+    HOST_COMMAND_REFUSED,
+    HOST_COMMAND_NOT_WANTED,
+    HOST_COMMAND_UNKNOWN,
 };
 
-/** scheduler_on_host_order() - answer to a move (@wave 0) or a reboot. */
+/** scheduler_on_host_command() - answer to a move (@wave 0) or a reboot. */
 void
-scheduler_on_host_order(struct scheduler *sched, const char *host,
-                        int64_t wave, enum host_answer answer);
+scheduler_on_host_command(struct scheduler *sched, const char *host,
+                          int64_t wave, enum host_command_result answer);
 
 #endif
--- a/include/core/jobs/step_advice.h
+++ b/include/core/jobs/step_advice.h
@@ -7,8 +7,8 @@
 
 struct step_advice;
 
-/** enum advice_known - what is known of one backend server */
-enum advice_known {
+/** enum advice_status - what is known of one backend server */
+enum advice_status {
     ADVICE_UNASKED,
     ADVICE_REFUSED,
     ADVICE_EXPIRED,
@@ -23,22 +23,24 @@
 /** step_advice_refuse() - backend server @id may not run the step. */
 void
 step_advice_refuse(struct step_advice *advice, const char *id,
-                   int64_t born_ms);
+                   int64_t incarnation_start_ms);
 
 /** step_advice_grant() - @id may run it with @ticket until @until_ms. */
 void
-step_advice_grant(struct step_advice *advice, const char *id, int64_t born_ms,
-                  const char *ticket, int64_t until_ms);
+step_advice_grant(struct step_advice *advice, const char *id,
+                  int64_t incarnation_start_ms, const char *ticket,
+                  int64_t until_ms);
 
 /** step_advice_forget() - what is known of @id was wrong. */
 void
 step_advice_forget(struct step_advice *advice, const char *id);
 
-/** step_advice_known() - for the incarnation of @id that began at @born_ms;
+/** step_advice_status() - for the incarnation of @id that began at
+ * @incarnation_start_ms;
  * @advice may be NULL. */
-enum advice_known
-step_advice_known(const struct step_advice *advice, const char *id,
-                  int64_t born_ms, int64_t now_ms);
+enum advice_status
+step_advice_status(const struct step_advice *advice, const char *id,
+                   int64_t incarnation_start_ms, int64_t now_ms);
 
 /** step_advice_ticket() - ticket for @id, or NULL. */
 const char *
--- a/include/platform/backend_client.h
+++ b/include/platform/backend_client.h
@@ -23,7 +23,7 @@
     void (*on_throttle)(void *ctx, uint64_t handle, int32_t percent,
                         bool acked);
     void (*on_report)(void *ctx, const char *backend_id,
-                      const struct backend_lists *lists);
+                      const struct run_report *lists);
     void *ctx;
 };
 
@@ -66,7 +66,7 @@
 
 void
 backend_client_throttle(struct backend_client *link,
-                        const struct pace_order *order, int64_t token);
+                        const struct throttle_command *order, int64_t token);
 
 /** backend_client_request_report() - read both lists; @until_ms 0 renews no
  * lease. */
--- a/include/platform/hosts_api.h
+++ b/include/platform/hosts_api.h
@@ -15,9 +15,9 @@
  * @on_command: answer to a move (@wave 0) or a reboot
  */
 struct hosts_events {
-    void (*on_list)(void *ctx, const struct host_fact *hosts, size_t n_hosts);
+    void (*on_list)(void *ctx, const struct host_info *hosts, size_t n_hosts);
     void (*on_command)(void *ctx, const char *host, int64_t wave,
-                       enum host_answer answer);
+                       enum host_command_result answer);
     void *ctx;
 };
 
--- a/standins/jobs/backend_model.c
+++ b/standins/jobs/backend_model.c
@@ -65,7 +65,8 @@
 }
 
 static void
-end_run(struct model_backend *backend, guint index, enum end_reason reason)
+end_run(struct model_backend *backend, guint index,
+        enum completion_reason reason)
 {
     struct model_task_run *run = g_ptr_array_index(backend->runs, index);
     struct model_end *end = g_new0(struct model_end, 1);
@@ -94,7 +95,7 @@
             end_run(backend, i - 1, run->fails ? END_FAILED : END_DONE);
         }
         else if (lapsed) {
-            end_run(backend, i - 1, END_LAPSED);
+            end_run(backend, i - 1, END_LEASE_EXPIRED);
         }
         else if (run->stops_ms != 0 && now_ms >= run->stops_ms) {
             end_run(backend, i - 1, END_STOPPED);
@@ -139,10 +140,10 @@
     backend->until_ms = MAX(backend->until_ms, until_ms);
     const struct model_task_run *there = find_run(backend, task);
     if (there != NULL) {
-        return there->number == number ? START_DONE : START_OLD_NUMBER;
+        return there->number == number ? START_DONE : START_STALE_RUN_NUMBER;
     }
     if (number <= barred_upto(backend, task)) {
-        return START_OLD_NUMBER;
+        return START_STALE_RUN_NUMBER;
     }
     if (until_ms <= model_backend_clock(backend, now_ms)) {
         return START_REFUSED;
--- a/standins/jobs/backend_model.h
+++ b/standins/jobs/backend_model.h
@@ -30,7 +30,7 @@
     int64_t number;
     char *task;
     uint32_t run;
-    enum end_reason reason;
+    enum completion_reason reason;
     bool lapsed;
 };
 
--- a/standins/jobs/emulator_hosts.c
+++ b/standins/jobs/emulator_hosts.c
@@ -206,7 +206,7 @@
 {
     static const char *const reasons[] = {
         [START_REFUSED] = "late",
-        [START_OLD_NUMBER] = "old",
+        [START_STALE_RUN_NUMBER] = "old",
         [START_FENCED] = "fence",
     };
     const char *task = json_text_get(body, "task");
@@ -253,12 +253,12 @@
 }
 
 static const char *
-reason_name(enum end_reason reason)
+reason_name(enum completion_reason reason)
 {
     static const char *const names[] = {
         [END_DONE] = "done",       [END_FAILED] = "failed",
-        [END_STOPPED] = "stopped", [END_LAPSED] = "lapsed",
-        [END_BROKEN] = "broken",   [END_ALONE] = "alone",
+        [END_STOPPED] = "stopped", [END_LEASE_EXPIRED] = "lapsed",
+        [END_BROKEN] = "broken",   [END_GANG_INCOMPLETE] = "alone",
     };
     return names[reason];
 }
--- a/tests/jobs/advice_test.c
+++ b/tests/jobs/advice_test.c
@@ -16,13 +16,13 @@
 static const char four_tasks[] =
     "[{\"count\":4,\"cpu\":8000,\"mem_mb\":100,\"estimate_ms\":500}]";
 
-/* Queue "p" is advised; its backend servers are b00, b01, ... */
+/* Queue "p" needs advice; its backend servers are b00, b01, ... */
 static void
 start_advised(struct fleet_fixture *f, int n_backends)
 {
     fixture_init(f, 0);
-    ((struct queue_config *)g_ptr_array_index(f->config->queues, 0))->advised =
-        true;
+    ((struct queue_config *)g_ptr_array_index(f->config->queues, 0))
+        ->needs_advice = true;
     for (int i = 0; i < n_backends; i++) {
         char id[8];
         char host[8];
@@ -111,7 +111,7 @@
     fixture_tick(&f, f.now_ms + 10);
     answer(&f, "b01");
     CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, "b01"), 1);
-    struct listed_end end = {
+    struct run_completion end = {
         .number = 1, .task = JOB_A ".0.0.0", .run = 1, .reason = END_STOPPED};
     f.now_ms += VALID_MS;
     fixture_lists(&f, "b01", NULL, 0, &end, 1);
--- a/tests/jobs/arrivals_test.c
+++ b/tests/jobs/arrivals_test.c
@@ -30,7 +30,7 @@
 {
     fixture_init(f, 0);
     fixture_backend(f, "p1", "p", "hp1");
-    struct host_fact facts[SPARE_HOSTS + 1] = {{.host = "hp1",
+    struct host_info facts[SPARE_HOSTS + 1] = {{.host = "hp1",
                                                 .pool = "p",
                                                 .backend_id = "p1",
                                                 .data_centre = "dc",
@@ -38,7 +38,7 @@
     char names[SPARE_HOSTS][16];
     for (int i = 0; i < SPARE_HOSTS; i++) {
         snprintf(names[i], sizeof(names[i]), "hs%d", i);
-        facts[i + 1] = (struct host_fact){
+        facts[i + 1] = (struct host_info){
             .host = names[i], .pool = "s", .data_centre = "dc", .up = true};
     }
     fixture_settle(f);
--- a/tests/jobs/fleet_fixture.c
+++ b/tests/jobs/fleet_fixture.c
@@ -34,7 +34,7 @@
 }
 
 static void
-op_start(void *ctx, const struct start_order *given)
+op_start(void *ctx, const struct start_command *given)
 {
     struct order *order = record(ctx, ORDER_START, given->backend->entry.id);
     order->handle = given->handle;
@@ -46,7 +46,7 @@
 }
 
 static void
-op_stop(void *ctx, const struct stop_order *given)
+op_stop(void *ctx, const struct stop_command *given)
 {
     struct order *order = record(ctx, ORDER_STOP, given->backend->entry.id);
     order->handle = given->handle;
@@ -56,10 +56,10 @@
 
 static void
 op_list(void *ctx, struct backend *backend, int64_t until_ms,
-        int64_t acked_end, int64_t wait_ms)
+        int64_t acked_completion, int64_t wait_ms)
 {
     (void)until_ms;
-    (void)acked_end;
+    (void)acked_completion;
     (void)wait_ms;
     record(ctx, ORDER_LIST, backend->entry.id);
 }
@@ -78,7 +78,7 @@
 }
 
 static void
-op_pace(void *ctx, const struct pace_order *given)
+op_pace(void *ctx, const struct throttle_command *given)
 {
     struct order *order = record(ctx, ORDER_PACE, given->backend->entry.id);
     order->handle = given->handle;
@@ -119,7 +119,7 @@
         .prefix = g_strdup_printf("/%s/", name),
         .pool = g_strdup(name),
         .attempts = 3,
-        .stretch = 1.6,
+        .deadline_factor = 1.6,
         .objective_ms = 600,
     };
     g_ptr_array_add(config->queues, queue);
@@ -145,25 +145,25 @@
         .stop_ms = STOP_MS,
         .move_ms = 1500,
         .reboot_ms = 2000,
-        .order_gap_ms = 3000,
-        .keep_ms = 1000000,
-        .host_orders_per_s = 64,
+        .command_gap_ms = 3000,
+        .retention_ms = 1000000,
+        .host_commands_per_s = 64,
     };
     struct sched_ops ops = {
         .start = op_start,
         .stop = op_stop,
-        .pace = op_pace,
-        .list = op_list,
-        .move = op_move,
-        .reboot = op_reboot,
-        .advise = op_advise,
+        .throttle = op_pace,
+        .request_report = op_list,
+        .move_host = op_move,
+        .reboot_host = op_reboot,
+        .request_advice = op_advise,
         .ctx = fixture,
     };
     fixture->sched = scheduler_create(
         &timings, &ops, term, (struct ms_clock){.now = now, .ctx = fixture},
         (struct ms_clock){.now = unix_now, .ctx = fixture});
     scheduler_configure(fixture->sched, fixture->config);
-    scheduler_set_valid(fixture->sched, true);
+    scheduler_set_leadership_valid(fixture->sched, true);
 }
 
 void
@@ -181,13 +181,13 @@
     static char *labels[] = {(char *)"a", (char *)"r1", NULL};
     struct backend_entry entry = {
         .id = (char *)id,
-        .born_ms = fixture->born_ms,
+        .incarnation_start_ms = fixture->born_ms,
         .pool = (char *)pool,
         .address = (char *)"127.0.0.1:1",
         .data_centre = (char *)"dc",
         .host = (char *)host,
         .labels = labels,
-        .room = {.cpu_milli = 16000, .mem_mb = 64000},
+        .capacity = {.cpu_milli = 16000, .mem_mb = 64000},
         .draining = draining,
     };
     scheduler_backend_seen(fixture->sched, &entry);
@@ -210,7 +210,7 @@
 void
 fixture_hosts(struct fleet_fixture *fixture, const char *const *pools)
 {
-    struct host_fact facts[HOSTS_MAX] = {0};
+    struct host_info facts[HOSTS_MAX] = {0};
     char names[HOSTS_MAX][2][NAME_BYTES];
     size_t n_hosts = 0;
     for (; pools[n_hosts] != NULL && n_hosts < HOSTS_MAX; n_hosts++) {
@@ -219,7 +219,7 @@
         snprintf(host, NAME_BYTES, "m%zu", n_hosts);
         snprintf(id, NAME_BYTES, "b%zu", n_hosts);
         fixture_backend(fixture, id, pools[n_hosts], host);
-        facts[n_hosts] = (struct host_fact){.host = host,
+        facts[n_hosts] = (struct host_info){.host = host,
                                             .pool = pools[n_hosts],
                                             .backend_id = id,
                                             .data_centre = "dc",
@@ -247,26 +247,26 @@
 
 void
 fixture_lists(struct fleet_fixture *fixture, const char *id,
-              struct listed_run *running, size_t n_running,
-              struct listed_end *ends, size_t n_ends)
+              struct reported_run *running, size_t n_running,
+              struct run_completion *ends, size_t n_completions)
 {
-    struct backend_lists lists = {
-        .outcome = LIST_READ,
-        .born_ms = fixture->born_ms,
+    struct run_report lists = {
+        .outcome = REPORT_READ,
+        .incarnation_start_ms = fixture->born_ms,
         .clock_ms = fixture->now_ms + 5000,
         .running = running,
         .n_running = n_running,
-        .ends = ends,
-        .n_ends = n_ends,
+        .completions = ends,
+        .n_completions = n_completions,
     };
-    scheduler_on_list(fixture->sched, id, &lists);
+    scheduler_on_report(fixture->sched, id, &lists);
 }
 
 void
 fixture_settle(struct fleet_fixture *fixture)
 {
     fixture_tick(fixture, fixture->now_ms + 10);
-    GPtrArray *ids = scheduler_list_backends(fixture->sched);
+    GPtrArray *ids = scheduler_backend_ids(fixture->sched);
     for (guint i = 0; i < ids->len; i++) {
         fixture_lists(fixture, g_ptr_array_index(ids, i), NULL, 0, NULL, 0);
     }
--- a/tests/jobs/fleet_fixture.h
+++ b/tests/jobs/fleet_fixture.h
@@ -87,8 +87,8 @@
 /** fixture_lists() - answer of a backend server with these runs and ends */
 void
 fixture_lists(struct fleet_fixture *fixture, const char *id,
-              struct listed_run *running, size_t n_running,
-              struct listed_end *ends, size_t n_ends);
+              struct reported_run *running, size_t n_running,
+              struct run_completion *ends, size_t n_completions);
 
 /** fixture_count() - orders of a kind, to @target if not NULL. */
 uint32_t
--- a/tests/jobs/host_orders_test.c
+++ b/tests/jobs/host_orders_test.c
@@ -26,7 +26,7 @@
         snprintf(host, sizeof(host), "hq%d", i);
         fixture_backend(f, id, "q", host);
     }
-    struct host_fact facts[IDLE_HOSTS + 1] = {{.host = "hp1",
+    struct host_info facts[IDLE_HOSTS + 1] = {{.host = "hp1",
                                                .pool = "p",
                                                .backend_id = "p1",
                                                .data_centre = "dc",
@@ -35,7 +35,7 @@
     for (int i = 0; i < IDLE_HOSTS; i++) {
         snprintf(names[i][0], sizeof(names[i][0]), "hq%d", i);
         snprintf(names[i][1], sizeof(names[i][1]), "q%d", i);
-        facts[i + 1] = (struct host_fact){.host = names[i][0],
+        facts[i + 1] = (struct host_info){.host = names[i][0],
                                           .pool = "q",
                                           .backend_id = names[i][1],
                                           .data_centre = "dc",
@@ -107,7 +107,7 @@
     for (int i = 0; i < IDLE_HOSTS; i++) {
         char host[16];
         snprintf(host, sizeof(host), "hq%d", i);
-        scheduler_host_ordered_before(f.sched, host);
+        scheduler_host_commanded_before(f.sched, host);
     }
     for (int i = 0; i < 28; i++) {
         fixture_tick(&f, f.now_ms + 100);
@@ -129,7 +129,7 @@
     fixture_init(&f, 1);
     f.born_ms = 1000100000;
     fixture_backend(&f, "p1", "p", "hp1");
-    struct host_fact facts[] = {
+    struct host_info facts[] = {
         {.host = "hp1",
          .pool = "p",
          .backend_id = "p1",
@@ -138,7 +138,7 @@
         {.host = "s1", .pool = "s", .data_centre = "dc", .up = true},
         {.host = "s2", .pool = "s", .data_centre = "dc", .up = true},
     };
-    scheduler_host_ordered_before(f.sched, "s2");
+    scheduler_host_commanded_before(f.sched, "s2");
     fixture_settle(&f);
     scheduler_hosts_read(f.sched, facts, G_N_ELEMENTS(facts));
     fixture_job(&f, JOB_A, "p",
--- a/tests/jobs/leaving_test.c
+++ b/tests/jobs/leaving_test.c
@@ -13,9 +13,9 @@
 
 /* Both tasks of a lasting job at work on the only backend server, "b1". */
 static void
-start_two_lasting(struct fleet_fixture *f, struct listed_run running[2])
+start_two_lasting(struct fleet_fixture *f, struct reported_run running[2])
 {
-    running[0] = (struct listed_run){
+    running[0] = (struct reported_run){
         .task = JOB_A ".0.0.0", .number = 1, .saved = "", .percent = 100};
     running[1] = running[0];
     running[1].task = JOB_A ".0.0.1";
@@ -35,7 +35,7 @@
 test_lasting_tasks_leave_in_time(void)
 {
     struct fleet_fixture f;
-    struct listed_run running[2];
+    struct reported_run running[2];
     start_two_lasting(&f, running);
     fixture_backend(&f, "b2", "p", "m2");
     fixture_settle(&f);
@@ -44,9 +44,9 @@
     fixture_tick(&f, f.now_ms + 10);
     CU_ASSERT_EQUAL_FATAL(fixture_count(&f, ORDER_STOP, "b1"), 1);
     bool first = strcmp(fixture_last(&f, ORDER_STOP)->task, running[0].task);
-    const struct listed_run *stopped = &running[first ? 1 : 0];
-    struct listed_run *left = &running[first ? 0 : 1];
-    struct listed_end end = {
+    const struct reported_run *stopped = &running[first ? 1 : 0];
+    struct reported_run *left = &running[first ? 0 : 1];
+    struct run_completion end = {
         .number = 1, .task = stopped->task, .run = 1, .reason = END_STOPPED};
     fixture_lists(&f, "b1", left, 1, &end, 1);
     fixture_tick(&f, f.now_ms + 10);
@@ -54,7 +54,7 @@
     /* The other one waits until this one is at work again. */
     CU_ASSERT_EQUAL(fixture_count(&f, ORDER_STOP, "b1"), 1);
     fixture_accept_starts(&f);
-    struct listed_run moved = *stopped;
+    struct reported_run moved = *stopped;
     moved.number = fixture_last(&f, ORDER_START)->number;
     fixture_lists(&f, "b2", &moved, 1, NULL, 0);
     fixture_tick(&f, f.now_ms + 10);
@@ -67,7 +67,7 @@
 test_lasting_tasks_stay_without_room(void)
 {
     struct fleet_fixture f;
-    struct listed_run running[2];
+    struct reported_run running[2];
     start_two_lasting(&f, running);
     fixture_backend_drains(&f, "b1", "p", "m1");
     for (int i = 0; i < 30; i++) {
@@ -97,10 +97,10 @@
     struct job *job = fixture_job(&f, JOB_A, "p", two_lasting);
     job->inherited = true;
     int64_t taken_over_ms = f.now_ms;
-    struct backend_lists silent = {.outcome = LIST_NO_ANSWER};
+    struct run_report silent = {.outcome = REPORT_NO_ANSWER};
     while (fixture_count(&f, ORDER_START, NULL) == 0 &&
            f.now_ms < taken_over_ms + 20000) {
-        scheduler_on_list(f.sched, "b1", &silent);
+        scheduler_on_report(f.sched, "b1", &silent);
         fixture_lists(&f, "b2", NULL, 0, NULL, 0);
         fixture_tick(&f, f.now_ms + 100);
     }
--- a/tests/jobs/model.c
+++ b/tests/jobs/model.c
@@ -153,8 +153,8 @@
         if (holder->gone || scheduler_fenced(holder->sched)) {
             continue;
         }
-        scheduler_set_valid(holder->sched,
-                            sim->now_ms < holder->valid_until_ms);
+        scheduler_set_leadership_valid(holder->sched,
+                                       sim->now_ms < holder->valid_until_ms);
         scheduler_tick(holder->sched);
         flush(holder);
     }
--- a/tests/jobs/model_arrive.c
+++ b/tests/jobs/model_arrive.c
@@ -98,18 +98,18 @@
 give_lists(struct holder *holder, const struct model_backend *backend,
            int64_t clock_ms)
 {
-    struct backend_lists lists = {
-        .outcome = LIST_READ,
-        .born_ms = 1,
+    struct run_report lists = {
+        .outcome = REPORT_READ,
+        .incarnation_start_ms = 1,
         .clock_ms = clock_ms,
-        .running = g_new0(struct listed_run, backend->runs->len + 1),
-        .ends = g_new0(struct listed_end, backend->ends->len + 1),
+        .running = g_new0(struct reported_run, backend->runs->len + 1),
+        .completions = g_new0(struct run_completion, backend->ends->len + 1),
     };
     for (guint i = 0; i < backend->runs->len; i++) {
         const struct model_task_run *run = g_ptr_array_index(backend->runs, i);
         /* A run that is being stopped stands in neither list. */
         if (run->stops_ms == 0) {
-            lists.running[lists.n_running++] = (struct listed_run){
+            lists.running[lists.n_running++] = (struct reported_run){
                 .task = run->task,
                 .number = run->number,
                 .saved = "",
@@ -121,7 +121,7 @@
     }
     for (guint i = 0; i < backend->ends->len; i++) {
         const struct model_end *end = g_ptr_array_index(backend->ends, i);
-        lists.ends[lists.n_ends++] = (struct listed_end){
+        lists.completions[lists.n_completions++] = (struct run_completion){
             .number = end->number,
             .task = end->task,
             .run = end->run,
@@ -129,9 +129,9 @@
             .saved = "",
         };
     }
-    scheduler_on_list(holder->sched, backend->id, &lists);
+    scheduler_on_report(holder->sched, backend->id, &lists);
     g_free(lists.running);
-    g_free(lists.ends);
+    g_free(lists.completions);
 }
 
 static void
@@ -180,11 +180,11 @@
                        reply->clock_ms);
         }
         else {
-            struct backend_lists lists = {
-                .outcome = reply->answer == START_FENCED ? LIST_FENCED
-                                                         : LIST_NO_ANSWER};
-            scheduler_on_list(holder->sched, sim->backends[reply->backend].id,
-                              &lists);
+            struct run_report lists = {.outcome = reply->answer == START_FENCED
+                                                      ? REPORT_FENCED
+                                                      : REPORT_NO_ANSWER};
+            scheduler_on_report(holder->sched,
+                                sim->backends[reply->backend].id, &lists);
         }
     }
 }
@@ -234,7 +234,8 @@
         model_backend_advance(&sim->backends[i], sim->now_ms);
     }
     struct holder *holder = message->holder;
-    scheduler_set_valid(holder->sched, sim->now_ms < holder->valid_until_ms);
+    scheduler_set_leadership_valid(holder->sched,
+                                   sim->now_ms < holder->valid_until_ms);
     switch (message->kind) {
     case MESSAGE_START:
         arrive_start(sim, message);
--- a/tests/jobs/model_holder.c
+++ b/tests/jobs/model_holder.c
@@ -20,7 +20,7 @@
 }
 
 static void
-op_start(void *ctx, const struct start_order *order)
+op_start(void *ctx, const struct start_command *order)
 {
     struct holder *holder = ctx;
     send_order(holder->sim, holder,
@@ -36,7 +36,7 @@
 }
 
 static void
-op_stop(void *ctx, const struct stop_order *order)
+op_stop(void *ctx, const struct stop_command *order)
 {
     struct holder *holder = ctx;
     send_order(holder->sim, holder,
@@ -57,7 +57,7 @@
     struct holder *holder = ctx;
     struct sim *sim = holder->sim;
     if (sim->mutation == MUTATION_ACK_UNSTORED) {
-        seen_upto = backend->last_end;
+        seen_upto = backend->last_completion;
     }
     send_order(sim, holder,
                (struct message){
@@ -146,12 +146,12 @@
     static char *labels[] = {(char *)"a", (char *)"r1", NULL};
     *entry = (struct backend_entry){
         .id = sim->backends[index].id,
-        .born_ms = 1,
+        .incarnation_start_ms = 1,
         .pool = (char *)"p",
         .address = (char *)"127.0.0.1:1",
         .data_centre = (char *)"dc",
         .labels = labels,
-        .room = {.cpu_milli = POOL_CORES_MILLI, .mem_mb = 64000},
+        .capacity = {.cpu_milli = POOL_CORES_MILLI, .mem_mb = 64000},
     };
 }
 
@@ -187,17 +187,17 @@
     struct sched_timings timings = {
         .lease_max_ms = LEASE_MAX_MS,
         .stop_ms = sim->mutation == MUTATION_NO_SETTLE ? -100 : STOP_MS,
-        .order_gap_ms = 1000000,
-        .keep_ms = 1000000,
-        .host_orders_per_s = 64,
+        .command_gap_ms = 1000000,
+        .retention_ms = 1000000,
+        .host_commands_per_s = 64,
     };
     struct sched_ops ops = {
         .start = op_start,
         .stop = op_stop,
-        .list = op_list,
+        .request_report = op_list,
         .store = op_store,
-        .move = op_host,
-        .reboot = op_reboot,
+        .move_host = op_host,
+        .reboot_host = op_reboot,
         .ctx = holder,
     };
     holder->sched =
@@ -205,7 +205,7 @@
                          (struct ms_clock){.now = sim_now, .ctx = sim},
                          (struct ms_clock){.now = sim_unix, .ctx = sim});
     scheduler_configure(holder->sched, sim->config);
-    scheduler_set_valid(holder->sched, true);
+    scheduler_set_leadership_valid(holder->sched, true);
     load_jobs(holder);
     for (int i = 0; i < BACKENDS; i++) {
         struct backend_entry entry;
--- a/tests/jobs/pace_test.c
+++ b/tests/jobs/pace_test.c
@@ -59,7 +59,7 @@
 {
     GRand *chance = g_rand_new_with_seed(seed);
     int32_t *levels = g_new0(int32_t, SERIES_MS / STEP_MS + 1);
-    struct pace pace = {0};
+    struct throttle pace = {0};
     struct replay replay = {0};
     int64_t over_since_ms = 0;
     int samples = 0;
@@ -74,7 +74,7 @@
                           series.added_ms * level_at(levels, now_ms) / 100) *
                          noise;
         if (now_ms % SAMPLE_MS == 0) {
-            level = pace_step(&pace, tail_ms / TARGET_MS, now_ms + 1000);
+            level = throttle_update(&pace, tail_ms / TARGET_MS, now_ms + 1000);
         }
         levels[now_ms / STEP_MS] = level;
         if (tail_ms <= TARGET_MS || level == 0) {
@@ -148,12 +148,12 @@
     fixture_tick(&f, f.now_ms + 10);
     CU_ASSERT_EQUAL_FATAL(fixture_count(&f, ORDER_START, "b1"), 2);
     fixture_accept_starts(&f);
-    struct listed_run running[] = {
+    struct reported_run running[] = {
         {.task = JOB_SERVES ".0.0.0",
          .number = 1,
          .saved = "",
          .percent = 100,
-         .figure = 300},
+         .load_metric = 300},
         {.task = JOB_FILLS ".0.0.0", .number = 1, .saved = "", .percent = 3},
     };
     for (int i = 0; i < 40; i++) {
@@ -161,8 +161,8 @@
         fixture_tick(&f, f.now_ms + 100);
         const struct order *last = fixture_last(&f, ORDER_PACE);
         if (last != NULL) {
-            scheduler_on_pace(f.sched, last->handle, (int32_t)last->number,
-                              true);
+            scheduler_on_throttle(f.sched, last->handle, (int32_t)last->number,
+                                  true);
         }
     }
     CU_ASSERT_PTR_NOT_NULL_FATAL(fixture_last(&f, ORDER_PACE));
@@ -171,10 +171,10 @@
     CU_ASSERT_EQUAL(fixture_last(&f, ORDER_PACE)->number, 0);
     /* Its progress has stood still for four seconds, by our order. */
     CU_ASSERT_EQUAL(fixture_count(&f, ORDER_STOP, NULL), 0);
-    struct listed_end end = {.number = 1,
-                             .task = JOB_SERVES ".0.0.0",
-                             .run = 1,
-                             .reason = END_STOPPED};
+    struct run_completion end = {.number = 1,
+                                 .task = JOB_SERVES ".0.0.0",
+                                 .run = 1,
+                                 .reason = END_STOPPED};
     scheduler_cancel(f.sched, JOB_SERVES);
     fixture_lists(&f, "b1", &running[1], 1, &end, 1);
     fixture_tick(&f, f.now_ms + 400);
@@ -192,7 +192,7 @@
     fixture_job(&f, JOB_FILLS, "p",
                 "[{\"count\":1,\"cpu\":4000,\"mem_mb\":100,\"fills\":true,"
                 "\"estimate_ms\":60000}]");
-    struct listed_run running = {
+    struct reported_run running = {
         .task = JOB_FILLS ".0.0.0", .number = 1, .saved = "", .percent = 3};
     fixture_lists(&f, "b1", &running, 1, NULL, 0);
     fixture_tick(&f, f.now_ms + 10);
--- a/tests/jobs/pools_test.c
+++ b/tests/jobs/pools_test.c
@@ -20,7 +20,7 @@
                      NULL};
     struct host_wave wave = {.number = 7,
                              .hosts = hosts,
-                             .most = 2,
+                             .max_unavailable = 2,
                              .within_ms = 20000,
                              .seen_ms = f.now_ms};
     scheduler_wave_set(f.sched, &wave);
@@ -29,11 +29,11 @@
     CU_ASSERT_EQUAL(fixture_count(&f, ORDER_REBOOT, NULL), 2);
     CU_ASSERT_FALSE(scheduler_wave_done(f.sched, 7));
     for (int i = 0; i < 4; i++) {
-        scheduler_on_host_order(f.sched, hosts[i], 7, HOST_ORDER_DONE);
+        scheduler_on_host_command(f.sched, hosts[i], 7, HOST_COMMAND_DONE);
     }
     fixture_tick(&f, f.now_ms + 200);
     CU_ASSERT_EQUAL(fixture_count(&f, ORDER_REBOOT, NULL), 2);
-    char *begun = scheduler_wave_begun_list(f.sched, 7);
+    char *begun = scheduler_wave_started_hosts(f.sched, 7);
     char **begun_hosts = g_strsplit(begun, " ", 0);
     CU_ASSERT_EQUAL(g_strv_length(begun_hosts), 2);
     g_strfreev(begun_hosts);
--- a/tests/jobs/scheduler_test.c
+++ b/tests/jobs/scheduler_test.c
@@ -22,7 +22,7 @@
     fixture_init(&f, 1);
     fixture_backend(&f, "b1", "p", "m1");
     struct job *job = fixture_job(&f, JOB_A, "p", one_task);
-    struct listed_end ends[] = {
+    struct run_completion ends[] = {
         {.number = 1, .task = JOB_A ".0.0.0", .run = 1, .reason = END_FAILED},
         {.number = 2, .task = JOB_A ".0.0.0", .run = 2, .reason = END_FAILED},
         {.number = 3, .task = JOB_A ".0.0.0", .run = 3, .reason = END_FAILED},
@@ -45,15 +45,15 @@
     fixture_init(&f, 1);
     fixture_backend(&f, "b1", "p", "m1");
     struct job *job = fixture_job(&f, JOB_A, "p", one_task);
-    job_task_failed(&job_part(job, 0, 0)->tasks[0], 1);
-    struct listed_end ends[] = {
+    job_task_record_failure(&job_step_progress(job, 0, 0)->tasks[0], 1);
+    struct run_completion ends[] = {
         {.number = 1, .task = JOB_A ".0.0.0", .run = 1, .reason = END_FAILED},
         {.number = 2, .task = JOB_A ".0.0.0", .run = 2, .reason = END_FAILED},
     };
     fixture_tick(&f, f.now_ms + 10);
     fixture_lists(&f, "b1", NULL, 0, ends, 2);
     CU_ASSERT_EQUAL(job->state, JOB_ACTIVE);
-    CU_ASSERT_EQUAL(job_part(job, 0, 0)->tasks[0].failures, 2);
+    CU_ASSERT_EQUAL(job_step_progress(job, 0, 0)->tasks[0].failures, 2);
     fixture_clear(&f);
 }
 
@@ -108,7 +108,7 @@
                        START_NO_ANSWER, 0);
     fixture_tick(&f, f.now_ms + 100);
     CU_ASSERT_EQUAL(fixture_count(&f, ORDER_STOP, NULL), 0);
-    struct listed_run running = {
+    struct reported_run running = {
         .task = JOB_A ".0.0.0", .number = 1, .saved = "", .percent = 100};
     fixture_lists(&f, "b1", &running, 1, NULL, 0);
     fixture_tick(&f, f.now_ms + 2600);
@@ -123,7 +123,7 @@
     struct fleet_fixture f;
     fixture_init(&f, 1);
     fixture_backend(&f, "b1", "p", "m1");
-    struct host_fact facts[] = {{.host = "m1",
+    struct host_info facts[] = {{.host = "m1",
                                  .pool = "p",
                                  .backend_id = "b1",
                                  .data_centre = "dc",
@@ -132,7 +132,7 @@
     char *hosts[] = {(char *)"m1", NULL};
     struct host_wave wave = {.number = 1,
                              .hosts = hosts,
-                             .most = 1,
+                             .max_unavailable = 1,
                              .within_ms = 1000,
                              .seen_ms = f.now_ms};
     scheduler_wave_set(f.sched, &wave);
@@ -147,14 +147,15 @@
 }
 
 /* After a takeover the entry of an incarnation that ended lingers while its
- * host is away for maintenance; the host still counts as away. */
+ * host is unavailable for maintenance; the host still counts as unavailable.
+ */
 static void
 test_lingering_entry_is_away(void)
 {
     struct fleet_fixture f;
     fixture_init(&f, 1);
-    struct host_fact facts[] = {
-        {.host = "m1", .pool = "p", .data_centre = "dc", .away = true},
+    struct host_info facts[] = {
+        {.host = "m1", .pool = "p", .data_centre = "dc", .unavailable = true},
         {.host = "m2",
          .pool = "p",
          .backend_id = "b2",
@@ -168,7 +169,7 @@
     char *hosts[] = {(char *)"m1", (char *)"m2", NULL};
     struct host_wave wave = {.number = 3,
                              .hosts = hosts,
-                             .most = 1,
+                             .max_unavailable = 1,
                              .within_ms = 20000,
                              .seen_ms = f.now_ms};
     scheduler_wave_set(f.sched, &wave);
@@ -190,19 +191,19 @@
     char *hosts[] = {(char *)"m1", NULL};
     struct host_wave wave = {.number = 4,
                              .hosts = hosts,
-                             .most = 1,
+                             .max_unavailable = 1,
                              .within_ms = 20000,
                              .seen_ms = f.now_ms};
     scheduler_wave_set(f.sched, &wave);
     CU_ASSERT_FALSE(scheduler_wave_done(f.sched, 4));
-    struct host_fact facts[] = {{.host = "m1",
+    struct host_info facts[] = {{.host = "m1",
                                  .pool = "p",
                                  .backend_id = "b1",
                                  .data_centre = "dc",
                                  .up = true}};
     scheduler_hosts_read(f.sched, facts, 1);
     CU_ASSERT_FALSE(scheduler_wave_done(f.sched, 4));
-    scheduler_wave_begun(f.sched, 4, "m1");
+    scheduler_wave_host_started(f.sched, 4, "m1");
     CU_ASSERT_TRUE(scheduler_wave_done(f.sched, 4));
     fixture_clear(&f);
 }
@@ -287,11 +288,11 @@
     fixture_init(&f, 0);
     fixture_backend(&f, "b1", "p", "m1");
     fixture_settle(&f);
-    scheduler_set_valid(f.sched, false);
+    scheduler_set_leadership_valid(f.sched, false);
     fixture_job(&f, JOB_A, "p", one_task);
     fixture_tick(&f, f.now_ms + 10);
     CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, NULL), 0);
-    scheduler_set_valid(f.sched, true);
+    scheduler_set_leadership_valid(f.sched, true);
     fixture_tick(&f, f.now_ms + 10);
     CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, NULL), 1);
     fixture_clear(&f);
@@ -307,11 +308,11 @@
     fixture_settle(&f);
     static char *out[] = {(char *)"dc", NULL};
     static char *none[] = {NULL};
-    scheduler_take_out(f.sched, out);
+    scheduler_set_out_of_service(f.sched, out);
     fixture_job(&f, JOB_A, "p", one_task);
     fixture_tick(&f, f.now_ms + 10);
     CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, NULL), 0);
-    scheduler_take_out(f.sched, none);
+    scheduler_set_out_of_service(f.sched, none);
     fixture_tick(&f, f.now_ms + 10);
     CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, NULL), 1);
     fixture_clear(&f);
@@ -322,20 +323,22 @@
 static void
 test_weak_host_waits_each_time(void)
 {
-    struct claim_turn weak = {0};
-    struct claim_turn strong = {0};
+    struct election_backoff weak = {0};
+    struct election_backoff strong = {0};
     for (int vacancy = 0; vacancy < 3; vacancy++) {
         int64_t weak_ms = 0;
         int64_t strong_ms = 0;
-        CU_ASSERT_EQUAL(claim_turn_next(&weak, true, 0.12, 0, &weak_ms),
-                        CLAIM_WAIT);
-        CU_ASSERT_EQUAL(claim_turn_next(&strong, true, 0.5, 1, &strong_ms),
-                        CLAIM_WAIT);
+        CU_ASSERT_EQUAL(election_backoff_next(&weak, true, 0.12, 0, &weak_ms),
+                        ELECTION_WAIT);
+        CU_ASSERT_EQUAL(
+            election_backoff_next(&strong, true, 0.5, 1, &strong_ms),
+            ELECTION_WAIT);
         CU_ASSERT(weak_ms > strong_ms + 200);
-        CU_ASSERT_EQUAL(claim_turn_next(&strong, true, 0.5, 1, &strong_ms),
-                        CLAIM_NOW);
-        CU_ASSERT_EQUAL(claim_turn_next(&weak, false, 0.12, 0, &weak_ms),
-                        CLAIM_LEAVE);
+        CU_ASSERT_EQUAL(
+            election_backoff_next(&strong, true, 0.5, 1, &strong_ms),
+            ELECTION_CAMPAIGN);
+        CU_ASSERT_EQUAL(election_backoff_next(&weak, false, 0.12, 0, &weak_ms),
+                        ELECTION_NONE);
     }
 }
 
