--- a/egretjobd/leader.c
+++ b/egretjobd/leader.c
@@ -170,7 +170,7 @@
     if (node->settings->advice_address != NULL) {
         leader->advice = advice_api_create(
             node->base, node->settings->advice_address,
-            (struct advice_done){.call = on_advice, .ctx = leader});
+            (struct advice_callback){.call = on_advice, .ctx = leader});
     }
     leader->tick = evtimer_new(node->base, on_tick, leader);
     leader->watch_timer = evtimer_new(node->base, on_watch_timer, leader);
--- a/egretjobd/leader_commands.c
+++ b/egretjobd/leader_commands.c
@@ -165,7 +165,7 @@
 op_advise(void *ctx, const char *step, const char *const *backend_ids)
 {
     struct leader *leader = ctx;
-    advice_api_ask(leader->advice, step, backend_ids);
+    advice_api_request(leader->advice, step, backend_ids);
 }
 
 static void
--- a/include/platform/decode.h
+++ b/include/platform/decode.h
@@ -1,4 +1,5 @@
-/* The platform's documents, read once into types of the product. */
+/* Decodes the platform's documents into types of the product, and encodes the
+ * documents that it reads. */
 #ifndef PLATFORM_DECODE_H
 #define PLATFORM_DECODE_H
 
@@ -10,7 +11,8 @@
 #include "core/jobs/job.h"
 #include "core/jobs/scheduler.h"
 
-/* Keys that the operator and the backend servers write. */
+/* Store keys that the operator, the backend servers and the status of waves
+ * use. */
 #define PLATFORM_OPERATOR_PREFIX "op/"
 #define PLATFORM_CONFIG_KEY "op/config"
 #define PLATFORM_OUT_OF_SERVICE_PREFIX "op/evacuate/"
@@ -22,8 +24,8 @@
 struct fleet_config *
 decode_config(const char *text, size_t bytes, int64_t revision);
 
-/** decode_backend() - entry of the host list; false if it names no backend
- * server to use. Clear @entry afterwards. */
+/** decode_backend() - entry of a backend server; false if it describes no
+ * usable backend server. Clear @entry afterwards. */
 bool
 decode_backend(const char *id, const char *text, size_t bytes,
                struct backend_entry *entry);
@@ -33,24 +35,24 @@
 bool
 decode_wave(const char *text, size_t bytes, struct host_wave *wave);
 
-/** encode_wave_status() - what the operator reads of a wave; g_free(). */
+/** encode_wave_status() - status of a wave for the operator; g_free(). */
 char *
 encode_wave_status(bool completed);
 
 /**
  * decode_job() - a job as a caller sends it
- * @error: receives a description with its place, to be freed, if NULL is
- *         returned
+ * @error: if NULL is returned, receives a description with the position of
+ *         the error; g_free()
  */
 struct job *
 decode_job(const char *text, size_t bytes, char **error);
 
-/** encode_job_state() - answer to a question for a job's state; static text.
- * @begun: whether any task has started */
+/** encode_job_state() - reply with a job's state; static text.
+ * @started: whether any task has started */
 const char *
-encode_job_state(enum job_state state, bool begun);
+encode_job_state(enum job_state state, bool started);
 
-/** encode_queue_length() - answer to a question for a queue's length;
+/** encode_queue_length() - reply with the number of waiting jobs of a queue;
  * g_free() */
 char *
 encode_queue_length(int64_t waiting);
