--- a/core/jobs/claim_turn.c
+++ b/core/jobs/election_backoff.c
@@ -1,4 +1,4 @@
-#include "core/jobs/claim_turn.h"
+#include "core/jobs/election_backoff.h"
 
 #include <glib.h>
 
--- a/core/jobs/scheduler_state.h
+++ b/core/jobs/scheduler_state.h
@@ -253,7 +253,7 @@
 struct resources *
 sched_team_used(struct scheduler *sched, const char *team);
 
-/* scheduler_lists.c */
+/* scheduler_reports.c */
 void
 sched_lists_due(struct scheduler *sched);
 
@@ -269,7 +269,7 @@
 sched_could_run(struct scheduler *sched, const struct backend *backend,
                 const struct job *job, uint32_t occurrence, uint32_t step);
 
-/* pace_runs.c */
+/* throttle_runs.c */
 void
 sched_pace(struct scheduler *sched);
 /* Whether filling tasks run beside serving ones. */
@@ -301,7 +301,7 @@
 bool
 sched_host_empty(const struct scheduler *sched, const struct host *host);
 
-/* order_budget.c */
+/* command_budget.c */
 void
 order_budget_refill(struct order_budget *budget, double per_s, int64_t now_ms);
 /* Whether orders that can wait may be given: a part is kept for others. */
--- a/core/jobs/pace.c
+++ b/core/jobs/throttle.c
@@ -5,7 +5,7 @@
  * filling ones, in proportion to their cpu_limit_percent, and the
  * cpu_limit_percent follows at once down and after a calm time up.
  */
-#include "core/jobs/pace.h"
+#include "core/jobs/throttle.h"
 
 #include <glib.h>
 #include <stdbool.h>
--- a/egretjobd/leadership.c
+++ b/egretjobd/leadership.c
@@ -5,7 +5,7 @@
 #include <unistd.h>
 
 #include "common/event_log.h"
-#include "core/jobs/claim_turn.h"
+#include "core/jobs/election_backoff.h"
 #include "egretjobd/leader.h"
 #include "egretjobd/records.h"
 #include "egretjobd/store_route.h"
--- a/include/core/jobs/backend.h
+++ b/include/core/jobs/backend.h
@@ -7,7 +7,7 @@
 #include <stdint.h>
 
 #include "core/jobs/job.h"
-#include "core/jobs/pace.h"
+#include "core/jobs/throttle.h"
 
 /**
  * struct backend_entry - what the host list says of a backend server
--- a/include/core/jobs/claim_turn.h
+++ b/include/core/jobs/election_backoff.h
@@ -2,8 +2,8 @@
  * When a process claims a vacant duty. Answers many processes that see the
  * vacancy at once: those on strong hosts go first, equals one by one.
  */
-#ifndef CORE_JOBS_CLAIM_TURN_H
-#define CORE_JOBS_CLAIM_TURN_H
+#ifndef CORE_JOBS_ELECTION_BACKOFF_H
+#define CORE_JOBS_ELECTION_BACKOFF_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/include/core/jobs/pace.h
+++ b/include/core/jobs/throttle.h
@@ -1,6 +1,6 @@
 /* How much of their speed filling tasks may use beside serving ones. */
-#ifndef CORE_JOBS_PACE_H
-#define CORE_JOBS_PACE_H
+#ifndef CORE_JOBS_THROTTLE_H
+#define CORE_JOBS_THROTTLE_H
 
 #include <stdint.h>
 
--- a/tests/jobs/pace_test.c
+++ b/tests/jobs/pace_test.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "../suite.h"
-#include "core/jobs/pace.h"
+#include "core/jobs/throttle.h"
 #include "fleet_fixture.h"
 
 #define JOB_SERVES "00000000000000aa"
--- a/tests/jobs/scheduler_test.c
+++ b/tests/jobs/scheduler_test.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "../suite.h"
-#include "core/jobs/claim_turn.h"
+#include "core/jobs/election_backoff.h"
 #include "core/jobs/relay_peer.h"
 #include "fleet_fixture.h"
 
