--- a/egretjobd/leader.c
+++ b/egretjobd/leader.c
@@ -159,7 +159,7 @@
                   store_route_any(node->store_route));
     leader->inbox = kv_create(node->base, store, READ_TIMEOUT_MS,
                               store_route_any(node->store_route));
-    struct hosts_events events = {
+    struct hosts_callbacks events = {
         .on_list = on_hosts,
         .on_command = on_host_command,
         .ctx = leader,
--- a/egretjobd/leader_commands.c
+++ b/egretjobd/leader_commands.c
@@ -1,4 +1,5 @@
-/* Orders of the scheduler on their way to backend servers and hosts. */
+/* Sends the scheduler's commands to backend servers and the host API, and
+ * passes the answers back. */
 #include "leader_state.h"
 
 #include <stdio.h>
@@ -41,11 +42,11 @@
 }
 
 static void
-on_report(void *ctx, const char *backend_id, const struct run_report *lists)
+on_report(void *ctx, const char *backend_id, const struct run_report *report)
 {
     struct leader *leader = ctx;
     leader_update_validity(leader);
-    scheduler_on_report(leader->sched, backend_id, lists);
+    scheduler_on_report(leader->sched, backend_id, report);
     leader_tick_soon(leader);
 }
 
@@ -58,7 +59,7 @@
         strcmp(backend_client_address(client), backend->entry.address) == 0) {
         return client;
     }
-    struct backend_events events = {
+    struct backend_callbacks callbacks = {
         .on_start = on_start,
         .on_stop = on_stop,
         .on_throttle = on_throttle,
@@ -66,13 +67,14 @@
         .ctx = leader,
     };
     client = backend_client_create(leader->node->base, backend->entry.id,
-                                   backend->entry.address, &events);
+                                   backend->entry.address, &callbacks);
     g_hash_table_replace(leader->backend_clients, g_strdup(backend->entry.id),
                          client);
     return client;
 }
 
-/* Drops the connections to backend servers that the scheduler forgot. */
+/* Closes connections to backend servers that the scheduler no longer
+ * tracks. */
 void
 leader_drop_unused_clients(struct leader *leader)
 {
@@ -87,45 +89,46 @@
 }
 
 static void
-op_start(void *ctx, const struct start_command *order)
+op_start(void *ctx, const struct start_command *command)
 {
     struct leader *leader = ctx;
-    const struct run *run = order->run;
+    const struct run *run = command->run;
     char task[TASK_NAME_BYTES];
     snprintf(task, sizeof(task), "%s.%u.%u.%u", run->job->id, run->occurrence,
              run->step, run->index);
     event_log("task_start",
               "\"task\":\"%s\",\"run\":%u,\"backend\":\"%s\","
               "\"until_ms\":%" G_GINT64_FORMAT,
-              task, run->number, order->backend->entry.id, order->until_ms);
+              task, run->number, command->backend->entry.id,
+              command->until_ms);
     struct start_call call = {
-        .handle = order->handle,
+        .handle = command->handle,
         .task = task,
         .number = run->number,
         .spec = run->job->text,
-        .until_ms = order->until_ms,
+        .until_ms = command->until_ms,
         .token = leader->token,
         .saved = run_task(run)->saved,
-        .ticket = order->ticket,
+        .ticket = command->ticket,
     };
-    backend_client_start(client_of(leader, order->backend), &call);
+    backend_client_start(client_of(leader, command->backend), &call);
 }
 
 static void
-op_stop(void *ctx, const struct stop_command *order)
+op_stop(void *ctx, const struct stop_command *command)
 {
     struct leader *leader = ctx;
     event_log("task_stop", "\"task\":\"%s\",\"run\":%u,\"backend\":\"%s\"",
-              order->task, order->number, order->backend->entry.id);
-    backend_client_stop(client_of(leader, order->backend), order->handle,
-                        order->task, order->number, leader->token);
+              command->task, command->number, command->backend->entry.id);
+    backend_client_stop(client_of(leader, command->backend), command->handle,
+                        command->task, command->number, leader->token);
 }
 
 static void
-op_throttle(void *ctx, const struct throttle_command *order)
+op_throttle(void *ctx, const struct throttle_command *command)
 {
     struct leader *leader = ctx;
-    backend_client_throttle(client_of(leader, order->backend), order,
+    backend_client_throttle(client_of(leader, command->backend), command,
                             leader->token);
 }
 
@@ -145,7 +148,7 @@
 }
 
 static void
-op_move(void *ctx, const char *host, const char *pool)
+op_move_host(void *ctx, const char *host, const char *pool)
 {
     struct leader *leader = ctx;
     event_log("host_move", "\"host\":\"%s\",\"pool\":\"%s\"", host, pool);
@@ -153,7 +156,7 @@
 }
 
 static void
-op_reboot(void *ctx, const char *host, int64_t wave)
+op_reboot_host(void *ctx, const char *host, int64_t wave)
 {
     struct leader *leader = ctx;
     event_log("host_reboot", "\"host\":\"%s\",\"wave\":%" G_GINT64_FORMAT,
@@ -162,7 +165,7 @@
 }
 
 static void
-op_advise(void *ctx, const char *step, const char *const *backend_ids)
+op_request_advice(void *ctx, const char *step, const char *const *backend_ids)
 {
     struct leader *leader = ctx;
     advice_api_request(leader->advice, step, backend_ids);
@@ -184,9 +187,9 @@
         .throttle = op_throttle,
         .request_report = op_request_report,
         .store = op_store,
-        .move_host = op_move,
-        .reboot_host = op_reboot,
-        .request_advice = leader->advice == NULL ? NULL : op_advise,
+        .move_host = op_move_host,
+        .reboot_host = op_reboot_host,
+        .request_advice = leader->advice == NULL ? NULL : op_request_advice,
         .log_event = op_log_event,
         .ctx = leader,
     };
--- a/egretjobd/leader_host_commands.c
+++ b/egretjobd/leader_host_commands.c
@@ -1,7 +1,8 @@
 /*
- * Orders about hosts on their way out. The hosts that they concern are stored
- * first: a holder that takes over waits with orders about those alone, since
- * two holders must not give orders about one host within a short time.
+ * Queue of commands about hosts. Two leaders must not send commands about the
+ * same host within a short time. The hosts are therefore stored before the
+ * commands are sent, and a new leader delays its commands for these hosts
+ * only.
  */
 #include "leader_state.h"
 
@@ -12,14 +13,17 @@
 #include "egretjobd/records.h"
 
 enum {
-    /* A host stays in the record this long beyond the time in which two
-     * holders may not both give orders about it. */
+    /* A host stays in the record this much longer than the time in which two
+     * leaders must not both send commands about it. */
     RECORD_MARGIN_MS = 1000,
     WRITE_TIMEOUT_MS = 1200,
 };
 
-/** struct queued_host_command - an order that waits for its host to be
- * recorded */
+/**
+ * struct queued_host_command - a command whose host is not recorded yet
+ * @pool: pool to move the host to; NULL for a reboot
+ * @wave: maintenance wave of the reboot; 0 for a move
+ */
 struct queued_host_command {
     char *host;
     char *pool;
@@ -27,10 +31,10 @@
 };
 
 /**
- * struct host_commands - orders not sent yet and hosts ordered lately
+ * struct host_commands - commands to send, and hosts of recent commands
  * @queue: struct queued_host_command
- * @recorded: how many at the head of the queue the open write covers
- * @recent: host to the time of its last order, on the leader's clock
+ * @recorded: length of the head of the queue that the open write covers
+ * @recent: host to the time of its last command, on the node's clock
  * @revision: revision of the record; 0: there is none
  */
 struct host_commands {
@@ -120,9 +124,9 @@
     }
 }
 
-/* Sends what was recorded, or gives it back to the scheduler as not sent. */
+/* Sends the recorded commands, or reports them to the scheduler as refused. */
 static void
-finish_recorded(struct host_commands *commands, bool recorded)
+dispatch_recorded(struct host_commands *commands, bool recorded)
 {
     struct leader *leader = commands->leader;
     leader_update_validity(leader);
@@ -150,17 +154,18 @@
     commands->writing = false;
     if (result->outcome == KV_OK) {
         commands->revision = result->revision;
-        finish_recorded(commands, true);
+        dispatch_recorded(commands, true);
         host_commands_flush(commands);
         return;
     }
     if (result->outcome != KV_CONFLICT) {
-        event_log("store_failed", "\"what\":\"host orders\",\"status\":%d",
+        event_log("store_failed", "\"what\":\"host commands\",\"status\":%d",
                   result->status);
-        finish_recorded(commands, false);
+        dispatch_recorded(commands, false);
         return;
     }
-    /* Another holder, or an earlier write of our own without an answer. */
+    /* Another leader, or an earlier write of this process whose answer was
+     * lost. */
     for (guint i = 0; i < result->items->len; i++) {
         const struct kv_item *item = g_ptr_array_index(result->items, i);
         if (strcmp(item->key, RECORD_LEADER_KEY) == 0 &&
@@ -181,7 +186,7 @@
 encode_recent(struct host_commands *commands)
 {
     int64_t now_ms = node_now(commands->leader->node);
-    int64_t keep_ms =
+    int64_t retention_ms =
         commands->leader->node->settings->timings.command_gap_ms +
         RECORD_MARGIN_MS;
     for (guint i = 0; i < commands->queue->len; i++) {
@@ -193,10 +198,10 @@
     GString *text = g_string_new(NULL);
     GHashTableIter iter;
     void *host;
-    void *at_ms;
+    void *sent_ms;
     g_hash_table_iter_init(&iter, commands->recent);
-    while (g_hash_table_iter_next(&iter, &host, &at_ms)) {
-        if (now_ms - *(const int64_t *)at_ms > keep_ms) {
+    while (g_hash_table_iter_next(&iter, &host, &sent_ms)) {
+        if (now_ms - *(const int64_t *)sent_ms > retention_ms) {
             g_hash_table_iter_remove(&iter);
             continue;
         }
--- a/egretjobd/leader_state.h
+++ b/egretjobd/leader_state.h
@@ -1,4 +1,4 @@
-/* State shared by the files of the leader. */
+/* Leader state that is shared by the leader_*.c files. */
 #ifndef EGRETJOBD_LEADER_STATE_H
 #define EGRETJOBD_LEADER_STATE_H
 
@@ -10,6 +10,7 @@
 #include "platform/hosts_api.h"
 #include "platform/kv.h"
 
+/** enum leader_stage - records in the order in which they are applied */
 enum leader_stage {
     STAGE_PROGRESS,
     STAGE_JOBS,
@@ -21,7 +22,7 @@
 };
 
 /**
- * struct record_range - one kind of record on its way after a takeover
+ * struct record_range - read of one kind of record after a takeover
  * @items: struct kv_item read so far
  * @as_of: revision of the store at the last page
  * @complete: all pages are read
@@ -36,20 +37,21 @@
     bool complete;
 };
 
-/** struct cancel_waiter - a caller that waits for a cancel to be stored */
+/** struct cancel_waiter - a caller that waits until a cancel is stored */
 struct cancel_waiter {
     struct job *job;
     struct job_reply reply;
 };
 
 enum {
-    /* Transactions at once; a slow store takes 50 to 100 times as long. */
+    /* Transactions open at once; a slow store takes 50 to 100 times as long as
+     * usual. */
     PROGRESS_TXN_COUNT = 8,
 };
 
 /**
- * struct progress_txn - one transaction of what the scheduler decided
- * @batch: what is in it, or NULL
+ * struct progress_txn - one open transaction with decisions of the scheduler
+ * @batch: its changes, or NULL if none is open
  * @sent_ms: when it was sent
  */
 struct progress_txn {
@@ -59,6 +61,21 @@
     int64_t sent_ms;
 };
 
+/**
+ * struct leader - the scheduler with its connections and unstored results
+ * @token: fencing token of this leadership
+ * @stage: record kind that is being applied; STAGE_READY after that
+ * @backend_clients: id of a backend server to its struct backend_client
+ * @progress: id of a job to the struct kv_item of its progress, while loading
+ * @early_jobs: struct kv_item, jobs accepted before STAGE_READY
+ * @registered_ids: ids of backend servers that the current read has returned
+ * @backends_as_of: revision after which to watch backend servers; 0: read all
+ * @inbox_fetching: a job that a message names is being read
+ * @cancels: struct cancel_waiter
+ * @wave_status: number of a maintenance wave to the status stored last
+ * @wave_status_sent: number of the wave whose status is being stored, or NULL
+ * @status_retry_ms: no status is stored before this time
+ */
 struct leader {
     struct node *node;
     struct scheduler *sched;
@@ -92,11 +109,12 @@
 };
 
 /* leader.c */
-/* Takes the jobs that were accepted while the records were read. */
+/* Adds the jobs that were accepted while the records were read. */
 void
 leader_add_early_jobs(struct leader *leader);
 void
 leader_tick_soon(struct leader *leader);
+/* Tells the scheduler whether the leadership is valid now. */
 void
 leader_update_validity(struct leader *leader);
 
@@ -126,14 +144,14 @@
 host_commands_create(struct leader *leader);
 void
 host_commands_destroy(struct host_commands *commands);
-/* Takes the record of the holder before. */
+/* Applies the record of the previous leader. */
 void
 host_commands_load(struct host_commands *commands, const struct kv_item *item);
-/* Queues a move, or with @pool NULL a reboot. */
+/* Queues a move, or a reboot if @pool is NULL. */
 void
 host_commands_add(struct host_commands *commands, const char *host,
                   const char *pool, int64_t wave);
-/* Records the hosts of what is queued; the orders go out afterwards. */
+/* Stores the hosts of the queued commands, then sends the commands. */
 void
 host_commands_flush(struct host_commands *commands);
 
--- a/include/platform/backend_client.h
+++ b/include/platform/backend_client.h
@@ -1,4 +1,4 @@
-/* Orders to a backend server and its answers. */
+/* Client of one backend server: commands and requests for its run report. */
 #ifndef PLATFORM_BACKEND_CLIENT_H
 #define PLATFORM_BACKEND_CLIENT_H
 
@@ -10,20 +10,22 @@
 struct backend_client;
 
 /**
- * struct backend_events - where answers of all links go; share @ctx
- * @on_start: answer to a start; @clock_ms 0: not told
+ * struct backend_callbacks - callbacks that receive the answers; all share
+ * @ctx
+ * @on_start: answer to a start; @clock_ms is the backend server's clock, 0:
+ * not given
  * @on_stop: answer to a stop
- * @on_throttle: answer to a change of pace
- * @on_report: lists, or why there are none
+ * @on_throttle: answer to a throttle command
+ * @on_report: run report, or why there is none
  */
-struct backend_events {
+struct backend_callbacks {
     void (*on_start)(void *ctx, uint64_t handle, enum start_answer answer,
                      int64_t clock_ms);
     void (*on_stop)(void *ctx, uint64_t handle, bool acked);
     void (*on_throttle)(void *ctx, uint64_t handle, int32_t percent,
                         bool acked);
     void (*on_report)(void *ctx, const char *backend_id,
-                      const struct run_report *lists);
+                      const struct run_report *report);
     void *ctx;
 };
 
@@ -31,18 +33,21 @@
 struct backend_client *
 backend_client_create(struct event_base *base, const char *backend_id,
                       const char *address,
-                      const struct backend_events *events);
+                      const struct backend_callbacks *callbacks);
 void
-backend_client_destroy(struct backend_client *link);
+backend_client_destroy(struct backend_client *client);
 
 /** backend_client_address() - the address it was created with. */
 const char *
-backend_client_address(const struct backend_client *link);
+backend_client_address(const struct backend_client *client);
 
 /**
- * struct start_call - a start in full
+ * struct start_call - a command to start a run
+ * @task: JOB.OCCURRENCE.STEP.INDEX
+ * @number: number of the run
  * @spec: opaque text of the job
- * @saved: checkpoint to go on from, or NULL
+ * @until_ms: end of the run's lease on the backend server's clock
+ * @saved: checkpoint to continue from, or NULL
  * @token: fencing token
  * @ticket: proof that the queue's policy allows the start, or NULL
  */
@@ -58,21 +63,26 @@
 };
 
 void
-backend_client_start(struct backend_client *link,
+backend_client_start(struct backend_client *client,
                      const struct start_call *call);
 void
-backend_client_stop(struct backend_client *link, uint64_t handle,
+backend_client_stop(struct backend_client *client, uint64_t handle,
                     const char *task, uint32_t number, int64_t token);
 
 void
-backend_client_throttle(struct backend_client *link,
-                        const struct throttle_command *order, int64_t token);
+backend_client_throttle(struct backend_client *client,
+                        const struct throttle_command *command, int64_t token);
 
-/** backend_client_request_report() - read both lists; @until_ms 0 renews no
- * lease. */
+/**
+ * backend_client_request_report() - request the run report
+ * @until_ms: new end of the leases of all its runs; 0: renew none
+ * @token: fencing token
+ * @acked_completion: number of the last completion that has been processed
+ * @wait_ms: how long the backend server may wait for news; 0: not at all
+ */
 void
-backend_client_request_report(struct backend_client *link, int64_t until_ms,
-                              int64_t token, int64_t seen_upto,
+backend_client_request_report(struct backend_client *client, int64_t until_ms,
+                              int64_t token, int64_t acked_completion,
                               int64_t wait_ms);
 
 #endif
--- a/include/platform/hosts_api.h
+++ b/include/platform/hosts_api.h
@@ -1,4 +1,4 @@
-/* Calls about hosts: the list, moves and maintenance. */
+/* Client of the host API: list of hosts, moves and maintenance. */
 #ifndef PLATFORM_HOSTS_API_H
 #define PLATFORM_HOSTS_API_H
 
@@ -10,24 +10,26 @@
 struct hosts_api;
 
 /**
- * struct hosts_events - where answers go
- * @on_list: the whole list; @hosts NULL if it could not be read
+ * struct hosts_callbacks - callbacks that receive the answers
+ * @on_list: complete list of hosts; @hosts is NULL if it could not be read
  * @on_command: answer to a move (@wave 0) or a reboot
  */
-struct hosts_events {
+struct hosts_callbacks {
     void (*on_list)(void *ctx, const struct host_info *hosts, size_t n_hosts);
     void (*on_command)(void *ctx, const char *host, int64_t wave,
-                       enum host_command_result answer);
+                       enum host_command_result result);
     void *ctx;
 };
 
-/** hosts_api_create() - @leader_name names this process in orders. */
+/** hosts_api_create() - @leader_name names this process in commands. */
 struct hosts_api *
 hosts_api_create(struct event_base *base, const char *address,
-                 const char *leader_name, const struct hosts_events *events);
+                 const char *leader_name,
+                 const struct hosts_callbacks *callbacks);
 void
 hosts_api_destroy(struct hosts_api *api);
 
+/** hosts_api_list() - read the list of hosts, unless a read is in progress. */
 void
 hosts_api_list(struct hosts_api *api);
 void
