--- a/egretd/members_json.c
+++ b/egretd/members_json.c
@@ -149,14 +149,14 @@
 }
 
 char *
-beat_json_format(uint64_t beat, int64_t lease_ms)
+renewal_json_format(uint64_t number, int64_t lease_ms)
 {
     return g_strdup_printf("{\"beat\":%" PRIu64 ",\"lease_ms\":%" PRId64 "}",
-                           beat, lease_ms);
+                           number, lease_ms);
 }
 
 int64_t
-beat_json_lease_ms(const char *text, size_t size_bytes)
+renewal_json_lease_ms(const char *text, size_t size_bytes)
 {
     struct findings *findings = findings_create();
     JsonNode *node =
--- a/egretd/members_json.h
+++ b/egretd/members_json.h
@@ -17,13 +17,13 @@
 struct members_record *
 members_json_parse(const char *text, size_t size_bytes, struct status *status);
 
-/** beat_json_format() - renewal record; freed with g_free(). */
+/** renewal_json_format() - renewal record; freed with g_free(). */
 char *
-beat_json_format(uint64_t beat, int64_t lease_ms);
+renewal_json_format(uint64_t number, int64_t lease_ms);
 
-/** beat_json_lease_ms() - longest lease named in a renewal record; 0 when it
- * can't be read. */
+/** renewal_json_lease_ms() - longest lease named in a renewal record; 0 when
+ * it can't be read. */
 int64_t
-beat_json_lease_ms(const char *text, size_t size_bytes);
+renewal_json_lease_ms(const char *text, size_t size_bytes);
 
 #endif
--- a/egretd/registration.c
+++ b/egretd/registration.c
@@ -8,7 +8,7 @@
 #include "registration_internal.h"
 
 enum {
-    LEAVE_MAX_MS = 2000,
+    LEAVE_TIMEOUT_MS = 2000,
 };
 
 int64_t
@@ -23,14 +23,14 @@
     struct registration *registration = data;
     members_destroy(registration->members);
     freshness_destroy(registration->freshness);
-    members_record_destroy(registration->record.proposal);
-    g_hash_table_unref(registration->handed);
-    g_free(registration->record.clearing);
+    members_record_destroy(registration->stored.proposal);
+    g_hash_table_unref(registration->reclaims_started);
+    g_free(registration->stored.deleting_renewal);
     g_free(registration->renewal.key);
     g_free(registration->incarnation);
 }
 
-/* Each call to the store that is under way keeps the registration. */
+/* Each pending store call holds a reference. */
 static void
 registration_unref(struct registration *registration)
 {
@@ -38,7 +38,7 @@
 }
 
 static void
-on_dropped(void *ctx)
+on_call_abandoned(void *ctx)
 {
     registration_unref(ctx);
 }
@@ -51,7 +51,7 @@
     g_rc_box_acquire(registration);
     return (struct store_callback){
         .done = done,
-        .abandoned = on_dropped,
+        .abandoned = on_call_abandoned,
         .ctx = registration,
     };
 }
@@ -64,33 +64,33 @@
     return !closed;
 }
 
-/* A renewal shows that nobody has fenced this incarnation, not that its
- * configuration is still the newest. */
+/* A renewal proves that this incarnation has not been fenced, but not that its
+ * configuration is the newest: that takes a read of the configuration, too. */
 static void
-count_renewal(struct registration *registration)
+apply_renewal(struct registration *registration)
 {
     const struct registration_options *options = &registration->options;
     if (options->config_confirmed_ms(options->ctx) >=
-        registration->confirm_ms) {
+        registration->config_confirm_after_ms) {
         freshness_renewed(registration->freshness,
                           registration->renewal.renewed_ms);
     }
 }
 
 static void
-require_confirmation(struct registration *registration)
+require_config_confirmation(struct registration *registration)
 {
-    registration->confirm_ms = registration_now(registration);
+    registration->config_confirm_after_ms = registration_now(registration);
     registration->options.refresh_config(registration->options.ctx);
 }
 
 static void
-tell_until(struct registration *registration)
+report_lease(struct registration *registration)
 {
-    count_renewal(registration);
+    apply_renewal(registration);
     int64_t until_ms = freshness_until_ms(registration->freshness);
-    if (until_ms != registration->until_ms) {
-        registration->until_ms = until_ms;
+    if (until_ms != registration->lease_until_ms) {
+        registration->lease_until_ms = until_ms;
         registration->options.listener.lease_changed(
             registration->options.listener.ctx, until_ms);
     }
@@ -100,16 +100,16 @@
 registration_fence(struct registration *registration)
 {
     freshness_fence(registration->freshness);
-    tell_until(registration);
-    if (!registration->told_fenced && !registration->leaving) {
-        registration->told_fenced = true;
+    report_lease(registration);
+    if (!registration->fenced_reported && !registration->leaving) {
+        registration->fenced_reported = true;
         registration->options.listener.fenced(
             registration->options.listener.ctx);
     }
 }
 
 static void
-tell_members(struct registration *registration)
+report_members(struct registration *registration)
 {
     const struct members_record *record =
         members_current(registration->members);
@@ -134,7 +134,7 @@
 }
 
 static void
-follow_voters(struct registration *registration)
+update_voters(struct registration *registration)
 {
     const struct members_record *record =
         members_current(registration->members);
@@ -150,11 +150,11 @@
 }
 
 static struct message
-make_beat(struct registration *registration)
+make_heartbeat(struct registration *registration)
 {
     int64_t now_ms = registration_now(registration);
-    uint64_t number = ++registration->beat_number;
-    registration->beat_asked_ms[number % BEATS_KEPT] = now_ms;
+    uint64_t number = ++registration->heartbeat_number;
+    registration->heartbeat_sent_ms[number % HEARTBEATS_REMEMBERED] = now_ms;
     freshness_supported(registration->freshness, registration->incarnation,
                         now_ms);
     return (struct message){
@@ -167,38 +167,39 @@
 }
 
 static void
-send_beats(struct registration *registration)
+broadcast_heartbeat(struct registration *registration)
 {
-    struct message beat = make_beat(registration);
-    peers_broadcast(registration->options.peers, &beat);
+    struct message heartbeat = make_heartbeat(registration);
+    peers_broadcast(registration->options.peers, &heartbeat);
 }
 
 void
 registration_peer_linked(struct registration *registration, const char *peer)
 {
-    struct message beat = make_beat(registration);
-    peers_send(registration->options.peers, peer, &beat);
+    struct message heartbeat = make_heartbeat(registration);
+    peers_send(registration->options.peers, peer, &heartbeat);
 }
 
 void
-registration_take(struct registration *registration,
-                  const struct members_record *record)
+registration_take_members(struct registration *registration,
+                          const struct members_record *record)
 {
     if (!members_take(registration->members, record,
                       registration_now(registration))) {
         return;
     }
-    follow_voters(registration);
+    update_voters(registration);
     if (members_fenced(registration->members)) {
         registration_fence(registration);
     }
-    tell_members(registration);
-    /* Peers learn at once that this gateway knows the new epoch. */
-    send_beats(registration);
+    report_members(registration);
+    /* Acknowledges the new epoch to the peers without waiting for the next
+     * heartbeat. */
+    broadcast_heartbeat(registration);
 }
 
 static void
-hand_over_reclaims(struct registration *registration)
+start_reclaims(struct registration *registration)
 {
     const struct members_record *record =
         members_current(registration->members);
@@ -207,12 +208,14 @@
     lease_ms = MAX(lease_ms, registration->renewal.lease_ms);
     for (size_t i = 0; i < record->n_entries; i++) {
         const char *incarnation = record->entries[i].incarnation;
-        if (g_hash_table_contains(registration->handed, incarnation) ||
+        if (g_hash_table_contains(registration->reclaims_started,
+                                  incarnation) ||
             !members_reclaimable(registration->members, incarnation, lease_ms,
                                  registration_now(registration))) {
             continue;
         }
-        g_hash_table_add(registration->handed, g_strdup(incarnation));
+        g_hash_table_add(registration->reclaims_started,
+                         g_strdup(incarnation));
         log_line(LOG_LEVEL_INFO, "reclaim", "incarnation=%s",
                  log_quote(incarnation));
         registration->options.listener.reclaim_permits(
@@ -221,7 +224,7 @@
 }
 
 static void
-tell_counters(struct registration *registration)
+update_counters(struct registration *registration)
 {
     struct counters *counters = registration->options.counters;
     const struct members_record *record =
@@ -236,7 +239,8 @@
     counters_set(counters, "egret_members", "state=\"other\"",
                  (int64_t)(record->n_entries - n_live));
     counters_set(counters, "egret_standing", NULL,
-                 registration->until_ms > registration_now(registration));
+                 registration->lease_until_ms >
+                     registration_now(registration));
 }
 
 void
@@ -245,16 +249,16 @@
     if (registration->closed) {
         return;
     }
-    tell_until(registration);
+    report_lease(registration);
     bool gone = members_fenced(registration->members);
     if (gone && registration->leaving && !registration->renewal.deleting) {
         registration_renewal_delete(registration);
     }
-    if (gone || registration->told_fenced) {
+    if (gone || registration->fenced_reported) {
         return;
     }
-    registration_record_write(registration);
-    hand_over_reclaims(registration);
+    registration_members_write(registration);
+    start_reclaims(registration);
 }
 
 static gboolean
@@ -262,32 +266,32 @@
 {
     struct registration *registration = ctx;
     int64_t now_ms = registration_now(registration);
-    int64_t gap_ms = now_ms - registration->ticked_ms;
-    registration->ticked_ms = now_ms;
+    int64_t gap_ms = now_ms - registration->last_tick_ms;
+    registration->last_tick_ms = now_ms;
     const struct registration_options *options = &registration->options;
     if (gap_ms >= options->settings->support_ms / 2) {
-        require_confirmation(registration);
+        require_config_confirmation(registration);
     }
     else if (options->config_confirmed_ms(options->ctx) <
-             registration->confirm_ms) {
+             registration->config_confirm_after_ms) {
         options->refresh_config(options->ctx);
     }
-    send_beats(registration);
-    if (!registration->told_fenced) {
+    broadcast_heartbeat(registration);
+    if (!registration->fenced_reported) {
         registration_renewal_send(registration);
-        registration_record_poll(registration);
+        registration_members_poll(registration);
     }
     if (members_unheard(registration->members,
                         registration_now(registration))) {
         registration_renewal_read_others(registration);
     }
     registration_advance(registration);
-    tell_counters(registration);
+    update_counters(registration);
     return G_SOURCE_CONTINUE;
 }
 
 static void
-push_record(struct registration *registration, const char *peer)
+send_members_record(struct registration *registration, const char *peer)
 {
     const struct members_record *record =
         members_current(registration->members);
@@ -301,60 +305,62 @@
 }
 
 static void
-note_peer(struct registration *registration, const char *peer,
-          const struct message_beat *beat)
+observe_peer(struct registration *registration, const char *peer,
+             const struct message_beat *heartbeat)
 {
-    members_heard(registration->members, peer, beat->epoch,
+    members_heard(registration->members, peer, heartbeat->epoch,
                   registration_now(registration));
     uint64_t generation =
         registration->options.generation(registration->options.ctx);
-    if (beat->generation > generation) {
+    if (heartbeat->generation > generation) {
         registration->options.newer_config(registration->options.ctx, peer);
     }
 }
 
 static void
-on_beat(struct registration *registration, const char *peer,
-        const struct message_beat *beat)
+on_heartbeat(struct registration *registration, const char *peer,
+             const struct message_beat *heartbeat)
 {
-    note_peer(registration, peer, beat);
+    observe_peer(registration, peer, heartbeat);
     uint64_t epoch = members_current(registration->members)->epoch;
     struct message answer = {
         .type = MESSAGE_BEAT_ACK,
-        .as.beat = {.number = beat->number,
+        .as.beat = {.number = heartbeat->number,
                     .generation = registration->options.generation(
                         registration->options.ctx),
                     .epoch = epoch,
                     .supports = members_supports(registration->members, peer,
-                                                 beat->epoch)},
+                                                 heartbeat->epoch)},
     };
     peers_send(registration->options.peers, peer, &answer);
-    if (beat->epoch < epoch) {
-        push_record(registration, peer);
+    if (heartbeat->epoch < epoch) {
+        send_members_record(registration, peer);
     }
     registration_advance(registration);
 }
 
 static void
-on_beat_ack(struct registration *registration, const char *peer,
-            const struct message_beat *beat)
-{
-    note_peer(registration, peer, beat);
-    bool recent = beat->number <= registration->beat_number &&
-                  registration->beat_number - beat->number < BEATS_KEPT;
-    bool current = beat->generation <=
+on_heartbeat_ack(struct registration *registration, const char *peer,
+                 const struct message_beat *heartbeat)
+{
+    observe_peer(registration, peer, heartbeat);
+    bool recent = heartbeat->number <= registration->heartbeat_number &&
+                  registration->heartbeat_number - heartbeat->number <
+                      HEARTBEATS_REMEMBERED;
+    bool current = heartbeat->generation <=
                    registration->options.generation(registration->options.ctx);
-    if (beat->supports && recent && current) {
+    if (heartbeat->supports && recent && current) {
         freshness_supported(
             registration->freshness, peer,
-            registration->beat_asked_ms[beat->number % BEATS_KEPT]);
+            registration->heartbeat_sent_ms[heartbeat->number %
+                                            HEARTBEATS_REMEMBERED]);
     }
     registration_advance(registration);
 }
 
 static void
-on_pushed_record(struct registration *registration,
-                 const struct message_members *members)
+on_members_message(struct registration *registration,
+                   const struct message_members *members)
 {
     if (members->epoch <= members_current(registration->members)->epoch) {
         return;
@@ -366,7 +372,7 @@
     if (record == NULL) {
         return;
     }
-    registration_take(registration, record);
+    registration_take_members(registration, record);
     members_record_destroy(record);
     registration_advance(registration);
 }
@@ -377,13 +383,13 @@
 {
     switch (message->type) {
     case MESSAGE_BEAT:
-        on_beat(registration, peer, &message->as.beat);
+        on_heartbeat(registration, peer, &message->as.beat);
         return;
     case MESSAGE_BEAT_ACK:
-        on_beat_ack(registration, peer, &message->as.beat);
+        on_heartbeat_ack(registration, peer, &message->as.beat);
         return;
     case MESSAGE_MEMBERS:
-        on_pushed_record(registration, &message->as.members);
+        on_members_message(registration, &message->as.members);
         return;
     default:
         return;
@@ -435,17 +441,17 @@
     struct registration *registration = g_rc_box_new0(struct registration);
     registration->options = *options;
     registration->incarnation = g_strdup(options->incarnation);
-    registration->until_ms = INT64_MIN;
+    registration->lease_until_ms = INT64_MIN;
     registration->renewal.renewed_ms = INT64_MIN;
-    registration->ticked_ms = registration_now(registration);
+    registration->last_tick_ms = registration_now(registration);
     registration->members = create_members(options);
     registration->freshness =
         freshness_create(options->incarnation, options->settings->support_ms);
-    registration->handed =
+    registration->reclaims_started =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    require_confirmation(registration);
+    require_config_confirmation(registration);
     registration_renewal_start(registration);
-    registration_record_start(registration);
+    registration_members_start(registration);
     registration->tick = g_timeout_add((guint)options->settings->heartbeat_ms,
                                        on_tick, registration);
     return registration;
@@ -467,27 +473,27 @@
 }
 
 void
-registration_left(struct registration *registration)
+registration_leave_finished(struct registration *registration)
 {
     if (registration->leave_timer != 0) {
         g_source_remove(registration->leave_timer);
         registration->leave_timer = 0;
     }
-    void (*left)(void *ctx) = registration->left;
-    registration->left = NULL;
-    if (left != NULL) {
-        left(registration->left_ctx);
+    void (*leave_done)(void *ctx) = registration->leave_done;
+    registration->leave_done = NULL;
+    if (leave_done != NULL) {
+        leave_done(registration->leave_ctx);
     }
 }
 
 static gboolean
-on_leave_late(void *ctx)
+on_leave_timeout(void *ctx)
 {
     struct registration *registration = ctx;
     registration->leave_timer = 0;
     log_line(LOG_LEVEL_WARN, "leave-late", "incarnation=%s",
              registration->incarnation);
-    registration_left(registration);
+    registration_leave_finished(registration);
     return G_SOURCE_REMOVE;
 }
 
@@ -496,15 +502,16 @@
                    void *ctx)
 {
     registration->leaving = true;
-    registration->left = done;
-    registration->left_ctx = ctx;
+    registration->leave_done = done;
+    registration->leave_ctx = ctx;
     members_leave(registration->members);
     registration_fence(registration);
     registration->leave_timer =
-        g_timeout_add(LEAVE_MAX_MS, on_leave_late, registration);
-    if (members_live(registration->members) || registration->record.busy) {
+        g_timeout_add(LEAVE_TIMEOUT_MS, on_leave_timeout, registration);
+    if (members_live(registration->members) ||
+        registration->stored.write_pending) {
         registration_advance(registration);
         return;
     }
-    registration_left(registration);
+    registration_leave_finished(registration);
 }
--- a/egretd/registration_record.c
+++ b/egretd/registration_members.c
@@ -7,8 +7,8 @@
 #include "store/store_keys.h"
 
 enum {
-    /* Reads that back up the watch. */
-    POLL_MS = 10 * 1000,
+    /* Between reads in case the watch misses a change. */
+    POLL_INTERVAL_MS = 10 * 1000,
 };
 
 static void
@@ -25,12 +25,12 @@
                      "egret_records_damaged_total", "record=\"members\"", 1);
         return;
     }
-    if (entry->version > registration->record.version) {
-        registration->record.read = true;
-        registration->record.version = entry->version;
-        registration->record.epoch = record->epoch;
+    if (entry->version > registration->stored.version) {
+        registration->stored.known = true;
+        registration->stored.version = entry->version;
+        registration->stored.epoch = record->epoch;
     }
-    registration_take(registration, record);
+    registration_take_members(registration, record);
     members_record_destroy(record);
 }
 
@@ -42,7 +42,7 @@
         take_entry(registration, &result->entries[0]);
     }
     else if (result->status.code == STATUS_NOT_FOUND) {
-        registration->record.read = true;
+        registration->stored.known = true;
     }
 }
 
@@ -54,9 +54,10 @@
     registration_advance(registration);
 }
 
-/* After a call that failed the next beat tries again, not this moment. */
+/* After a call that did not reach the store, the next heartbeat retries:
+ * retrying at once would loop while the store is down. */
 static bool
-reached(const struct store_result *result)
+store_reached(const struct store_result *result)
 {
     return result->status.code != STATUS_UNAVAILABLE &&
            result->status.code != STATUS_UNKNOWN;
@@ -66,12 +67,12 @@
 on_read(void *ctx, const struct store_result *result)
 {
     struct registration *registration = ctx;
-    registration->record.reading = false;
+    registration->stored.read_pending = false;
     if (!registration_call_ended(registration)) {
         return;
     }
     take_result(registration, result);
-    if (reached(result)) {
+    if (store_reached(result)) {
         registration_advance(registration);
     }
 }
@@ -79,29 +80,29 @@
 static void
 read_record(struct registration *registration)
 {
-    if (registration->record.reading) {
+    if (registration->stored.read_pending) {
         return;
     }
-    registration->record.reading = true;
-    registration->record.polled_ms = registration_now(registration);
+    registration->stored.read_pending = true;
+    registration->stored.read_ms = registration_now(registration);
     store_get(registration->options.store, STORE_KEY_MEMBERS,
               registration_callback(registration, on_read));
 }
 
 void
-registration_record_start(struct registration *registration)
+registration_members_start(struct registration *registration)
 {
-    registration->record.polled_ms = registration_now(registration);
+    registration->stored.read_ms = registration_now(registration);
     registration->watch = store_watch_create(
         registration->options.store, STORE_KEY_MEMBERS,
         (struct store_callback){.done = on_watch, .ctx = registration});
 }
 
 void
-registration_record_poll(struct registration *registration)
+registration_members_poll(struct registration *registration)
 {
-    if (registration_now(registration) - registration->record.polled_ms >=
-        POLL_MS) {
+    if (registration_now(registration) - registration->stored.read_ms >=
+        POLL_INTERVAL_MS) {
         read_record(registration);
     }
 }
@@ -110,26 +111,28 @@
 on_proposed(void *ctx, const struct store_result *result)
 {
     struct registration *registration = ctx;
-    struct registration_record *state = &registration->record;
-    struct members_record *proposal = state->proposal;
-    state->proposal = NULL;
-    state->busy = false;
+    struct stored_members *stored = &registration->stored;
+    struct members_record *proposal = stored->proposal;
+    stored->proposal = NULL;
+    stored->write_pending = false;
     if (!registration_call_ended(registration)) {
         members_record_destroy(proposal);
         return;
     }
     if (status_ok(&result->status)) {
-        registration_take(registration, proposal);
+        registration_take_members(registration, proposal);
     }
     members_record_destroy(proposal);
-    if (result->n_entries > 0 && result->entries[0].version > state->version) {
+    if (result->n_entries > 0 &&
+        result->entries[0].version > stored->version) {
         take_entry(registration, &result->entries[0]);
     }
     else {
-        /* The write went through without a version, or was refused or lost. */
+        /* The answer has no newer record: the write succeeded without a
+         * version, was refused, or its outcome is unknown. */
         read_record(registration);
     }
-    if (reached(result)) {
+    if (store_reached(result)) {
         registration_advance(registration);
     }
 }
@@ -137,31 +140,32 @@
 static void
 propose(struct registration *registration, const struct members_action *action)
 {
-    struct registration_record *state = &registration->record;
+    struct stored_members *stored = &registration->stored;
     log_line(LOG_LEVEL_INFO, "members-propose",
              "reason=%s incarnation=%s epoch=%" PRIu64, action->reason,
              log_quote(action->incarnation), action->proposal->epoch);
-    state->busy = true;
-    state->proposal = members_record_copy(action->proposal);
+    stored->write_pending = true;
+    stored->proposal = members_record_copy(action->proposal);
     char *text = members_json_format(action->proposal);
     store_cas(registration->options.store, STORE_KEY_MEMBERS, text,
-              strlen(text), state->version,
+              strlen(text), stored->version,
               registration_callback(registration, on_proposed));
     g_free(text);
 }
 
 static void
-on_cleared(void *ctx, const struct store_result *result)
+on_renewal_deleted(void *ctx, const struct store_result *result)
 {
     struct registration *registration = ctx;
-    struct registration_record *state = &registration->record;
-    char *incarnation = state->clearing;
-    state->clearing = NULL;
-    state->busy = false;
+    struct stored_members *stored = &registration->stored;
+    char *incarnation = stored->deleting_renewal;
+    stored->deleting_renewal = NULL;
+    stored->write_pending = false;
     if (registration_call_ended(registration)) {
         if (status_ok(&result->status)) {
             members_beat(registration->members, incarnation, 0, 0,
-                         state->asked_ms, registration_now(registration));
+                         stored->delete_sent_ms,
+                         registration_now(registration));
         }
         else {
             registration_renewal_read_others(registration);
@@ -171,33 +175,36 @@
 }
 
 static void
-clear(struct registration *registration, const struct members_action *action)
+delete_renewal(struct registration *registration,
+               const struct members_action *action)
 {
-    struct registration_record *state = &registration->record;
-    state->busy = true;
-    state->clearing = g_strdup(action->incarnation);
-    state->asked_ms = registration_now(registration);
+    struct stored_members *stored = &registration->stored;
+    stored->write_pending = true;
+    stored->deleting_renewal = g_strdup(action->incarnation);
+    stored->delete_sent_ms = registration_now(registration);
     char *key = g_strconcat(STORE_KEY_BEATS, action->incarnation, NULL);
     store_delete(registration->options.store, key, action->version,
-                 registration_callback(registration, on_cleared));
+                 registration_callback(registration, on_renewal_deleted));
     g_free(key);
 }
 
 void
-registration_record_write(struct registration *registration)
+registration_members_write(struct registration *registration)
 {
-    struct registration_record *state = &registration->record;
+    struct stored_members *stored = &registration->stored;
     struct members_action action;
-    /* Without a renewal record a registered gateway could not be fenced. */
-    if (state->busy || !state->read || !registration->renewal.created ||
+    /* Registers only once the renewal record exists: fencing deletes that
+     * record, so a gateway without one could not be fenced. */
+    if (stored->write_pending || !stored->known ||
+        !registration->renewal.created ||
         !members_next(registration->members, registration_now(registration),
                       &action)) {
         return;
     }
     if (action.step == MEMBERS_CLEAR_BEAT) {
-        clear(registration, &action);
+        delete_renewal(registration, &action);
     }
-    else if (state->epoch == members_current(registration->members)->epoch) {
+    else if (stored->epoch == members_current(registration->members)->epoch) {
         propose(registration, &action);
     }
     else {
--- a/egretd/registration_renewal.c
+++ b/egretd/registration_renewal.c
@@ -6,35 +6,36 @@
 #include "store/store_keys.h"
 
 static void
-note_version(struct registration *registration, uint64_t version)
+set_version(struct registration *registration, uint64_t version)
 {
     struct registration_renewal *renewal = &registration->renewal;
     renewal->created = true;
-    renewal->lost = version <= renewal->version;
+    renewal->version_unknown = version <= renewal->version;
     renewal->version = version;
     members_beat(registration->members, registration->incarnation, version,
-                 renewal->lease_ms, renewal->asked_ms,
+                 renewal->lease_ms, renewal->sent_ms,
                  registration_now(registration));
 }
 
 static void
-on_own_read(void *ctx, const struct store_result *result)
+on_own_renewal_read(void *ctx, const struct store_result *result)
 {
     struct registration *registration = ctx;
     struct registration_renewal *renewal = &registration->renewal;
-    renewal->busy = false;
+    renewal->call_pending = false;
     if (!registration_call_ended(registration)) {
         return;
     }
     if (result->n_entries > 0) {
         renewal->created = true;
-        renewal->lost = false;
+        renewal->version_unknown = false;
         renewal->version = result->entries[0].version;
     }
     else if (result->status.code == STATUS_NOT_FOUND) {
-        renewal->lost = false;
+        renewal->version_unknown = false;
         if (renewal->created) {
-            /* Only fencing deletes it; it is never made a second time. */
+            /* Only fencing deletes the record, and one incarnation never
+             * creates it a second time. */
             registration_fence(registration);
         }
     }
@@ -45,26 +46,26 @@
 {
     struct registration *registration = ctx;
     struct registration_renewal *renewal = &registration->renewal;
-    renewal->busy = false;
+    renewal->call_pending = false;
     if (!registration_call_ended(registration)) {
         return;
     }
     if (status_ok(&result->status)) {
-        renewal->renewed_ms = renewal->asked_ms;
-        note_version(registration, result->entries[0].version);
+        renewal->renewed_ms = renewal->sent_ms;
+        set_version(registration, result->entries[0].version);
     }
     else if (result->status.code != STATUS_UNAVAILABLE) {
-        renewal->lost = true;
+        renewal->version_unknown = true;
     }
     registration_advance(registration);
 }
 
 static void
-read_own(struct registration *registration)
+read_own_renewal(struct registration *registration)
 {
-    registration->renewal.busy = true;
+    registration->renewal.call_pending = true;
     store_get(registration->options.store, registration->renewal.key,
-              registration_callback(registration, on_own_read));
+              registration_callback(registration, on_own_renewal_read));
 }
 
 void
@@ -81,22 +82,23 @@
 {
     struct registration_renewal *renewal = &registration->renewal;
     const struct settings *settings = registration->options.settings;
-    int64_t pace_ms = (settings->support_ms - settings->heartbeat_ms) / 2;
-    bool fresh = renewal->renewed_ms == renewal->asked_ms &&
-                 registration_now(registration) - renewal->asked_ms < pace_ms;
-    if (renewal->busy || fresh) {
+    int64_t interval_ms = (settings->support_ms - settings->heartbeat_ms) / 2;
+    bool recent =
+        renewal->renewed_ms == renewal->sent_ms &&
+        registration_now(registration) - renewal->sent_ms < interval_ms;
+    if (renewal->call_pending || recent) {
         return;
     }
-    if (renewal->lost) {
-        read_own(registration);
+    if (renewal->version_unknown) {
+        read_own_renewal(registration);
         return;
     }
     int64_t lease_ms =
         registration->options.longest_task_lease_ms(registration->options.ctx);
     renewal->lease_ms = MAX(renewal->lease_ms, lease_ms);
-    renewal->asked_ms = registration_now(registration);
-    renewal->busy = true;
-    char *text = beat_json_format(++renewal->beat, renewal->lease_ms);
+    renewal->sent_ms = registration_now(registration);
+    renewal->call_pending = true;
+    char *text = renewal_json_format(++renewal->number, renewal->lease_ms);
     store_cas(registration->options.store, renewal->key, text, strlen(text),
               renewal->version,
               registration_callback(registration, on_renewed));
@@ -104,7 +106,7 @@
 }
 
 static const struct store_entry *
-find_beat(const struct store_result *result, const char *incarnation)
+find_renewal(const struct store_result *result, const char *incarnation)
 {
     size_t prefix_bytes = strlen(STORE_KEY_BEATS);
     for (size_t i = 0; i < result->n_entries; i++) {
@@ -118,23 +120,24 @@
 }
 
 static void
-observe_beat(struct registration *registration,
-             const struct store_result *result, const char *incarnation)
+observe_renewal(struct registration *registration,
+                const struct store_result *result, const char *incarnation)
 {
-    const struct store_entry *entry = find_beat(result, incarnation);
+    const struct store_entry *entry = find_renewal(result, incarnation);
     uint64_t version = entry == NULL ? 0 : entry->version;
     int64_t lease_ms =
         entry == NULL ? 0
-                      : beat_json_lease_ms(entry->value, entry->size_bytes);
+                      : renewal_json_lease_ms(entry->value, entry->size_bytes);
     members_beat(registration->members, incarnation, version, lease_ms,
-                 registration->beats_asked_ms, registration_now(registration));
+                 registration->renewals_read_sent_ms,
+                 registration_now(registration));
 }
 
 static void
 on_others_read(void *ctx, const struct store_result *result)
 {
     struct registration *registration = ctx;
-    registration->reading_beats = false;
+    registration->renewals_read_pending = false;
     if (!registration_call_ended(registration)) {
         return;
     }
@@ -147,7 +150,7 @@
     for (size_t i = 0; i < record->n_entries; i++) {
         const char *incarnation = record->entries[i].incarnation;
         if (strcmp(incarnation, registration->incarnation) != 0) {
-            observe_beat(registration, result, incarnation);
+            observe_renewal(registration, result, incarnation);
         }
     }
     registration_advance(registration);
@@ -156,11 +159,11 @@
 void
 registration_renewal_read_others(struct registration *registration)
 {
-    if (registration->reading_beats) {
+    if (registration->renewals_read_pending) {
         return;
     }
-    registration->reading_beats = true;
-    registration->beats_asked_ms = registration_now(registration);
+    registration->renewals_read_pending = true;
+    registration->renewals_read_sent_ms = registration_now(registration);
     store_get(registration->options.store, STORE_KEY_BEATS,
               registration_callback(registration, on_others_read));
 }
@@ -170,7 +173,7 @@
 {
     struct registration *registration = ctx;
     if (registration_call_ended(registration)) {
-        registration_left(registration);
+        registration_leave_finished(registration);
     }
 }
 
--- a/include/egretd/registration.h
+++ b/include/egretd/registration.h
@@ -1,4 +1,10 @@
-/* Registration, renewal, support, fencing and reclaiming of gateways. */
+/*
+ * Registration of this gateway among the others.
+ *
+ * Registers the incarnation in the members record, keeps its quorum lease by
+ * renewals at the store and by lease grants of peers, fences gateways that
+ * have become unresponsive, and starts to reclaim their permits.
+ */
 #ifndef EGRETD_REGISTRATION_H
 #define EGRETD_REGISTRATION_H
 
@@ -8,7 +14,10 @@
 #include "egretd/peers.h"
 #include "store/store.h"
 
-/** struct gateway_member - a registered gateway, as in the members record */
+/**
+ * struct gateway_member - a registered gateway, as in the members record
+ * @live: neither fenced nor declared gone by an operator
+ */
 struct gateway_member {
     char *incarnation;
     char *name;
@@ -20,12 +29,13 @@
 };
 
 /**
- * struct registration_listener - told about changes
- * @lease_changed: this gateway may start work before @until_ms
- * @members: the registered gateways changed
- * @fenced: this incarnation was fenced; the process must start anew
- * @reclaim_permits: the permits of a fenced gateway may move; answered with
- *           registration_permits_reclaimed() once none are left
+ * struct registration_listener - notified of changes
+ * @lease_changed: the quorum lease now ends at @until_ms; this gateway may
+ *                 start work only before that
+ * @members_changed: the registered gateways changed
+ * @fenced: this incarnation was fenced; a new incarnation has to register
+ * @reclaim_permits: the permits of a fenced gateway may be reclaimed; call
+ *                   registration_permits_reclaimed() once none are left
  */
 struct registration_listener {
     void (*lease_changed)(void *ctx, int64_t until_ms);
@@ -37,14 +47,15 @@
 };
 
 /**
- * struct registration_options - parts it works with
- * @generation: returns the configuration generation in force, sent with
- *              beats
+ * struct registration_options - what the registration works with
+ * @generation: returns the active configuration generation, which heartbeats
+ *              carry
  * @newer_config: called when @peer has a newer configuration generation
- * @refresh_config: asks the store for the newest generation
- * @config_confirmed_ms: when the newest read was sent that found nothing
- * newer than the generation in force
- * @longest_task_lease_ms: returns the longest lease handed to backend servers
+ * @refresh_config: starts a read of the newest generation at the store
+ * @config_confirmed_ms: returns when the last read was sent that found no
+ *                       generation newer than the active one
+ * @longest_task_lease_ms: returns the longest lease that a task gets at a
+ *                         backend server
  */
 struct registration_options {
     const struct settings *settings;
@@ -71,32 +82,35 @@
 void
 registration_destroy(struct registration *registration);
 
-/** registration_handle_message() - a beat, its answer or a members record. */
+/** registration_handle_message() - handle a heartbeat, its answer or a members
+ * record from a peer. */
 void
 registration_handle_message(struct registration *registration,
                             const char *peer, const struct message *message);
 
-/** registration_peer_linked() - a link to @peer is up. */
+/** registration_peer_linked() - a link to @peer came up; sends it a heartbeat.
+ */
 void
 registration_peer_linked(struct registration *registration, const char *peer);
 
-/** registration_peer_replaced() - the process of @incarnation has ended:
- * another one answers at its address. */
+/** registration_peer_replaced() - another incarnation answers at the address
+ * of @incarnation, so its process has ended. */
 void
 registration_peer_replaced(struct registration *registration,
                            const char *incarnation);
 
-/** registration_permits_reclaimed() - no permits of @incarnation are left. */
+/** registration_permits_reclaimed() - no permit record names @incarnation any
+ * more. */
 void
 registration_permits_reclaimed(struct registration *registration,
                                const char *incarnation);
 
-/** registration_epoch() - epoch of the members record in force here. */
+/** registration_epoch() - epoch of the newest members record known here. */
 uint64_t
 registration_epoch(const struct registration *registration);
 
-/** registration_leave() - give the registration back at shutdown; @done is
- * called once, also when the store can't be reached. */
+/** registration_leave() - unregister at shutdown; @done is called once, after
+ * a time-out if the store can't be reached. */
 void
 registration_leave(struct registration *registration, void (*done)(void *ctx),
                    void *ctx);
