--- a/egretjobd/leader.c
+++ b/egretjobd/leader.c
@@ -15,10 +15,10 @@
     READ_TIMEOUT_MS = 1500,
     WRITE_TIMEOUT_MS = 1200,
     BACKEND_WATCH_TIMEOUT_MS = 2000,
-    /* Decisions are taken once per this time, on all that came meanwhile. */
-    TICK_SOON_MS = 6,
-    HOSTS_PERIOD_MS = 1000,
-    STEPS_BYTES = 300,
+    /* Events within this time are handled by one scheduling pass. */
+    TICK_DELAY_MS = 6,
+    HOST_LIST_INTERVAL_MS = 1000,
+    STEPS_TEXT_BYTES = 300,
 };
 
 void
@@ -32,13 +32,13 @@
 }
 
 void
-leader_tick_soon(struct leader *leader)
+leader_schedule_tick(struct leader *leader)
 {
-    if (leader->tick_soon || leader->stage < STAGE_READY) {
+    if (leader->tick_scheduled || leader->stage < STAGE_READY) {
         return;
     }
-    leader->tick_soon = true;
-    timer_set(leader->tick, TICK_SOON_MS);
+    leader->tick_scheduled = true;
+    timer_set(leader->tick_timer, TICK_DELAY_MS);
 }
 
 static void
@@ -47,7 +47,7 @@
     (void)fd;
     (void)events;
     struct leader *leader = ctx;
-    leader->tick_soon = false;
+    leader->tick_scheduled = false;
     if (leader->stage < STAGE_READY) {
         return;
     }
@@ -58,11 +58,12 @@
                         "a backend server has seen a newer fencing token");
         return;
     }
-    leader_flush(leader);
+    leader_store_changes(leader);
     host_commands_flush(leader->host_commands);
-    leader_report_waves(leader);
-    if (!leader->tick_soon) {
-        timer_set(leader->tick, MAX(next_ms - node_now(leader->node), 1));
+    leader_store_wave_status(leader);
+    if (!leader->tick_scheduled) {
+        timer_set(leader->tick_timer,
+                  MAX(next_ms - node_now(leader->node), 1));
     }
 }
 
@@ -83,11 +84,11 @@
 }
 
 static void
-on_flush_timer(evutil_socket_t fd, short events, void *ctx)
+on_store_timer(evutil_socket_t fd, short events, void *ctx)
 {
     (void)fd;
     (void)events;
-    leader_flush(ctx);
+    leader_store_changes(ctx);
 }
 
 static void
@@ -98,7 +99,7 @@
     struct leader *leader = ctx;
     hosts_api_list(leader->hosts);
     leader_drop_unused_clients(leader);
-    timer_set(leader->hosts_timer, HOSTS_PERIOD_MS);
+    timer_set(leader->hosts_timer, HOST_LIST_INTERVAL_MS);
 }
 
 static void
@@ -118,7 +119,7 @@
     struct leader *leader = ctx;
     leader_update_validity(leader);
     scheduler_on_host_command(leader->sched, host, wave, answer);
-    leader_tick_soon(leader);
+    leader_schedule_tick(leader);
 }
 
 static void
@@ -127,7 +128,7 @@
     struct leader *leader = ctx;
     leader_update_validity(leader);
     scheduler_on_advice(leader->sched, answer);
-    leader_tick_soon(leader);
+    leader_schedule_tick(leader);
 }
 
 static void
@@ -172,11 +173,11 @@
             node->base, node->settings->advice_address,
             (struct advice_callback){.call = on_advice, .ctx = leader});
     }
-    leader->tick = evtimer_new(node->base, on_tick, leader);
+    leader->tick_timer = evtimer_new(node->base, on_tick, leader);
     leader->watch_timer = evtimer_new(node->base, on_watch_timer, leader);
     leader->inbox_timer = evtimer_new(node->base, on_inbox_timer, leader);
     leader->hosts_timer = evtimer_new(node->base, on_hosts_timer, leader);
-    leader->flush_timer = evtimer_new(node->base, on_flush_timer, leader);
+    leader->store_timer = evtimer_new(node->base, on_store_timer, leader);
     leader->backend_clients =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, client_destroy);
     leader->progress = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
@@ -191,7 +192,7 @@
     leader->sched = scheduler_create(&node->settings->timings, &ops, term,
                                      node->clock, node->unix_clock);
     leader->host_commands = host_commands_create(leader);
-    leader_load(leader);
+    leader_load_records(leader);
     timer_set(leader->hosts_timer, 0);
     return leader;
 }
@@ -216,8 +217,8 @@
         return;
     }
     struct event *timers[] = {
-        leader->tick,        leader->watch_timer, leader->inbox_timer,
-        leader->hosts_timer, leader->flush_timer,
+        leader->tick_timer,  leader->watch_timer, leader->inbox_timer,
+        leader->hosts_timer, leader->store_timer,
     };
     for (size_t i = 0; i < G_N_ELEMENTS(timers); i++) {
         event_free(timers[i]);
@@ -227,7 +228,7 @@
     kv_destroy(leader->writes);
     kv_destroy(leader->backend_watch);
     kv_destroy(leader->inbox);
-    leader_load_clear(leader);
+    leader_load_destroy(leader);
     hosts_api_destroy(leader->hosts);
     advice_api_destroy(leader->advice);
     host_commands_destroy(leader->host_commands);
@@ -262,7 +263,7 @@
     }
     scheduler_configure(leader->sched,
                         config_feed_current(leader->node->feed));
-    leader_tick_soon(leader);
+    leader_schedule_tick(leader);
 }
 
 void
@@ -284,7 +285,8 @@
                   size_t bytes)
 {
     if (leader->stage < STAGE_READY) {
-        /* It may be a job sent again that has a stored progress. */
+        /* Held back until the records are read: the job may have been
+         * submitted before and have a progress record. */
         struct kv_item early = {
             .key = (char *)id, .value = (char *)value, .value_bytes = bytes};
         g_ptr_array_add(leader->early_jobs, kv_item_copy(&early));
@@ -299,7 +301,7 @@
         return;
     }
     scheduler_add_job(leader->sched, job);
-    char steps[STEPS_BYTES];
+    char steps[STEPS_TEXT_BYTES];
     job_describe(job, steps, sizeof(steps));
     event_log("job_accepted",
               "\"job\":\"%s\",\"queue\":\"%s\",\"pool\":\"%s\","
@@ -308,7 +310,7 @@
               id, job->queue, job->pool, job->team, job_critical_path_ms(job),
               steps);
     job_unref(job);
-    leader_tick_soon(leader);
+    leader_schedule_tick(leader);
 }
 
 void
@@ -329,8 +331,8 @@
 }
 
 static void
-call_submit(struct leader *leader, const struct job_call *call,
-            struct job_reply reply)
+handle_submit(struct leader *leader, const struct job_call *call,
+              struct job_reply reply)
 {
     if (scheduler_find_job(leader->sched, call->id) != NULL) {
         reply_with(&reply, 200, NULL);
@@ -340,15 +342,15 @@
 }
 
 static void
-call_state(struct leader *leader, const struct job_call *call,
-           struct job_reply reply)
+handle_state(struct leader *leader, const struct job_call *call,
+             struct job_reply reply)
 {
     const struct job *job = scheduler_find_job(leader->sched, call->id);
     if (job == NULL || strcmp(job->queue, call->queue) != 0) {
         job_queries_state(leader->node->job_queries, call->id, reply);
         return;
     }
-    /* An end of a job is told only when it is stored. */
+    /* A final state is reported only once it is stored. */
     bool stored = job->stored_version == job->version;
     enum job_state state =
         stored || job->state == JOB_ACTIVE ? job->state : JOB_ACTIVE;
@@ -356,8 +358,8 @@
 }
 
 static void
-call_cancel(struct leader *leader, const struct job_call *call,
-            struct job_reply reply)
+handle_cancel(struct leader *leader, const struct job_call *call,
+              struct job_reply reply)
 {
     struct job *job = scheduler_find_job(leader->sched, call->id);
     if (job == NULL) {
@@ -373,7 +375,7 @@
     waiter->job = job_ref(job);
     waiter->reply = reply;
     g_ptr_array_add(leader->cancels, waiter);
-    leader_flush(leader);
+    leader_store_changes(leader);
 }
 
 void
@@ -388,13 +390,13 @@
     char *body;
     switch (call->kind) {
     case JOB_CALL_SUBMIT:
-        call_submit(leader, call, reply);
+        handle_submit(leader, call, reply);
         break;
     case JOB_CALL_STATE:
-        call_state(leader, call, reply);
+        handle_state(leader, call, reply);
         break;
     case JOB_CALL_CANCEL:
-        call_cancel(leader, call, reply);
+        handle_cancel(leader, call, reply);
         break;
     case JOB_CALL_QUEUE_LENGTH:
         body =
@@ -408,7 +410,7 @@
 int64_t
 leader_longest_lease_ms(const struct leader *leader)
 {
-    /* Before its records are read the holder before counts. */
+    /* Until the records are read, leases of the previous leader count. */
     return leader_ready(leader) ? scheduler_longest_lease_ms(leader->sched)
                                 : leader->node->settings->timings.lease_max_ms;
 }
--- a/egretjobd/leader_commands.c
+++ b/egretjobd/leader_commands.c
@@ -20,7 +20,7 @@
     leader_update_validity(leader);
     scheduler_on_start(leader->sched, handle, answer, clock_ms);
     if (answer != START_DONE) {
-        leader_tick_soon(leader);
+        leader_schedule_tick(leader);
     }
 }
 
@@ -30,7 +30,7 @@
     struct leader *leader = ctx;
     leader_update_validity(leader);
     scheduler_on_stop(leader->sched, handle, acked);
-    leader_tick_soon(leader);
+    leader_schedule_tick(leader);
 }
 
 static void
@@ -47,7 +47,7 @@
     struct leader *leader = ctx;
     leader_update_validity(leader);
     scheduler_on_report(leader->sched, backend_id, report);
-    leader_tick_soon(leader);
+    leader_schedule_tick(leader);
 }
 
 static struct backend_client *
@@ -144,7 +144,7 @@
 static void
 op_store(void *ctx)
 {
-    leader_tick_soon(ctx);
+    leader_schedule_tick(ctx);
 }
 
 static void
--- a/egretjobd/leader_inbox.c
+++ b/egretjobd/leader_inbox.c
@@ -1,7 +1,7 @@
 /*
- * Messages for the scheduler: jobs and cancels that another process stored
- * while it could not reach this one. The whole list is read again and again,
- * since a watch may miss a change; what is dealt with and stored is deleted.
+ * Messages for the scheduler about jobs and cancels that another process
+ * stored while it could not reach the leader. The inbox is polled, since a
+ * watch may miss a change. A message is deleted once its effect is stored.
  */
 #include "leader_state.h"
 
@@ -10,8 +10,9 @@
 #include "egretjobd/records.h"
 
 enum {
-    INBOX_PERIOD_MS = 500,
-    /* A condition and a deletion each, and the duty: one transaction. */
+    INBOX_INTERVAL_MS = 500,
+    /* Per transaction: a condition and a deletion for each message, and a
+     * condition on the leader's record. */
     DELETES_MAX = 10,
 };
 
@@ -41,7 +42,7 @@
     g_free(key);
 }
 
-/* Whether nothing is left to do about one message. */
+/* Handles one message; true once its effect is stored. */
 static bool
 message_handled(struct leader *leader, const char *id,
                 const struct kv_item *item)
@@ -60,7 +61,7 @@
 static void
 on_deleted(void *ctx, const struct kv_result *result)
 {
-    /* What was not deleted is read and tried again. */
+    /* Messages that were not deleted are read and handled again. */
     (void)ctx;
     (void)result;
 }
@@ -83,7 +84,7 @@
 on_inbox(void *ctx, const struct kv_result *result)
 {
     struct leader *leader = ctx;
-    timer_set(leader->inbox_timer, INBOX_PERIOD_MS);
+    timer_set(leader->inbox_timer, INBOX_INTERVAL_MS);
     if (result->outcome != KV_OK) {
         return;
     }
@@ -108,7 +109,7 @@
         delete_messages(leader, conditions, n_keys + 1, keys, n_keys);
     }
     if (result->items->len > 0) {
-        leader_tick_soon(leader);
+        leader_schedule_tick(leader);
     }
 }
 
--- a/egretjobd/leader_load.c
+++ b/egretjobd/leader_load.c
@@ -1,4 +1,5 @@
-/* Reads the stored state after a takeover, then follows its changes. */
+/* Reads the stored state after a takeover, then watches the backend
+ * servers. */
 #include "leader_state.h"
 
 #include <string.h>
@@ -11,7 +12,8 @@
 
 enum {
     LOAD_RETRY_MS = 100,
-    /* Entries of the host list change often; they are read in lots. */
+    /* Entries of backend servers change often, so changes are read in
+     * batches. */
     BACKEND_WATCH_GAP_MS = 200,
     BACKEND_WATCH_MS = 1000,
     LOAD_TIMEOUT_MS = 1500,
@@ -49,7 +51,7 @@
     job_unref(job);
 }
 
-/* Progress is read before the jobs: only a holder of the duty writes it. */
+/* Progress is applied before the jobs. Only the leader writes it. */
 static void
 apply_progress(struct leader *leader, const char *id,
                const struct kv_item *item)
@@ -91,7 +93,8 @@
     }
 }
 
-/* Hosts of a wave whose maintenance an earlier holder had accepted. */
+/* Applies the hosts of a wave whose maintenance was accepted under an earlier
+ * leader. */
 static void
 apply_wave_hosts(struct leader *leader, const char *number,
                  const struct kv_item *item)
@@ -160,7 +163,7 @@
     leader_add_early_jobs(leader);
     leader_watch_backends(leader);
     leader_read_inbox(leader);
-    leader_tick_soon(leader);
+    leader_schedule_tick(leader);
 }
 
 static void
@@ -211,11 +214,12 @@
     load_page(ctx, NULL);
 }
 
-/* All ranges are read side by side and taken in order at the end: what one
- * read misses of another was written by no earlier holder, since those are
- * barred by now. */
+/* Reads all ranges in parallel and applies them in order at the end. Earlier
+ * leaders can no longer write, since their transactions are conditional on the
+ * leader's record, so no read misses a write of theirs that another read has
+ * seen. */
 void
-leader_load(struct leader *leader)
+leader_load_records(struct leader *leader)
 {
     struct node *node = leader->node;
     for (int stage = 0; stage < STAGE_READY; stage++) {
@@ -232,7 +236,7 @@
 }
 
 void
-leader_load_clear(struct leader *leader)
+leader_load_destroy(struct leader *leader)
 {
     for (int stage = 0; stage < STAGE_READY; stage++) {
         struct record_range *range = &leader->ranges[stage];
@@ -242,7 +246,7 @@
     }
 }
 
-/* After lost history: what is not in the whole list any more is gone. */
+/* After a complete read, removes backend servers that it did not return. */
 static void
 drop_unregistered(struct leader *leader)
 {
@@ -287,7 +291,7 @@
     }
     drop_unregistered(leader);
     leader->backends_as_of = result->as_of;
-    leader_tick_soon(leader);
+    leader_schedule_tick(leader);
     timer_set(leader->watch_timer, 0);
 }
 
@@ -301,11 +305,12 @@
                          g_ptr_array_index(result->items, i));
         }
         leader->backends_as_of = MAX(leader->backends_as_of, result->as_of);
-        leader_tick_soon(leader);
+        leader_schedule_tick(leader);
         timer_set(leader->watch_timer, BACKEND_WATCH_GAP_MS);
         return;
     }
-    /* History is gone, or the connection is silent: read everything. */
+    /* The history was compacted or the connection is unresponsive: read all
+     * entries again. */
     leader->backends_as_of = 0;
     timer_set(leader->watch_timer, WATCH_RETRY_MS);
 }
--- a/egretjobd/leader_state.h
+++ b/egretjobd/leader_state.h
@@ -89,12 +89,12 @@
     struct hosts_api *hosts;
     struct advice_api *advice;
     struct host_commands *host_commands;
-    struct event *tick;
+    struct event *tick_timer;
     struct event *watch_timer;
     struct event *inbox_timer;
     struct event *hosts_timer;
-    struct event *flush_timer;
-    bool tick_soon;
+    struct event *store_timer;
+    bool tick_scheduled;
     GHashTable *backend_clients;
     GHashTable *progress;
     GPtrArray *early_jobs;
@@ -113,18 +113,19 @@
 void
 leader_add_early_jobs(struct leader *leader);
 void
-leader_tick_soon(struct leader *leader);
-/* Tells the scheduler whether the leadership is valid now. */
+leader_schedule_tick(struct leader *leader);
+/* Tells the scheduler whether the leadership is valid now, and whether its
+ * renewal is overdue. */
 void
 leader_update_validity(struct leader *leader);
 
 /* leader_load.c */
 void
-leader_load(struct leader *leader);
+leader_load_records(struct leader *leader);
 void
 leader_watch_backends(struct leader *leader);
 void
-leader_load_clear(struct leader *leader);
+leader_load_destroy(struct leader *leader);
 void
 leader_add_stored_job(struct leader *leader, const char *id,
                       const struct kv_item *item);
@@ -135,9 +136,9 @@
 
 /* leader_store.c */
 void
-leader_flush(struct leader *leader);
+leader_store_changes(struct leader *leader);
 void
-leader_report_waves(struct leader *leader);
+leader_store_wave_status(struct leader *leader);
 
 /* leader_host_commands.c */
 struct host_commands *
--- a/egretjobd/leader_store.c
+++ b/egretjobd/leader_store.c
@@ -1,4 +1,4 @@
-/* Stores what the scheduler decided; effects follow only what is stored. */
+/* Stores the scheduler's decisions. They take effect only once stored. */
 #include "leader_state.h"
 
 #include <string.h>
@@ -10,27 +10,29 @@
 #include "platform/decode.h"
 
 enum {
-    /* A condition and a write per job, and the duty, in one transaction. */
+    /* Per transaction: a condition and a write for each job, and a condition
+     * on the leader's record. */
     BATCH_CHANGES_MAX = 15,
-    /* What comes while one transaction is on its way goes together with the
-     * next, unless the store is slow. */
+    /* Changes that arrive while a transaction is open go into the next one.
+     * Another transaction is opened only if the last one is this late. */
     NEXT_TXN_AFTER_MS = 30,
-    FLUSH_RETRY_MS = 60,
+    STORE_RETRY_MS = 60,
     STATUS_RETRY_MS = 500,
 };
 
-/* Keys and values of one transaction, freed together. */
-struct txn_text {
+/** struct txn_builder - entries of one transaction; owns their keys and
+ * values */
+struct txn_builder {
     GPtrArray *texts;
     GArray *conditions;
     GArray *puts;
     GPtrArray *deletes;
 };
 
-static struct txn_text
-txn_text_create(void)
+static struct txn_builder
+txn_builder_create(void)
 {
-    return (struct txn_text){
+    return (struct txn_builder){
         .texts = g_ptr_array_new_with_free_func(g_free),
         .conditions = g_array_new(FALSE, FALSE, sizeof(struct kv_condition)),
         .puts = g_array_new(FALSE, FALSE, sizeof(struct kv_put)),
@@ -39,63 +41,63 @@
 }
 
 static void
-txn_text_clear(struct txn_text *text)
+txn_builder_clear(struct txn_builder *builder)
 {
-    g_ptr_array_unref(text->texts);
-    g_array_unref(text->conditions);
-    g_array_unref(text->puts);
-    g_ptr_array_unref(text->deletes);
+    g_ptr_array_unref(builder->texts);
+    g_array_unref(builder->conditions);
+    g_array_unref(builder->puts);
+    g_ptr_array_unref(builder->deletes);
 }
 
 static const char *
-add_key(struct txn_text *text, const char *prefix, const char *id)
+add_key(struct txn_builder *builder, const char *prefix, const char *id)
 {
     char *key = g_strconcat(prefix, id, NULL);
-    g_ptr_array_add(text->texts, key);
+    g_ptr_array_add(builder->texts, key);
     return key;
 }
 
 static void
-add_condition(struct txn_text *text, const char *key, int64_t revision)
+add_condition(struct txn_builder *builder, const char *key, int64_t revision)
 {
     struct kv_condition condition = {.key = key, .revision = revision};
-    g_array_append_val(text->conditions, condition);
+    g_array_append_val(builder->conditions, condition);
 }
 
 static void
-add_put(struct txn_text *text, const char *key, char *value)
+add_put(struct txn_builder *builder, const char *key, char *value)
 {
-    g_ptr_array_add(text->texts, value);
+    g_ptr_array_add(builder->texts, value);
     struct kv_put put = {.key = key, .value = value};
-    g_array_append_val(text->puts, put);
+    g_array_append_val(builder->puts, put);
 }
 
 static struct kv_txn
-txn_of(const struct txn_text *text)
+txn_of(const struct txn_builder *builder)
 {
     return (struct kv_txn){
-        .conditions = (struct kv_condition *)text->conditions->data,
-        .n_conditions = text->conditions->len,
-        .puts = (struct kv_put *)text->puts->data,
-        .n_puts = text->puts->len,
-        .deletes = (const char *const *)text->deletes->pdata,
-        .n_deletes = text->deletes->len,
+        .conditions = (struct kv_condition *)builder->conditions->data,
+        .n_conditions = builder->conditions->len,
+        .puts = (struct kv_put *)builder->puts->data,
+        .n_puts = builder->puts->len,
+        .deletes = (const char *const *)builder->deletes->pdata,
+        .n_deletes = builder->deletes->len,
     };
 }
 
 static void
-add_jobs(struct txn_text *text, const struct store_batch *batch)
+add_jobs(struct txn_builder *builder, const struct store_batch *batch)
 {
     for (guint i = 0; i < batch->jobs->len; i++) {
         const struct job *job = g_ptr_array_index(batch->jobs, i);
-        const char *key = add_key(text, RECORD_PROGRESS_PREFIX, job->id);
-        add_condition(text, key, job->revision);
-        add_put(text, key, record_progress_encode(job));
+        const char *key = add_key(builder, RECORD_PROGRESS_PREFIX, job->id);
+        add_condition(builder, key, job->revision);
+        add_put(builder, key, record_progress_encode(job));
     }
 }
 
 static void
-add_registrations(struct leader *leader, struct txn_text *text,
+add_registrations(struct leader *leader, struct txn_builder *builder,
                   const struct store_batch *batch)
 {
     for (guint i = 0; i < batch->register_ids->len; i++) {
@@ -103,25 +105,25 @@
         const struct backend *backend =
             scheduler_find_backend(leader->sched, id);
         if (backend != NULL) {
-            add_put(text, add_key(text, RECORD_BACKEND_PREFIX, id),
+            add_put(builder, add_key(builder, RECORD_BACKEND_PREFIX, id),
                     record_backend_encode(&backend->entry));
         }
     }
     for (guint i = 0; i < batch->release_ids->len; i++) {
         const char *id = g_ptr_array_index(batch->release_ids, i);
-        g_ptr_array_add(text->deletes,
-                        (char *)add_key(text, RECORD_BACKEND_PREFIX, id));
+        g_ptr_array_add(builder->deletes,
+                        (char *)add_key(builder, RECORD_BACKEND_PREFIX, id));
     }
     for (guint i = 0; i < batch->expire_ids->len; i++) {
         const char *id = g_ptr_array_index(batch->expire_ids, i);
-        g_ptr_array_add(text->deletes,
-                        (char *)add_key(text, RECORD_JOB_PREFIX, id));
-        g_ptr_array_add(text->deletes,
-                        (char *)add_key(text, RECORD_PROGRESS_PREFIX, id));
+        g_ptr_array_add(builder->deletes,
+                        (char *)add_key(builder, RECORD_JOB_PREFIX, id));
+        g_ptr_array_add(builder->deletes,
+                        (char *)add_key(builder, RECORD_PROGRESS_PREFIX, id));
     }
 }
 
-/* Cancels are acknowledged once they are stored. */
+/* Replies to callers whose cancel is stored. */
 static void
 answer_cancels(struct leader *leader)
 {
@@ -139,8 +141,9 @@
     }
 }
 
-/* A conflict comes from a new holder, or from an earlier write of our own that
- * got no answer; then its revision is taken over. */
+/* A conflict comes from a new leader, or from an earlier write of this process
+ * whose answer was lost. In that case adopts the stored revisions and returns
+ * true. */
 static bool
 handle_conflict(struct leader *leader, const struct store_batch *batch,
                 const struct kv_result *result)
@@ -166,7 +169,7 @@
 }
 
 static void
-on_flushed(void *ctx, const struct kv_result *result)
+on_changes_stored(void *ctx, const struct kv_result *result)
 {
     struct progress_txn *slot = ctx;
     struct leader *leader = slot->leader;
@@ -180,37 +183,38 @@
     bool stored = result->outcome == KV_OK;
     scheduler_batch_stored(leader->sched, batch, stored, result->revision);
     answer_cancels(leader);
-    leader_tick_soon(leader);
+    leader_schedule_tick(leader);
     if (stored || result->outcome == KV_CONFLICT) {
-        leader_flush(leader);
+        leader_store_changes(leader);
         return;
     }
     event_log("store_failed", "\"what\":\"progress\",\"status\":%d",
               result->status);
-    timer_set(leader->flush_timer, FLUSH_RETRY_MS);
+    timer_set(leader->store_timer, STORE_RETRY_MS);
 }
 
 static void
 send_txn(struct progress_txn *slot)
 {
     struct leader *leader = slot->leader;
-    struct txn_text text = txn_text_create();
-    add_condition(&text, RECORD_LEADER_KEY, leader->token);
-    add_jobs(&text, slot->batch);
-    add_registrations(leader, &text, slot->batch);
-    struct kv_txn txn = txn_of(&text);
+    struct txn_builder builder = txn_builder_create();
+    add_condition(&builder, RECORD_LEADER_KEY, leader->token);
+    add_jobs(&builder, slot->batch);
+    add_registrations(leader, &builder, slot->batch);
+    struct kv_txn txn = txn_of(&builder);
     slot->sent_ms = node_now(leader->node);
     committer_commit(slot->committer, &txn,
-                     (struct kv_done){.call = on_flushed, .ctx = slot});
-    txn_text_clear(&text);
+                     (struct kv_done){.call = on_changes_stored, .ctx = slot});
+    txn_builder_clear(&builder);
 }
 
-/* Registrations and deletions keep their order in the first lane; the others
- * carry progress alone, and only when those before them are late. */
+/* The first slot carries registrations and deletions, which have to stay in
+ * order. The others carry progress only, and only if earlier transactions are
+ * late. */
 void
-leader_flush(struct leader *leader)
+leader_store_changes(struct leader *leader)
 {
-    if (evtimer_pending(leader->flush_timer, NULL)) {
+    if (evtimer_pending(leader->store_timer, NULL)) {
         return;
     }
     int64_t latest_ms = 0;
@@ -242,7 +246,7 @@
 {
     struct leader *leader = ctx;
     if (result->outcome != KV_OK) {
-        /* Written again with the next report. */
+        /* Forgotten, so that it is written again. */
         g_hash_table_remove(leader->wave_status, leader->wave_status_sent);
         leader->status_retry_ms = node_now(leader->node) + STATUS_RETRY_MS;
     }
@@ -250,37 +254,40 @@
     leader->wave_status_sent = NULL;
 }
 
-/* What was last written of each wave: its hosts that were maintained and
- * whether it is complete. */
+/* Stores the status of a wave if it has changed: whether it is complete, and
+ * the hosts whose maintenance was accepted. */
 static void
-report_wave(struct leader *leader, const struct host_wave *wave)
+store_wave_status(struct leader *leader, const struct host_wave *wave)
 {
     bool done = scheduler_wave_done(leader->sched, wave->number);
-    char *begun = scheduler_wave_started_hosts(leader->sched, wave->number);
+    char *started_hosts =
+        scheduler_wave_started_hosts(leader->sched, wave->number);
     char *number = g_strdup_printf("%" G_GINT64_FORMAT, wave->number);
-    char *report = g_strconcat(done ? "completed " : "running ", begun, NULL);
+    char *report =
+        g_strconcat(done ? "completed " : "running ", started_hosts, NULL);
     if (g_strcmp0(g_hash_table_lookup(leader->wave_status, number), report) ==
         0) {
         g_free(report);
         g_free(number);
-        g_free(begun);
+        g_free(started_hosts);
         return;
     }
     g_hash_table_insert(leader->wave_status, g_strdup(number), report);
-    struct txn_text text = txn_text_create();
-    add_condition(&text, RECORD_LEADER_KEY, leader->token);
-    add_put(&text, add_key(&text, PLATFORM_WAVE_STATUS_PREFIX, number),
+    struct txn_builder builder = txn_builder_create();
+    add_condition(&builder, RECORD_LEADER_KEY, leader->token);
+    add_put(&builder, add_key(&builder, PLATFORM_WAVE_STATUS_PREFIX, number),
             encode_wave_status(done));
-    add_put(&text, add_key(&text, RECORD_WAVE_PREFIX, number), begun);
-    struct kv_txn txn = txn_of(&text);
+    add_put(&builder, add_key(&builder, RECORD_WAVE_PREFIX, number),
+            started_hosts);
+    struct kv_txn txn = txn_of(&builder);
     leader->wave_status_sent = number;
     kv_commit(leader->writes, &txn,
               (struct kv_done){.call = on_status_stored, .ctx = leader});
-    txn_text_clear(&text);
+    txn_builder_clear(&builder);
 }
 
 void
-leader_report_waves(struct leader *leader)
+leader_store_wave_status(struct leader *leader)
 {
     const GPtrArray *waves = config_feed_waves(leader->node->feed);
     for (guint i = 0; i < waves->len; i++) {
@@ -288,6 +295,6 @@
             node_now(leader->node) < leader->status_retry_ms) {
             return;
         }
-        report_wave(leader, g_ptr_array_index(waves, i));
+        store_wave_status(leader, g_ptr_array_index(waves, i));
     }
 }
