--- a/core/disruption_budget.c
+++ b/core/disruption_budget.c
@@ -1,3 +1,8 @@
+/*
+ * Disruption budget of a pool: how many of its hosts may be out of service on
+ * purpose at a time, and which disruptions to cancel when too few hosts are
+ * available.
+ */
 #include "core/fleet_pass.h"
 
 static uint32_t
@@ -12,17 +17,17 @@
     return largest;
 }
 
-/* The reserve leaves room for one disruption at least, so that maintenance
- * ends in small pools too. */
+/* The reserve covers the loss of the largest rack, but allows at least one
+ * disruption at a time, so that maintenance completes in small pools too. */
 static uint32_t
-reserve_of(const struct pass_pool *pool)
+reserve_hosts(const struct pass_pool *pool)
 {
-    uint32_t sound = pool->members->len - pool->long_unavailable;
+    uint32_t recoverable = pool->members->len - pool->long_unavailable;
     uint32_t budget = pool->config->min_available_hosts;
-    if (sound <= budget + 1) {
+    if (recoverable <= budget + 1) {
         return 0;
     }
-    return MIN(largest_rack(pool), sound - budget - 1);
+    return MIN(largest_rack(pool), recoverable - budget - 1);
 }
 
 uint32_t
@@ -31,7 +36,7 @@
     if (pool->config == NULL) {
         return 0;
     }
-    return pool->config->min_available_hosts + reserve_of(pool);
+    return pool->config->min_available_hosts + reserve_hosts(pool);
 }
 
 static struct pass_rack *
@@ -47,11 +52,12 @@
     return NULL;
 }
 
-/* A data centre that is out comes back at any moment: at most half of the
- * pool's hosts there are disrupted meanwhile. */
+/* A data centre that is out of service may be put back at any moment: at most
+ * half of the pool's hosts there are disrupted at a time. */
 static bool
-allows_in_out_dc(const struct fleet_pass *pass, struct pass_pool *pool,
-                 const struct pass_host *host)
+allows_in_dc_out_of_service(const struct fleet_pass *pass,
+                            struct pass_pool *pool,
+                            const struct pass_host *host)
 {
     uint32_t members = 0;
     uint32_t disrupted = 0;
@@ -67,7 +73,8 @@
         return true;
     }
     g_snprintf(pool->report->waits_for, FLEET_TEXT_BYTES,
-               "data centre %s is out and half of its hosts are disrupted",
+               "data centre %s is out of service and half of the pool's hosts "
+               "there are disrupted",
                (const char *)g_ptr_array_index(pass->dc_names, host->dc));
     return false;
 }
@@ -76,15 +83,15 @@
 allows_in_dc(const struct fleet_pass *pass, struct pass_pool *pool,
              const struct pass_host *host)
 {
-    uint32_t least = pool->config->min_available_per_dc_hosts;
-    if (pool->dc_available[host->dc] > least) {
+    uint32_t min_hosts = pool->config->min_available_per_dc_hosts;
+    if (pool->dc_available[host->dc] > min_hosts) {
         return true;
     }
     g_snprintf(pool->report->waits_for, FLEET_TEXT_BYTES,
-               "%u available in data centre %s, %u have to stay",
+               "%u hosts available in data centre %s, at least %u required",
                pool->dc_available[host->dc],
                (const char *)g_ptr_array_index(pass->dc_names, host->dc),
-               least);
+               min_hosts);
     return false;
 }
 
@@ -93,15 +100,16 @@
 {
     struct pass_rack *rack = find_rack(pool, host);
     rack->available--;
-    uint32_t floor_hosts = budget_min_available(pool);
+    uint32_t min_available = budget_min_available(pool);
     rack->available++;
-    if (pool->available > floor_hosts) {
+    if (pool->available > min_available) {
         return true;
     }
     g_snprintf(pool->report->waits_for, FLEET_TEXT_BYTES,
-               "%u available, %u have to stay, %u of them in reserve",
-               pool->available, floor_hosts,
-               floor_hosts - pool->config->min_available_hosts);
+               "%u hosts available, at least %u required, including a reserve "
+               "of %u",
+               pool->available, min_available,
+               min_available - pool->config->min_available_hosts);
     return false;
 }
 
@@ -112,7 +120,7 @@
     if (!pass->snapshot->host_list_fresh ||
         !pool->info->host_records_current) {
         g_snprintf(pool->report->waits_for, FLEET_TEXT_BYTES,
-                   "the %s to be read anew",
+                   "an up-to-date read of the %s",
                    pool->info->host_records_current ? "host list"
                                                     : "host records");
         return false;
@@ -121,7 +129,7 @@
         return true;
     }
     if (!pass_dc_in_service(pass, host)) {
-        return allows_in_out_dc(pass, pool, host);
+        return allows_in_dc_out_of_service(pass, pool, host);
     }
     return !host->available ||
            (allows_in_dc(pass, pool, host) && allows_in_pool(pool, host));
@@ -158,7 +166,7 @@
 }
 
 static bool
-can_give_back(const struct pass_host *host)
+can_cancel(const struct pass_host *host)
 {
     if (host->has_action || !host->healthy) {
         return false;
@@ -170,9 +178,10 @@
            g_strcmp0(host->record->reason, "suspect") != 0;
 }
 
-/* Hosts that have not started to drain come first, then the latest. */
+/* Prefers hosts that have not started to drain, then those whose state changed
+ * last. */
 static bool
-is_better(const struct pass_host *host, const struct pass_host *best)
+is_better_to_cancel(const struct pass_host *host, const struct pass_host *best)
 {
     if (best == NULL || host->pending != best->pending) {
         return best == NULL || host->pending;
@@ -181,15 +190,14 @@
 }
 
 static struct pass_host *
-choose_to_give_back(struct fleet_pass *pass, struct pass_pool *pool,
-                    uint32_t dc)
+choose_to_cancel(struct fleet_pass *pass, struct pass_pool *pool, uint32_t dc)
 {
     struct pass_host *best = NULL;
     for (guint i = 0; i < pool->members->len; i++) {
         struct pass_host *host = pass_member(pass, pool, i);
         bool wanted = dc == FLEET_INDEX_NONE ? pass_dc_in_service(pass, host)
                                              : host->dc == dc;
-        if (wanted && can_give_back(host) && is_better(host, best)) {
+        if (wanted && can_cancel(host) && is_better_to_cancel(host, best)) {
             best = host;
         }
     }
@@ -197,7 +205,7 @@
 }
 
 static void
-give_back(struct fleet_pass *pass, struct pass_host *host)
+cancel_disruption(struct fleet_pass *pass, struct pass_host *host)
 {
     struct host_record *record =
         pass_add_host_write(pass, host, HOST_SERVING, "cancelled");
@@ -207,21 +215,22 @@
     }
 }
 
-/* Returns how many of @wanted hosts were given back. */
+/* Cancels up to @wanted disruptions in data centre @dc, or in all that are in
+ * service for FLEET_INDEX_NONE; returns how many. */
 static uint32_t
-give_back_some(struct fleet_pass *pass, struct pass_pool *pool, uint32_t dc,
-               uint32_t wanted)
+cancel_disruptions(struct fleet_pass *pass, struct pass_pool *pool,
+                   uint32_t dc, uint32_t wanted)
 {
-    uint32_t given = 0;
-    while (given < wanted) {
-        struct pass_host *host = choose_to_give_back(pass, pool, dc);
+    uint32_t cancelled = 0;
+    while (cancelled < wanted) {
+        struct pass_host *host = choose_to_cancel(pass, pool, dc);
         if (host == NULL) {
             break;
         }
-        give_back(pass, host);
-        given++;
+        cancel_disruption(pass, host);
+        cancelled++;
     }
-    return given;
+    return cancelled;
 }
 
 void
@@ -230,18 +239,19 @@
     if (pool->config == NULL || pool->disrupted == 0) {
         return;
     }
-    uint32_t given = 0;
-    uint32_t least = pool->config->min_available_per_dc_hosts;
+    uint32_t cancelled = 0;
+    uint32_t min_hosts = pool->config->min_available_per_dc_hosts;
     for (guint dc = 0; dc < pass->dc_names->len; dc++) {
         if (g_array_index(pass->dc_in_service, bool, dc) &&
-            pool->dc_available[dc] < least) {
-            given +=
-                give_back_some(pass, pool, dc, least - pool->dc_available[dc]);
+            pool->dc_available[dc] < min_hosts) {
+            cancelled += cancel_disruptions(
+                pass, pool, dc, min_hosts - pool->dc_available[dc]);
         }
     }
-    uint32_t floor_hosts = budget_min_available(pool);
-    uint32_t available = pool->available + given;
-    if (available < floor_hosts) {
-        give_back_some(pass, pool, FLEET_INDEX_NONE, floor_hosts - available);
+    uint32_t min_available = budget_min_available(pool);
+    uint32_t available = pool->available + cancelled;
+    if (available < min_available) {
+        cancel_disruptions(pass, pool, FLEET_INDEX_NONE,
+                           min_available - available);
     }
 }
--- a/core/disruption_record.c
+++ b/core/disruption_record.c
@@ -1,3 +1,4 @@
+/* Parses and serialises the disruption record of a pool. */
 #include "core/disruption_record.h"
 
 #include "common/json_read.h"
@@ -90,17 +91,18 @@
 }
 
 static void
-parse_seen(struct disruption_record *record, const struct json_place *place)
+parse_min_shard_versions(struct disruption_record *record,
+                         const struct json_place *place)
 {
-    JsonObject *seen = json_read_object(place, "seen", false);
-    struct json_place below = *place;
-    below.object = seen;
-    below.path = "$.seen";
+    JsonObject *seen_object = json_read_object(place, "seen", false);
+    struct json_place seen_place = *place;
+    seen_place.object = seen_object;
+    seen_place.path = "$.seen";
     for (uint32_t i = 0; i < HOST_SHARDS; i++) {
         char member[16];
         g_snprintf(member, sizeof(member), "%02u", i);
-        record->min_shard_versions[i] =
-            (uint64_t)json_read_int(&below, member, 0, INT64_MAX, 0, false);
+        record->min_shard_versions[i] = (uint64_t)json_read_int(
+            &seen_place, member, 0, INT64_MAX, 0, false);
     }
 }
 
@@ -121,7 +123,7 @@
     };
     struct disruption_record *record = disruption_record_create();
     record->write_id = g_strdup(json_read_string(&place, "write", false));
-    parse_seen(record, &place);
+    parse_min_shard_versions(record, &place);
     JsonObject *entries = json_read_object(&place, "disrupted", true);
     if (entries != NULL) {
         JsonObjectIter iter;
--- a/core/fleet_index.c
+++ b/core/fleet_index.c
@@ -1,3 +1,7 @@
+/*
+ * Index of a planning pass: resolves names of pools, data centres and racks to
+ * indexes, and counts the hosts of each pool by state.
+ */
 #include "core/fleet_pass.h"
 
 struct rack_key {
@@ -23,19 +27,19 @@
 static void
 index_pools(struct fleet_pass *pass)
 {
-    const struct fleet_snapshot *facts = pass->snapshot;
-    pass->n_pools = facts->n_pools;
-    pass->pools = g_new0(struct pass_pool, facts->n_pools + 1);
+    const struct fleet_snapshot *snapshot = pass->snapshot;
+    pass->n_pools = snapshot->n_pools;
+    pass->pools = g_new0(struct pass_pool, snapshot->n_pools + 1);
     pass->pool_index = g_hash_table_new(g_str_hash, g_str_equal);
-    for (size_t i = 0; i < facts->n_pools; i++) {
+    for (size_t i = 0; i < snapshot->n_pools; i++) {
         struct pass_pool *pool = &pass->pools[i];
-        pool->info = &facts->pools[i];
+        pool->info = &snapshot->pools[i];
         pool->members = g_array_new(FALSE, FALSE, sizeof(uint64_t));
         pool->racks = g_array_new(FALSE, TRUE, sizeof(struct pass_rack));
-        g_hash_table_insert(pass->pool_index, (char *)facts->pools[i].name,
+        g_hash_table_insert(pass->pool_index, (char *)snapshot->pools[i].name,
                             GUINT_TO_POINTER(i + 1));
     }
-    const struct config *config = facts->config;
+    const struct config *config = snapshot->config;
     for (size_t i = 0; i < config->n_pools; i++) {
         uint32_t index = fleet_index_pool(pass, config->pools[i].name);
         if (index != FLEET_INDEX_NONE) {
@@ -62,11 +66,12 @@
 }
 
 static uint32_t
-add_dc(struct fleet_pass *pass, GHashTable *dcs, const char *name, bool in)
+add_dc(struct fleet_pass *pass, GHashTable *dcs, const char *name,
+       bool in_service)
 {
     uint32_t index = pass->dc_names->len;
     g_ptr_array_add(pass->dc_names, (char *)name);
-    g_array_append_val(pass->dc_in_service, in);
+    g_array_append_val(pass->dc_in_service, in_service);
     g_hash_table_insert(dcs, (char *)name, GUINT_TO_POINTER(index + 1));
     return index;
 }
@@ -85,16 +90,17 @@
 }
 
 static uint32_t
-find_dc(struct fleet_pass *pass, GHashTable *dcs, const char *name)
+find_or_add_dc(struct fleet_pass *pass, GHashTable *dcs, const char *name)
 {
     uint32_t found = GPOINTER_TO_UINT(g_hash_table_lookup(dcs, name));
     return found > 0 ? found - 1 : add_dc(pass, dcs, name, true);
 }
 
-/* A host that is about to be adopted counts for the pool it starts in, so
- * that pools aren't filled from others while records are still missing. */
+/* A host without a record counts as incoming for the pool that it will join:
+ * otherwise hosts would be moved into that pool from others while the records
+ * of a new fleet are being created. */
 static void
-count_start(struct fleet_pass *pass, const struct pass_host *host)
+count_unrecorded_host(struct fleet_pass *pass, const struct pass_host *host)
 {
     uint32_t pool = fleet_index_pool(pass, host->info->initial_pool);
     if (host->record == NULL && !host->info->damaged && host->healthy &&
@@ -146,7 +152,7 @@
         const struct host_record *record = host->record;
         const char *dc = record != NULL ? record->dc : host->info->dc;
         const char *rack = record != NULL ? record->rack : host->info->rack;
-        host->dc = find_dc(pass, dcs, dc != NULL ? dc : "");
+        host->dc = find_or_add_dc(pass, dcs, dc != NULL ? dc : "");
         keys[i] = (struct rack_key){
             .dc = host->dc,
             .rack = rack != NULL ? rack : "",
@@ -173,7 +179,8 @@
 }
 
 static bool
-is_written_off(const struct fleet_pass *pass, const struct pass_host *host)
+is_long_unavailable(const struct fleet_pass *pass,
+                    const struct pass_host *host)
 {
     enum host_state state = host->record->state;
     return state == HOST_FAILED || host->info->leaving ||
@@ -222,7 +229,8 @@
 }
 
 static struct pass_rack *
-rack_of(struct pass_pool *pool, const struct pass_host *host, guint member)
+current_rack(struct pass_pool *pool, const struct pass_host *host,
+             guint member)
 {
     struct pass_rack *last = NULL;
     if (pool->racks->len > 0) {
@@ -248,7 +256,7 @@
     if (host->record == NULL) {
         return;
     }
-    struct pass_rack *rack = rack_of(pool, host, i);
+    struct pass_rack *rack = current_rack(pool, host, i);
     rack->n_members++;
     if (host->available) {
         rack->available++;
@@ -262,7 +270,7 @@
     else if (!host->healthy || host->record->state == HOST_FAILED) {
         pool->failed++;
     }
-    pool->long_unavailable += is_written_off(pass, host);
+    pool->long_unavailable += is_long_unavailable(pass, host);
     pool->last_moved_s = MAX(pool->last_moved_s, host->record->moved_s);
     count_usable(pass, pool, host);
 }
@@ -279,7 +287,7 @@
         pass->pools[i].dc_usable = g_new0(uint32_t, pass->dc_names->len);
     }
     for (size_t i = 0; i < pass->snapshot->n_hosts; i++) {
-        count_start(pass, &pass->hosts[i]);
+        count_unrecorded_host(pass, &pass->hosts[i]);
     }
     for (size_t i = 0; i < pass->n_pools; i++) {
         struct pass_pool *pool = &pass->pools[i];
--- a/core/fleet_planner.c
+++ b/core/fleet_planner.c
@@ -1,3 +1,4 @@
+/* One planning pass from snapshot to plan, and the history between passes. */
 #include "core/fleet_planner.h"
 
 #include "core/fleet_pass.h"
@@ -45,72 +46,72 @@
 }
 
 static void
-remember_host(struct fleet_planner *planner, struct pass_host *host,
-              int64_t now_ms)
+update_host_history(struct fleet_planner *planner, struct pass_host *host,
+                    int64_t now_ms)
 {
-    struct host_history *memory =
+    struct host_history *history =
         g_hash_table_lookup(planner->hosts, host->info->name);
     enum host_state state =
         host->record != NULL ? host->record->state : HOST_SERVING;
-    if (memory == NULL) {
-        memory = g_new0(struct host_history, 1);
-        *memory = (struct host_history){
+    if (history == NULL) {
+        history = g_new0(struct host_history, 1);
+        *history = (struct host_history){
             .state = state,
             .healthy = host->healthy,
             .state_since_ms = now_ms,
             .health_since_ms = now_ms,
         };
         g_hash_table_insert(planner->hosts, g_strdup(host->info->name),
-                            memory);
+                            history);
     }
-    if (memory->state != state) {
-        memory->state = state;
-        memory->state_since_ms = now_ms;
+    if (history->state != state) {
+        history->state = state;
+        history->state_since_ms = now_ms;
     }
-    if (memory->healthy != host->healthy) {
-        memory->healthy = host->healthy;
-        memory->health_since_ms = now_ms;
+    if (history->healthy != host->healthy) {
+        history->healthy = host->healthy;
+        history->health_since_ms = now_ms;
     }
-    memory->pass = planner->pass;
-    host->history = memory;
+    history->pass = planner->pass;
+    host->history = history;
 }
 
 static void
-remember_pool(struct fleet_planner *planner, struct pass_pool *pool)
+update_pool_history(struct fleet_planner *planner, struct pass_pool *pool)
 {
-    struct pool_history *memory =
+    struct pool_history *history =
         g_hash_table_lookup(planner->pools, pool->info->name);
-    if (memory == NULL) {
-        memory = g_new0(struct pool_history, 1);
-        memory->surplus_since_ms = INT64_MIN;
-        memory->load_wait_since_ms = INT64_MIN;
+    if (history == NULL) {
+        history = g_new0(struct pool_history, 1);
+        history->surplus_since_ms = INT64_MIN;
+        history->load_wait_since_ms = INT64_MIN;
         g_hash_table_insert(planner->pools, g_strdup(pool->info->name),
-                            memory);
+                            history);
     }
-    pool->history = memory;
+    pool->history = history;
 }
 
 static gboolean
-is_forgotten(gpointer name, gpointer value, gpointer data)
+is_stale(gpointer name, gpointer value, gpointer data)
 {
     (void)name;
-    const struct host_history *memory = value;
+    const struct host_history *history = value;
     const struct fleet_planner *planner = data;
-    return memory->pass != planner->pass;
+    return history->pass != planner->pass;
 }
 
 static void
-remember(struct fleet_planner *planner, struct fleet_pass *pass)
+update_history(struct fleet_planner *planner, struct fleet_pass *pass)
 {
     planner->pass++;
     for (size_t i = 0; i < pass->snapshot->n_hosts; i++) {
-        remember_host(planner, &pass->hosts[i], pass->snapshot->now_ms);
+        update_host_history(planner, &pass->hosts[i], pass->snapshot->now_ms);
     }
     if (g_hash_table_size(planner->hosts) > pass->snapshot->n_hosts) {
-        g_hash_table_foreach_remove(planner->hosts, is_forgotten, planner);
+        g_hash_table_foreach_remove(planner->hosts, is_stale, planner);
     }
     for (size_t i = 0; i < pass->n_pools; i++) {
-        remember_pool(planner, &pass->pools[i]);
+        update_pool_history(planner, &pass->pools[i]);
     }
 }
 
@@ -140,7 +141,7 @@
 }
 
 static void
-start_reports(struct fleet_pass *pass)
+init_reports(struct fleet_pass *pass)
 {
     g_array_set_size(pass->plan->reports, (guint)pass->n_pools);
     for (size_t i = 0; i < pass->n_pools; i++) {
@@ -166,7 +167,7 @@
 }
 
 static void
-end_reports(struct fleet_pass *pass)
+complete_reports(struct fleet_pass *pass)
 {
     for (size_t i = 0; i < pass->n_pools; i++) {
         struct pass_pool *pool = &pass->pools[i];
@@ -176,15 +177,16 @@
     }
 }
 
-/* An empty list is a fault of the platform rather than the loss of all. */
+/* An empty host list means a fault of the platform, not the loss of every
+ * host. */
 static bool
-list_is_sound(const struct fleet_snapshot *facts)
+host_list_is_valid(const struct fleet_snapshot *snapshot)
 {
-    if (!facts->host_list_fresh) {
+    if (!snapshot->host_list_fresh) {
         return false;
     }
-    for (size_t i = 0; i < facts->n_hosts; i++) {
-        if (facts->hosts[i].listed) {
+    for (size_t i = 0; i < snapshot->n_hosts; i++) {
+        if (snapshot->hosts[i].listed) {
             return true;
         }
     }
@@ -192,7 +194,7 @@
 }
 
 static void
-plan_steps(struct fleet_pass *pass)
+plan_actions(struct fleet_pass *pass)
 {
     for (size_t i = 0; i < pass->n_pools; i++) {
         budget_cancel_disruptions(pass, &pass->pools[i]);
@@ -218,25 +220,25 @@
 
 struct fleet_plan *
 fleet_planner_pass(struct fleet_planner *planner,
-                   const struct fleet_snapshot *facts)
+                   const struct fleet_snapshot *snapshot)
 {
     struct fleet_plan *plan = g_new0(struct fleet_plan, 1);
     plan->actions = g_ptr_array_new_with_free_func(action_destroy);
     plan->reports = g_array_new(FALSE, TRUE, sizeof(struct fleet_pool_report));
     struct fleet_pass pass = {
         .timings = &planner->timings,
-        .snapshot = facts,
+        .snapshot = snapshot,
         .plan = plan,
     };
     fleet_index_build(&pass);
-    remember(planner, &pass);
-    start_reports(&pass);
+    update_history(planner, &pass);
+    init_reports(&pass);
     pool_needs_update(&pass);
-    if (list_is_sound(facts)) {
-        plan_steps(&pass);
+    if (host_list_is_valid(snapshot)) {
+        plan_actions(&pass);
     }
     host_transitions_release(&pass);
-    end_reports(&pass);
+    complete_reports(&pass);
     fleet_index_clear(&pass);
     return plan;
 }
--- a/core/host_shard.c
+++ b/core/host_shard.c
@@ -1,3 +1,4 @@
+/* Parses and serialises one shard of the host records. */
 #include "core/host_shard.h"
 
 #include "common/json_read.h"
@@ -60,7 +61,8 @@
     return copy;
 }
 
-/* FNV-1a: all programs and releases have to agree on a host's shard. */
+/* FNV-1a, fixed: all programs and releases have to agree on the shard of a
+ * host. */
 uint32_t
 host_shard_index(const char *host)
 {
--- a/core/host_state.c
+++ b/core/host_state.c
@@ -1,3 +1,4 @@
+/* Host records and names of host states. */
 #include "core/host_state.h"
 
 #include <glib.h>
--- a/core/host_transitions.c
+++ b/core/host_transitions.c
@@ -1,14 +1,19 @@
+/*
+ * State changes of single hosts: on admissions, drained hosts, reboots, losses
+ * and returns. Creates records of new hosts, removes those of lost ones, and
+ * releases disruption entries that are no longer needed.
+ */
 #include "core/fleet_pass.h"
 
-/* How long the host has been in its state, as this controller saw it. */
+/* How long this controller has seen the host in its present state. */
 static int64_t
-state_ms(const struct fleet_pass *pass, const struct pass_host *host)
+time_in_state_ms(const struct fleet_pass *pass, const struct pass_host *host)
 {
     return pass->snapshot->now_ms - host->history->state_since_ms;
 }
 
 static int64_t
-health_ms(const struct fleet_pass *pass, const struct pass_host *host)
+time_in_health_ms(const struct fleet_pass *pass, const struct pass_host *host)
 {
     return pass->snapshot->now_ms - host->history->health_since_ms;
 }
@@ -24,9 +29,10 @@
     return NULL;
 }
 
-/* Whether what the host was admitted for is still wanted. */
+/* Whether the reason that the host was admitted for still applies: its wave
+ * is running, or its target pool is configured. */
 static bool
-still_wanted(const struct fleet_pass *pass, const struct pass_host *host)
+is_still_required(const struct fleet_pass *pass, const struct pass_host *host)
 {
     const struct disruption_entry *entry = host->entry;
     if (entry == NULL) {
@@ -45,9 +51,10 @@
 }
 
 static bool
-lost(struct fleet_pass *pass, struct pass_host *host)
+mark_lost(struct fleet_pass *pass, struct pass_host *host)
 {
-    if (host->healthy || health_ms(pass, host) < pass->timings->lost_ms) {
+    if (host->healthy ||
+        time_in_health_ms(pass, host) < pass->timings->lost_ms) {
         return false;
     }
     struct host_record *record =
@@ -56,9 +63,10 @@
     return true;
 }
 
-/* An entry that the host can't take up is used up without a disruption. */
+/* Consumes the pending entry without a disruption, when the host can't start
+ * to drain on it. */
 static void
-use_up_entry(struct fleet_pass *pass, struct pass_host *host)
+void_entry(struct fleet_pass *pass, struct pass_host *host)
 {
     struct host_record *record =
         pass_add_host_write(pass, host, host->record->state, "cancelled");
@@ -76,24 +84,25 @@
 }
 
 static void
-step_serving(struct fleet_pass *pass, struct pass_host *host)
+plan_serving(struct fleet_pass *pass, struct pass_host *host)
 {
     if (host->pending) {
-        if (host->healthy && still_wanted(pass, host)) {
+        if (host->healthy && is_still_required(pass, host)) {
             start_drain(pass, host);
         }
         else {
-            use_up_entry(pass, host);
+            void_entry(pass, host);
         }
         return;
     }
-    if (lost(pass, host) || !host->info->suspect || host->entry != NULL) {
+    if (mark_lost(pass, host) || !host->info->suspect || host->entry != NULL) {
         return;
     }
     struct pass_pool *pool = &pass->pools[host->pool];
     if (host->available && budget_allows(pass, pool, host)) {
         struct disruption_entry entry = {.reason = "suspect"};
-        pass_add_admission(pass, host, &entry, "fails every task");
+        pass_add_admission(pass, host, &entry,
+                           "gateways report that every task fails");
     }
 }
 
@@ -101,9 +110,9 @@
 is_drained(const struct fleet_pass *pass, const struct pass_host *host)
 {
     int64_t margin_ms = pass->timings->drain_margin_ms;
-    int64_t longest_ms = pass->pools[host->pool].longest_run_ms + margin_ms;
-    int64_t since_ms = state_ms(pass, host);
-    return since_ms >= longest_ms ||
+    int64_t drain_max_ms = pass->pools[host->pool].longest_run_ms + margin_ms;
+    int64_t since_ms = time_in_state_ms(pass, host);
+    return since_ms >= drain_max_ms ||
            (host->info->drained && since_ms >= margin_ms);
 }
 
@@ -128,12 +137,12 @@
 }
 
 static void
-step_draining(struct fleet_pass *pass, struct pass_host *host)
+plan_draining(struct fleet_pass *pass, struct pass_host *host)
 {
-    if (lost(pass, host)) {
+    if (mark_lost(pass, host)) {
         return;
     }
-    if (!still_wanted(pass, host)) {
+    if (!is_still_required(pass, host)) {
         struct host_record *record =
             pass_add_host_write(pass, host, HOST_SERVING, "cancelled");
         g_clear_pointer(&record->target, g_free);
@@ -151,7 +160,7 @@
 }
 
 static void
-step_rebooting(struct fleet_pass *pass, struct pass_host *host)
+plan_rebooting(struct fleet_pass *pass, struct pass_host *host)
 {
     bool up = host->info->listed && host->info->live;
     if (!host->record->seen_down && !up) {
@@ -166,7 +175,7 @@
         record->seen_down = false;
         return;
     }
-    if (state_ms(pass, host) < pass->timings->return_ms) {
+    if (time_in_state_ms(pass, host) < pass->timings->return_ms) {
         return;
     }
     if (up) {
@@ -178,42 +187,43 @@
 }
 
 static void
-step_returning(struct fleet_pass *pass, struct pass_host *host)
+plan_returning(struct fleet_pass *pass, struct pass_host *host)
 {
-    if (lost(pass, host)) {
+    if (mark_lost(pass, host)) {
         return;
     }
     if (host->info->suspect) {
         pass_add_host_write(pass, host, HOST_FAILED, "suspect");
         return;
     }
-    int64_t proven_ms = MIN(state_ms(pass, host), health_ms(pass, host));
-    if (host->healthy && proven_ms >= pass->timings->prove_ms) {
+    int64_t stable_ms =
+        MIN(time_in_state_ms(pass, host), time_in_health_ms(pass, host));
+    if (host->healthy && stable_ms >= pass->timings->prove_ms) {
         pass_add_host_write(pass, host, HOST_SERVING, host->record->reason);
     }
 }
 
 static void
-retire(struct fleet_pass *pass, struct pass_host *host)
+remove_record(struct fleet_pass *pass, struct pass_host *host)
 {
     if (host->info->listed || host->entry != NULL ||
-        state_ms(pass, host) < pass->timings->retire_ms) {
+        time_in_state_ms(pass, host) < pass->timings->retire_ms) {
         return;
     }
     struct fleet_action *action = g_new0(struct fleet_action, 1);
     action->kind = FLEET_REMOVE_HOST;
     action->pool = g_strdup(host->record->pool);
     action->host = g_strdup(host->info->name);
-    action->why = g_strdup("gone for good");
+    action->why = g_strdup("missing from the host list");
     g_ptr_array_add(pass->plan->actions, action);
     host->has_action = true;
 }
 
 static void
-step_failed(struct fleet_pass *pass, struct pass_host *host)
+plan_failed(struct fleet_pass *pass, struct pass_host *host)
 {
     if (g_strcmp0(host->record->reason, "suspect") == 0 && host->healthy) {
-        if (state_ms(pass, host) >= pass->timings->repair_ms) {
+        if (time_in_state_ms(pass, host) >= pass->timings->repair_ms) {
             pass_add_host_write(pass, host, HOST_REBOOTING, "suspect")
                 ->seen_down = false;
         }
@@ -223,31 +233,31 @@
         pass_add_host_write(pass, host, HOST_RETURNING, "back");
         return;
     }
-    retire(pass, host);
+    remove_record(pass, host);
 }
 
 static void
-step_recorded(struct fleet_pass *pass, struct pass_host *host)
+plan_recorded_host(struct fleet_pass *pass, struct pass_host *host)
 {
     if (host->pending && host->record->state != HOST_SERVING) {
-        use_up_entry(pass, host);
+        void_entry(pass, host);
         return;
     }
     switch (host->record->state) {
     case HOST_SERVING:
-        step_serving(pass, host);
+        plan_serving(pass, host);
         break;
     case HOST_DRAINING:
-        step_draining(pass, host);
+        plan_draining(pass, host);
         break;
     case HOST_REBOOTING:
-        step_rebooting(pass, host);
+        plan_rebooting(pass, host);
         break;
     case HOST_RETURNING:
-        step_returning(pass, host);
+        plan_returning(pass, host);
         break;
     case HOST_FAILED:
-        step_failed(pass, host);
+        plan_failed(pass, host);
         break;
     }
 }
@@ -264,7 +274,7 @@
 }
 
 static void
-adopt(struct fleet_pass *pass, struct pass_host *host)
+create_record(struct fleet_pass *pass, struct pass_host *host)
 {
     const char *pool = host->info->initial_pool;
     uint32_t index = fleet_index_pool(pass, pool);
@@ -303,17 +313,17 @@
             continue;
         }
         if (host->record == NULL) {
-            adopt(pass, host);
+            create_record(pass, host);
         }
         else if (host->pool != FLEET_INDEX_NONE) {
-            step_recorded(pass, host);
+            plan_recorded_host(pass, host);
         }
     }
 }
 
 static void
-release(struct fleet_pass *pass, const struct pass_pool *pool,
-        const char *host, const struct disruption_entry *entry)
+release_entry(struct fleet_pass *pass, const struct pass_pool *pool,
+              const char *host, const struct disruption_entry *entry)
 {
     struct fleet_action *action = g_new0(struct fleet_action, 1);
     action->kind = FLEET_RELEASE;
@@ -331,11 +341,13 @@
     return g_strcmp0(key, host->info->name);
 }
 
-/* Only the host's record tells that an entry was taken up: the pool or the
- * absence of a record may be out of date as read here. */
+/* Whether an entry is no longer needed. The records read here may be out of
+ * date: a record must show that the entry was used, whatever pool it names,
+ * and a missing record counts only once the entry is older than retire_ms. */
 static bool
-has_served(const struct fleet_pass *pass, const struct pass_host *host,
-           const struct pass_pool *pool, const struct disruption_entry *entry)
+is_entry_obsolete(const struct fleet_pass *pass, const struct pass_host *host,
+                  const struct pass_pool *pool,
+                  const struct disruption_entry *entry)
 {
     if (host == NULL || host->record == NULL) {
         int64_t age_s = pass->snapshot->now_s - entry->admitted_s;
@@ -366,8 +378,8 @@
             const struct pass_host *host =
                 bsearch(name, pass->hosts, pass->snapshot->n_hosts,
                         sizeof(pass->hosts[0]), compare_host_name);
-            if (has_served(pass, host, pool, entry)) {
-                release(pass, pool, name, entry);
+            if (is_entry_obsolete(pass, host, pool, entry)) {
+                release_entry(pass, pool, name, entry);
             }
         }
     }
--- a/core/maintenance_plan.c
+++ b/core/maintenance_plan.c
@@ -1,18 +1,30 @@
+/*
+ * Maintenance waves: which hosts of which racks are admitted to be rebooted
+ * now, and the progress of each wave.
+ */
 #include "core/fleet_pass.h"
 
 enum {
-    /* Demand may fill this much of what stays available. */
-    QUIET_PERCENT = 95,
-    /* A wave's record is written again after this part of it is done. */
-    PROGRESS_PERCENT = 1,
+    /* Highest demand, as a share of the slots that would remain available,
+     * at which a host is admitted. */
+    MAX_LOAD_PERCENT = 95,
+    /* A wave's record is written after this much more of it is completed. */
+    PROGRESS_WRITE_PERCENT = 1,
 };
 
-/** struct wave_tally - a wave's hosts in this pass */
-struct wave_tally {
+/**
+ * struct wave_progress - counts of a wave's hosts in this pass
+ * @done: rebooted
+ * @due: not done yet
+ * @in_progress: of @due, admitted, draining, rebooting or returning
+ * @skipped: of @due, down for settle_ms: the wave can complete without them
+ * @held_out: host name to reason, as in struct wave_record
+ */
+struct wave_progress {
     uint32_t done;
     uint32_t due;
-    uint32_t working;
-    uint32_t settled;
+    uint32_t in_progress;
+    uint32_t skipped;
     GHashTable *held_out;
 };
 
@@ -26,7 +38,7 @@
 }
 
 static bool
-is_working(const struct wave_record *wave, const struct pass_host *host)
+is_in_progress(const struct wave_record *wave, const struct pass_host *host)
 {
     enum host_state state = host->record->state;
     if (host->entry != NULL && host->entry->wave == wave->number &&
@@ -37,7 +49,7 @@
            (state == HOST_REBOOTING || state == HOST_RETURNING);
 }
 
-/* Another wave's reboot after the start of this one serves it, too. */
+/* A reboot by another wave after the start of this one counts, too. */
 static bool
 is_done(const struct wave_record *wave, const struct pass_host *host)
 {
@@ -57,7 +69,7 @@
         }
         for (guint i = 0; i < pool->members->len; i++) {
             const struct pass_host *host = pass_member(pass, pool, i);
-            if (is_due(wave, host) || is_working(wave, host)) {
+            if (is_due(wave, host) || is_in_progress(wave, host)) {
                 return wave;
             }
         }
@@ -77,14 +89,14 @@
 {
     const struct pass_rack *left = *(struct pass_rack *const *)a;
     const struct pass_rack *right = *(struct pass_rack *const *)b;
-    uint32_t room = *(const uint32_t *)data;
-    bool left_begun = left->disrupted > 0;
-    bool right_begun = right->disrupted > 0;
-    if (left_begun != right_begun) {
-        return left_begun ? -1 : 1;
+    uint32_t disruptable = *(const uint32_t *)data;
+    bool left_started = left->disrupted > 0;
+    bool right_started = right->disrupted > 0;
+    if (left_started != right_started) {
+        return left_started ? -1 : 1;
     }
-    bool left_fits = left->due <= room;
-    bool right_fits = right->due <= room;
+    bool left_fits = left->due <= disruptable;
+    bool right_fits = right->due <= disruptable;
     if (left_fits != right_fits) {
         return left_fits ? -1 : 1;
     }
@@ -94,8 +106,9 @@
     return left->rack < right->rack ? -1 : left->rack > right->rack;
 }
 
-/* Racks already begun come first, then those that fit as a whole: hosts of
- * one rack that are out together leave the reserve for the other racks. */
+/* Racks with disrupted hosts come first, then those whose hosts can all be
+ * disrupted at once: disrupting hosts of the same rack together keeps the
+ * reserve for the loss of another rack. */
 static GPtrArray *
 order_racks(struct fleet_pass *pass, struct pass_pool *pool,
             const struct wave_record *wave)
@@ -113,39 +126,39 @@
             g_ptr_array_add(racks, rack);
         }
     }
-    uint32_t floor_hosts = budget_min_available(pool);
-    uint32_t room =
-        pool->available > floor_hosts ? pool->available - floor_hosts : 0;
-    g_ptr_array_sort_with_data(racks, compare_racks, &room);
+    uint32_t min_available = budget_min_available(pool);
+    uint32_t disruptable =
+        pool->available > min_available ? pool->available - min_available : 0;
+    g_ptr_array_sort_with_data(racks, compare_racks, &disruptable);
     return racks;
 }
 
 static bool
-is_quiet(struct fleet_pass *pass, struct pass_pool *pool,
-         const struct pass_host *host)
+load_allows(struct fleet_pass *pass, struct pass_pool *pool,
+            const struct pass_host *host)
 {
-    struct pool_history *memory = pool->history;
-    if (memory->demand_known_ms == 0 || !host->available ||
+    struct pool_history *history = pool->history;
+    if (history->demand_known_ms == 0 || !host->available ||
         pool->config == NULL) {
         return true;
     }
-    double left_slots =
+    double remaining_slots =
         (double)(pool->available - 1) * pool->config->host_slots;
-    if (memory->smoothed_slots * 100 <= left_slots * QUIET_PERCENT) {
-        memory->load_wait_since_ms = INT64_MIN;
+    if (history->smoothed_slots * 100 <= remaining_slots * MAX_LOAD_PERCENT) {
+        history->load_wait_since_ms = INT64_MIN;
         return true;
     }
     int64_t now_ms = pass->snapshot->now_ms;
-    if (memory->load_wait_since_ms == INT64_MIN) {
-        memory->load_wait_since_ms = now_ms;
+    if (history->load_wait_since_ms == INT64_MIN) {
+        history->load_wait_since_ms = now_ms;
     }
-    if (now_ms - memory->load_wait_since_ms >= pass->timings->patience_ms &&
+    if (now_ms - history->load_wait_since_ms >= pass->timings->patience_ms &&
         pool->disrupted == 0) {
         return true;
     }
     g_snprintf(pool->report->waits_for, FLEET_TEXT_BYTES,
-               "a quieter queue: %.0f slots asked for, %.0f would stay",
-               memory->smoothed_slots, left_slots);
+               "lower demand: %.0f slots needed, %.0f would remain",
+               history->smoothed_slots, remaining_slots);
     return false;
 }
 
@@ -157,7 +170,7 @@
         struct pass_host *host =
             pass_member(pass, pool, rack->first_member + k);
         if (!is_candidate(wave, host) || !budget_allows(pass, pool, host) ||
-            !is_quiet(pass, pool, host)) {
+            !load_allows(pass, pool, host)) {
             continue;
         }
         struct disruption_entry entry = {
@@ -165,7 +178,8 @@
             .reason = "maintenance",
         };
         char why[FLEET_TEXT_BYTES];
-        g_snprintf(why, sizeof(why), "wave %u, %u stay available, floor %u",
+        g_snprintf(why, sizeof(why),
+                   "wave %u, %u hosts stay available, at least %u required",
                    (unsigned)wave->number, pool->available - 1,
                    budget_min_available(pool));
         pass_add_admission(pass, host, &entry, why);
@@ -192,45 +206,45 @@
 }
 
 static void
-hold_out(struct wave_tally *tally, const struct pass_host *host,
-         const char *reason)
+add_held_out(struct wave_progress *progress, const struct pass_host *host,
+             const char *reason)
 {
-    g_hash_table_insert(tally->held_out, g_strdup(host->info->name),
+    g_hash_table_insert(progress->held_out, g_strdup(host->info->name),
                         g_strdup(reason));
 }
 
 static void
-tally_host(const struct fleet_pass *pass, const struct wave_record *wave,
-           const struct pass_host *host, struct wave_tally *tally)
+count_host(const struct fleet_pass *pass, const struct wave_record *wave,
+           const struct pass_host *host, struct wave_progress *progress)
 {
     const struct host_record *record = host->record;
-    if (is_working(wave, host)) {
-        tally->working++;
-        tally->due++;
+    if (is_in_progress(wave, host)) {
+        progress->in_progress++;
+        progress->due++;
         return;
     }
     if (is_done(wave, host)) {
-        tally->done++;
+        progress->done++;
         if (record->wave == wave->number && record->state == HOST_FAILED) {
-            hold_out(tally, host, record->reason);
+            add_held_out(progress, host, record->reason);
         }
         return;
     }
     if (!is_due(wave, host)) {
         return;
     }
-    tally->due++;
+    progress->due++;
     if (host->healthy && record->state != HOST_FAILED) {
         return;
     }
-    const struct host_history *memory = host->history;
-    int64_t since_ms = record->state == HOST_FAILED ? memory->state_since_ms
-                                                    : memory->health_since_ms;
+    const struct host_history *history = host->history;
+    int64_t since_ms = record->state == HOST_FAILED ? history->state_since_ms
+                                                    : history->health_since_ms;
     if (pass->snapshot->now_ms - since_ms < pass->timings->settle_ms) {
         return;
     }
-    tally->settled++;
-    hold_out(tally, host, "down");
+    progress->skipped++;
+    add_held_out(progress, host, "down");
 }
 
 static bool
@@ -251,9 +265,9 @@
 }
 
 static bool
-worth_writing(const struct wave_record *old, const struct wave_record *new)
+is_worth_writing(const struct wave_record *old, const struct wave_record *new)
 {
-    uint32_t step = MAX(1, new->total *PROGRESS_PERCENT / 100);
+    uint32_t step = MAX(1, new->total *PROGRESS_WRITE_PERCENT / 100);
     return old->state != new->state || old->done + step <= new->done ||
            old->total != new->total ||
            (old->wait_reason == NULL) != (new->wait_reason == NULL) ||
@@ -261,7 +275,7 @@
 }
 
 static const char *
-wave_waits(struct fleet_pass *pass, const struct wave_record *wave)
+find_wait_reason(struct fleet_pass *pass, const struct wave_record *wave)
 {
     for (size_t i = 0; i < pass->n_pools; i++) {
         const struct pass_pool *pool = &pass->pools[i];
@@ -299,29 +313,29 @@
 static void
 report_wave(struct fleet_pass *pass, const struct wave_record *wave)
 {
-    struct wave_tally tally = {
+    struct wave_progress progress = {
         .held_out =
             g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free),
     };
     for (size_t i = 0; i < pass->snapshot->n_hosts; i++) {
         const struct pass_host *host = &pass->hosts[i];
         if (host->pool != FLEET_INDEX_NONE) {
-            tally_host(pass, wave, host, &tally);
+            count_host(pass, wave, host, &progress);
         }
     }
     struct wave_record *next = wave_record_copy(wave);
     g_hash_table_unref(next->held_out);
-    next->held_out = tally.held_out;
-    next->done = tally.done;
-    next->total = tally.done + tally.due;
+    next->held_out = progress.held_out;
+    next->done = progress.done;
+    next->total = progress.done + progress.due;
     next->estimated_end_s = estimate_end_s(pass, next);
     g_free(next->wait_reason);
-    next->wait_reason = g_strdup(wave_waits(pass, wave));
-    if (tally.due == tally.settled && wave->state == WAVE_RUNNING) {
+    next->wait_reason = g_strdup(find_wait_reason(pass, wave));
+    if (progress.due == progress.skipped && wave->state == WAVE_RUNNING) {
         next->state = WAVE_DONE;
         next->estimated_end_s = pass->snapshot->now_s;
     }
-    if (worth_writing(wave, next)) {
+    if (is_worth_writing(wave, next)) {
         write_wave(pass, next);
     }
     else {
--- a/core/pool_moves.c
+++ b/core/pool_moves.c
@@ -1,14 +1,19 @@
+/*
+ * Moves of hosts between pools: into pools that have fewer hosts than they
+ * need, and of surplus hosts into the spare pool.
+ */
 #include <string.h>
 
 #include "core/fleet_pass.h"
 
 enum {
-    /* A pool gives back at most this part of its surplus at a time. */
-    SURPLUS_PART = 4,
+    /* A pool gives back its surplus divided by this at a time, but at least
+     * one host. */
+    SURPLUS_DIVISOR = 4,
 };
 
 static uint32_t
-supply(const struct pass_pool *pool)
+supply_hosts(const struct pass_pool *pool)
 {
     return pool->usable + pool->incoming;
 }
@@ -16,18 +21,18 @@
 static bool
 in_emergency(const struct pass_pool *pool)
 {
-    return supply(pool) <= pool->config->min_available_hosts;
+    return supply_hosts(pool) <= pool->config->min_available_hosts;
 }
 
-/* Data centre where the pool is below its own target there, or
- * FLEET_INDEX_NONE. */
+/* Data centre in service where the pool has no host beyond its minimum there,
+ * or FLEET_INDEX_NONE. */
 static uint32_t
-short_dc(const struct fleet_pass *pass, const struct pass_pool *pool)
+dc_below_minimum(const struct fleet_pass *pass, const struct pass_pool *pool)
 {
-    uint32_t least = pool->config->min_available_per_dc_hosts;
-    for (guint dc = 0; least > 0 && dc < pass->dc_names->len; dc++) {
+    uint32_t min_hosts = pool->config->min_available_per_dc_hosts;
+    for (guint dc = 0; min_hosts > 0 && dc < pass->dc_names->len; dc++) {
         if (g_array_index(pass->dc_in_service, bool, dc) &&
-            pool->dc_usable[dc] <= least) {
+            pool->dc_usable[dc] <= min_hosts) {
             return dc;
         }
     }
@@ -35,22 +40,22 @@
 }
 
 static bool
-is_short(const struct fleet_pass *pass, const struct pass_pool *pool)
+needs_hosts(const struct fleet_pass *pass, const struct pass_pool *pool)
 {
     const struct config_pool *config = pool->config;
     if (config == NULL || config->spare) {
         return false;
     }
-    if (config->max_hosts > 0 && supply(pool) >= config->max_hosts) {
+    if (config->max_hosts > 0 && supply_hosts(pool) >= config->max_hosts) {
         return false;
     }
-    return supply(pool) < pool->needed ||
-           short_dc(pass, pool) != FLEET_INDEX_NONE;
+    return supply_hosts(pool) < pool->needed ||
+           dc_below_minimum(pass, pool) != FLEET_INDEX_NONE;
 }
 
-/* Hosts that @donor keeps when @pool asks. */
+/* Count of hosts that @donor keeps when @pool needs one. */
 static uint32_t
-donor_floor(const struct pass_pool *donor, const struct pass_pool *pool)
+donor_min_hosts(const struct pass_pool *donor, const struct pass_pool *pool)
 {
     if (donor->config == NULL) {
         return 0;
@@ -72,16 +77,17 @@
 rack_members(const struct pass_pool *pool, uint32_t rack)
 {
     for (guint i = 0; i < pool->racks->len; i++) {
-        const struct pass_rack *tally =
+        const struct pass_rack *member_rack =
             &g_array_index(pool->racks, struct pass_rack, i);
-        if (tally->rack == rack) {
-            return tally->n_members;
+        if (member_rack->rack == rack) {
+            return member_rack->n_members;
         }
     }
     return 0;
 }
 
-/* The donor's host that spreads @pool best over data centres and racks. */
+/* Host of @donor that spreads @pool most evenly over data centres, then over
+ * racks. */
 static struct pass_host *
 choose_host(struct fleet_pass *pass, struct pass_pool *donor,
             const struct pass_pool *pool, uint32_t dc)
@@ -121,20 +127,20 @@
 }
 
 static bool
-take_from(struct fleet_pass *pass, struct pass_pool *donor,
-          struct pass_pool *pool)
+take_host_from(struct fleet_pass *pass, struct pass_pool *donor,
+               struct pass_pool *pool)
 {
-    if (donor == pool || supply(donor) <= donor_floor(donor, pool)) {
+    if (donor == pool || supply_hosts(donor) <= donor_min_hosts(donor, pool)) {
         return false;
     }
-    uint32_t dc = short_dc(pass, pool);
+    uint32_t dc = dc_below_minimum(pass, pool);
     struct pass_host *host = choose_host(pass, donor, pool, dc);
     if (host == NULL || !budget_allows(pass, donor, host)) {
         return false;
     }
     char why[FLEET_TEXT_BYTES];
-    g_snprintf(why, sizeof(why), "%s has %u of %u hosts needed",
-               pool->info->name, supply(pool), pool->needed);
+    g_snprintf(why, sizeof(why), "%s has %u of %u needed hosts",
+               pool->info->name, supply_hosts(pool), pool->needed);
     move_host(pass, host, pool, why);
     return true;
 }
@@ -144,39 +150,40 @@
 {
     const struct pass_pool *left = *(struct pass_pool *const *)a;
     const struct pass_pool *right = *(struct pass_pool *const *)b;
-    bool left_idle = left->config == NULL || left->config->spare;
-    bool right_idle = right->config == NULL || right->config->spare;
-    if (left_idle != right_idle) {
-        return left_idle ? -1 : 1;
+    bool left_spare = left->config == NULL || left->config->spare;
+    bool right_spare = right->config == NULL || right->config->spare;
+    if (left_spare != right_spare) {
+        return left_spare ? -1 : 1;
     }
-    int64_t left_over = (int64_t)supply(left) - left->needed;
-    int64_t right_over = (int64_t)supply(right) - right->needed;
-    return left_over > right_over ? -1 : left_over < right_over;
+    int64_t left_extra = (int64_t)supply_hosts(left) - left->needed;
+    int64_t right_extra = (int64_t)supply_hosts(right) - right->needed;
+    return left_extra > right_extra ? -1 : left_extra < right_extra;
 }
 
 static bool
-fill_once(struct fleet_pass *pass, GPtrArray *donors, struct pass_pool *pool)
+add_one_host(struct fleet_pass *pass, GPtrArray *donors,
+             struct pass_pool *pool)
 {
     g_ptr_array_sort(donors, compare_donors);
     for (guint i = 0; i < donors->len; i++) {
-        if (take_from(pass, g_ptr_array_index(donors, i), pool)) {
+        if (take_host_from(pass, g_ptr_array_index(donors, i), pool)) {
             return true;
         }
     }
     return false;
 }
 
-/* Pools below their budget come first, then those that lack the larger part
- * of their need. */
+/* Whether @pool is to get a host before @than: pools at or below their budget
+ * first, then those with the smaller fraction of the hosts they need. */
 static bool
-needs_more(const struct pass_pool *pool, const struct pass_pool *than)
+is_needier(const struct pass_pool *pool, const struct pass_pool *than)
 {
     bool emergency = in_emergency(pool);
     if (emergency != in_emergency(than)) {
         return emergency;
     }
-    return (uint64_t)supply(pool) * than->needed <
-           (uint64_t)supply(than) * pool->needed;
+    return (uint64_t)supply_hosts(pool) * than->needed <
+           (uint64_t)supply_hosts(than) * pool->needed;
 }
 
 static struct pass_pool *
@@ -185,8 +192,8 @@
     struct pass_pool *best = NULL;
     for (size_t i = 0; i < pass->n_pools; i++) {
         struct pass_pool *pool = &pass->pools[i];
-        if (!tried[i] && is_short(pass, pool) &&
-            (best == NULL || needs_more(pool, best))) {
+        if (!tried[i] && needs_hosts(pass, pool) &&
+            (best == NULL || is_needier(pool, best))) {
             best = pool;
         }
     }
@@ -203,11 +210,12 @@
     }
     struct pass_pool *pool = neediest(pass, tried);
     while (pool != NULL) {
-        if (!fill_once(pass, donors, pool)) {
+        if (!add_one_host(pass, donors, pool)) {
             tried[pool - pass->pools] = true;
-            g_snprintf(pool->report->finding, FLEET_TEXT_BYTES,
-                       "has %u of %u hosts needed and no pool can give one",
-                       supply(pool), pool->needed);
+            g_snprintf(
+                pool->report->finding, FLEET_TEXT_BYTES,
+                "has %u of %u needed hosts, and no other pool can give one",
+                supply_hosts(pool), pool->needed);
         }
         pool = neediest(pass, tried);
     }
@@ -227,9 +235,10 @@
     return NULL;
 }
 
-/* A pool that isn't configured any more gives all it has at once. */
+/* Count of hosts to move to the spare pool now. A pool that is no longer
+ * configured gives all hosts at once. */
 static uint32_t
-to_give_back(const struct fleet_pass *pass, const struct pass_pool *pool)
+surplus_to_release(const struct fleet_pass *pass, const struct pass_pool *pool)
 {
     if (pool->config == NULL) {
         return pool->usable;
@@ -242,12 +251,12 @@
         now_ms - since_ms < hold_ms || moved_ms < hold_ms) {
         return 0;
     }
-    uint32_t surplus = supply(pool) - pool->shrink_threshold;
-    return MAX(1, surplus / SURPLUS_PART);
+    uint32_t surplus = supply_hosts(pool) - pool->shrink_threshold;
+    return MAX(1, surplus / SURPLUS_DIVISOR);
 }
 
 static void
-give_back_surplus(struct fleet_pass *pass)
+release_surplus(struct fleet_pass *pass)
 {
     struct pass_pool *spare = find_spare(pass);
     if (spare == NULL) {
@@ -255,40 +264,41 @@
     }
     for (size_t i = 0; i < pass->n_pools; i++) {
         struct pass_pool *pool = &pass->pools[i];
-        for (uint32_t n = to_give_back(pass, pool); n > 0; n--) {
+        for (uint32_t n = surplus_to_release(pass, pool); n > 0; n--) {
             struct pass_host *host =
                 choose_host(pass, pool, spare, FLEET_INDEX_NONE);
             if (host == NULL || !budget_allows(pass, pool, host)) {
                 break;
             }
-            move_host(pass, host, spare, "more hosts than it needs");
+            move_host(pass, host, spare, "pool has more hosts than it needs");
         }
     }
 }
 
 static void
-find_impossible(const struct fleet_pass *pass, struct pass_pool *pool)
+report_findings(const struct fleet_pass *pass, struct pass_pool *pool)
 {
     const struct config_pool *config = pool->config;
     char *finding = pool->report->finding;
     if (config == NULL) {
         if (pool->members->len > 0) {
             g_snprintf(finding, FLEET_TEXT_BYTES,
-                       "%u hosts are in a pool that isn't configured",
+                       "%u hosts in a pool that is not configured",
                        pool->members->len);
         }
         return;
     }
     if (config->max_hosts > 0 &&
         config->min_available_hosts >= config->max_hosts) {
-        g_snprintf(finding, FLEET_TEXT_BYTES,
-                   "min_available_hosts %u leaves nothing to maintain below "
-                   "max_hosts %u",
-                   config->min_available_hosts, config->max_hosts);
+        g_snprintf(
+            finding, FLEET_TEXT_BYTES,
+            "min_available_hosts %u must be below max_hosts %u to allow "
+            "maintenance",
+            config->min_available_hosts, config->max_hosts);
     }
     else if (pool->usable == 0 && pool->longest_run_ms > 0) {
         g_snprintf(finding, FLEET_TEXT_BYTES,
-                   "no usable host: no queue of it meets its deadline");
+                   "no usable host: queues of the pool cannot meet deadlines");
     }
 }
 
@@ -296,8 +306,8 @@
 pool_moves_plan(struct fleet_pass *pass)
 {
     fill_short_pools(pass);
-    give_back_surplus(pass);
+    release_surplus(pass);
     for (size_t i = 0; i < pass->n_pools; i++) {
-        find_impossible(pass, &pass->pools[i]);
+        report_findings(pass, &pass->pools[i]);
     }
 }
--- a/core/pool_needs.c
+++ b/core/pool_needs.c
@@ -1,60 +1,62 @@
+/* Sizes of pools: hosts needed for the budget and for the smoothed demand. */
 #include <math.h>
 
 #include "core/fleet_pass.h"
 
 enum {
-    /* A pool grows when demand fills more than the first part of its slots,
-     * and gives hosts back when it would still fill less than the second. */
+    /* A pool gets hosts while demand exceeds the first share of its slots,
+     * and gives hosts back while demand would stay below the second. */
     GROW_PERCENT = 85,
     SHRINK_PERCENT = 60,
-    /* Hosts beyond a budget, so that maintenance can go on. */
+    /* Hosts beyond the disruption budget, so that maintenance is possible. */
     HEADROOM_HOSTS = 1,
 };
 
 static void
-smooth(struct fleet_pass *pass, struct pass_pool *pool)
+smooth_demand(struct fleet_pass *pass, struct pass_pool *pool)
 {
-    struct pool_history *memory = pool->history;
+    struct pool_history *history = pool->history;
     int64_t now_ms = pass->snapshot->now_ms;
     if (!pool->info->demand_known) {
-        memory->demand_known_ms = 0;
+        history->demand_known_ms = 0;
         return;
     }
-    if (memory->demand_known_ms == 0) {
-        memory->smoothed_slots = pool->info->demand_slots;
-        memory->sampled_ms = now_ms;
-        memory->demand_known_ms = 1;
+    if (history->demand_known_ms == 0) {
+        history->smoothed_slots = pool->info->demand_slots;
+        history->sampled_ms = now_ms;
+        history->demand_known_ms = 1;
         return;
     }
-    int64_t step_ms = now_ms - memory->sampled_ms;
+    int64_t step_ms = now_ms - history->sampled_ms;
     double weight =
         1 - exp(-(double)step_ms / (double)pass->timings->smooth_ms);
-    memory->smoothed_slots +=
-        weight * (pool->info->demand_slots - memory->smoothed_slots);
-    memory->sampled_ms = now_ms;
-    memory->demand_known_ms += step_ms;
+    history->smoothed_slots +=
+        weight * (pool->info->demand_slots - history->smoothed_slots);
+    history->sampled_ms = now_ms;
+    history->demand_known_ms += step_ms;
 }
 
 static uint32_t
-budget_need(const struct fleet_pass *pass, const struct config_pool *config)
+hosts_for_budget(const struct fleet_pass *pass,
+                 const struct config_pool *config)
 {
     uint32_t dcs = 0;
     for (guint i = 0; i < pass->dc_in_service->len; i++) {
         dcs += g_array_index(pass->dc_in_service, bool, i);
     }
-    uint32_t need = config->min_hosts;
+    uint32_t hosts = config->min_hosts;
     if (config->min_available_hosts > 0) {
-        need = MAX(need, config->min_available_hosts + HEADROOM_HOSTS);
+        hosts = MAX(hosts, config->min_available_hosts + HEADROOM_HOSTS);
     }
     uint32_t per_dc = config->min_available_per_dc_hosts;
     if (per_dc > 0) {
-        need = MAX(need, dcs * (per_dc + HEADROOM_HOSTS));
+        hosts = MAX(hosts, dcs * (per_dc + HEADROOM_HOSTS));
     }
-    return need;
+    return hosts;
 }
 
 static uint32_t
-demand_hosts(const struct pass_pool *pool, uint32_t percent)
+hosts_for_demand(const struct pass_pool *pool, uint32_t percent)
 {
     if (!pool->demand_reliable || pool->config->host_slots == 0) {
         return 0;
@@ -65,13 +67,13 @@
 }
 
 static uint32_t
-capped(const struct config_pool *config, uint32_t hosts)
+cap_hosts(const struct config_pool *config, uint32_t hosts)
 {
     return config->max_hosts > 0 ? MIN(hosts, config->max_hosts) : hosts;
 }
 
 static void
-set_need(struct fleet_pass *pass, struct pass_pool *pool)
+set_targets(struct fleet_pass *pass, struct pass_pool *pool)
 {
     const struct config_pool *config = pool->config;
     if (config == NULL || config->spare) {
@@ -79,27 +81,27 @@
         pool->shrink_threshold = pool->needed;
         return;
     }
-    uint32_t budget = budget_need(pass, config);
+    uint32_t budget = hosts_for_budget(pass, config);
     pool->needed =
-        capped(config, MAX(budget, demand_hosts(pool, GROW_PERCENT)));
+        cap_hosts(config, MAX(budget, hosts_for_demand(pool, GROW_PERCENT)));
     pool->shrink_threshold = UINT32_MAX;
     if (pool->demand_reliable) {
-        pool->shrink_threshold = capped(
-            config, MAX(budget, demand_hosts(pool, SHRINK_PERCENT)) + 1);
+        pool->shrink_threshold = cap_hosts(
+            config, MAX(budget, hosts_for_demand(pool, SHRINK_PERCENT)) + 1);
     }
 }
 
-/* A move under way starts the time anew. */
+/* A move in progress resets the time, since it changes the count of hosts. */
 static void
-note_surplus(struct fleet_pass *pass, struct pass_pool *pool)
+track_surplus(struct fleet_pass *pass, struct pass_pool *pool)
 {
-    struct pool_history *memory = pool->history;
+    struct pool_history *history = pool->history;
     if (pool->usable + pool->incoming <= pool->shrink_threshold ||
         pool->incoming > 0 || pool->outgoing > 0) {
-        memory->surplus_since_ms = INT64_MIN;
+        history->surplus_since_ms = INT64_MIN;
     }
-    else if (memory->surplus_since_ms == INT64_MIN) {
-        memory->surplus_since_ms = pass->snapshot->now_ms;
+    else if (history->surplus_since_ms == INT64_MIN) {
+        history->surplus_since_ms = pass->snapshot->now_ms;
     }
 }
 
@@ -108,10 +110,10 @@
 {
     for (size_t i = 0; i < pass->n_pools; i++) {
         struct pass_pool *pool = &pass->pools[i];
-        smooth(pass, pool);
+        smooth_demand(pass, pool);
         pool->demand_reliable =
             pool->history->demand_known_ms >= pass->timings->smooth_ms;
-        set_need(pass, pool);
-        note_surplus(pass, pool);
+        set_targets(pass, pool);
+        track_surplus(pass, pool);
     }
 }
--- a/core/stagger.c
+++ b/core/stagger.c
@@ -1,8 +1,10 @@
+/* Staggers the writes of controllers that plan the same action. */
 #include "core/stagger.h"
 
 enum {
-    /* Nobody else's step may still be on its way within this part. */
-    LEAST_PART = 8,
+    /* Shortest delay is the spread divided by this, so that the watch can
+     * deliver a write of another controller first. */
+    MIN_DELAY_DIVISOR = 8,
 };
 
 static uint64_t
@@ -20,6 +22,7 @@
     uint64_t hash = hash_text(14695981039346656037ULL, controller);
     hash = hash_text(hash, pool);
     hash ^= hash >> 29;
-    int64_t least_ms = spread_ms / LEAST_PART;
-    return least_ms + (int64_t)(hash % (uint64_t)(spread_ms - least_ms + 1));
+    int64_t min_delay_ms = spread_ms / MIN_DELAY_DIVISOR;
+    return min_delay_ms +
+           (int64_t)(hash % (uint64_t)(spread_ms - min_delay_ms + 1));
 }
--- a/core/wave_record.c
+++ b/core/wave_record.c
@@ -1,3 +1,4 @@
+/* Parses and serialises the record of a maintenance wave. */
 #include "core/wave_record.h"
 
 #include "common/json_read.h"
@@ -69,7 +70,7 @@
 }
 
 static bool
-names_hold(char *const *names, const char *name)
+selects_name(char *const *names, const char *name)
 {
     return names == NULL || names[0] == NULL ||
            g_strv_contains((const char *const *)names, name);
@@ -78,7 +79,7 @@
 bool
 wave_selects(const struct wave_record *wave, const char *pool, const char *dc)
 {
-    return names_hold(wave->pools, pool) && names_hold(wave->dcs, dc);
+    return selects_name(wave->pools, pool) && selects_name(wave->dcs, dc);
 }
 
 static char **
@@ -90,12 +91,12 @@
     }
     guint n = json_array_get_length(array);
     char **names = g_new0(char *, n + 1);
-    size_t kept = 0;
+    size_t n_valid = 0;
     for (guint i = 0; i < n; i++) {
         JsonNode *node = json_array_get_element(array, i);
         if (JSON_NODE_HOLDS_VALUE(node) &&
             json_node_get_value_type(node) == G_TYPE_STRING) {
-            names[kept++] = g_strdup(json_node_get_string(node));
+            names[n_valid++] = g_strdup(json_node_get_string(node));
             continue;
         }
         char *path = g_strdup_printf("%s.%s[%u]", place->path, member, i);
@@ -143,12 +144,13 @@
     if (held_out == NULL) {
         return;
     }
-    struct json_place below = *place;
-    below.object = held_out;
-    below.path = "$.held_out";
+    struct json_place held_out_place = *place;
+    held_out_place.object = held_out;
+    held_out_place.path = "$.held_out";
     GList *names = json_object_get_members(held_out);
     for (GList *link = names; link != NULL; link = link->next) {
-        const char *reason = json_read_string(&below, link->data, true);
+        const char *reason =
+            json_read_string(&held_out_place, link->data, true);
         if (reason != NULL) {
             g_hash_table_insert(wave->held_out, g_strdup(link->data),
                                 g_strdup(reason));
--- a/egretfleetd/controller.c
+++ b/egretfleetd/controller.c
@@ -174,15 +174,17 @@
     if (!fleet_view_ready(controller->view) || woke_from_pause(controller)) {
         return;
     }
-    const struct fleet_snapshot *facts = fleet_view_snapshot(controller->view);
-    struct fleet_plan *plan = fleet_planner_pass(controller->planner, facts);
+    const struct fleet_snapshot *snapshot =
+        fleet_view_snapshot(controller->view);
+    struct fleet_plan *plan =
+        fleet_planner_pass(controller->planner, snapshot);
     log_findings(plan, controller->plan);
     plan_executor_run(controller->actor, plan);
     status_publisher_update(controller->record, plan);
     g_clear_pointer(&controller->plan, fleet_plan_destroy);
     controller->plan = plan;
     counters_set(controller->counters, "egret_fleet_pass_us", NULL,
-                 g_get_monotonic_time() - facts->now_ms * 1000);
+                 g_get_monotonic_time() - snapshot->now_ms * 1000);
 }
 
 static gboolean
--- a/egretfleetd/fleet_view.c
+++ b/egretfleetd/fleet_view.c
@@ -12,7 +12,7 @@
     struct record_table *disruptions;
     struct record_table *waves;
     struct fleet_demand *demand;
-    struct fleet_snapshot facts;
+    struct fleet_snapshot snapshot;
     GArray *hosts;
     GArray *pools;
     GPtrArray *wave_list;
@@ -294,7 +294,7 @@
     add_unlisted(view, list);
     add_pools(view, config);
     add_waves(view);
-    view->facts = (struct fleet_snapshot){
+    view->snapshot = (struct fleet_snapshot){
         .now_ms = ms_clock_now(&view->options.clock),
         .now_s = g_get_real_time() / G_USEC_PER_SEC,
         .host_list_fresh = fleet_view_list_age_ms(view) <=
@@ -307,7 +307,7 @@
         .waves = (const struct wave_record *const *)view->wave_list->pdata,
         .n_waves = view->wave_list->len,
     };
-    return &view->facts;
+    return &view->snapshot;
 }
 
 struct host_records *
--- a/include/core/disruption_record.h
+++ b/include/core/disruption_record.h
@@ -1,4 +1,7 @@
-/* The voluntary disruptions of one pool. */
+/*
+ * Disruption record of a pool: the hosts admitted to be taken out of service
+ * on purpose, for maintenance, a move to another pool, or a suspected fault.
+ */
 #ifndef CORE_DISRUPTION_RECORD_H
 #define CORE_DISRUPTION_RECORD_H
 
@@ -10,12 +13,13 @@
 #include "store/store_keys.h"
 
 /**
- * struct disruption_entry - one host admitted to be disrupted
- * @admission: above that of the host's record as long as it isn't taken up
- * @wave: wave it belongs to, 0 for none
+ * struct disruption_entry - admission of one host
+ * @admission: number of the admission; greater than the admission in the
+ *             host's record until the host starts to drain on it
+ * @wave: maintenance wave that it belongs to, 0 for none
  * @admitted_s: wall time of the admission
  * @reason: "maintenance", "move" or "suspect"
- * @target: pool to move to, or NULL
+ * @target: pool to move the host to, or NULL
  */
 struct disruption_entry {
     uint64_t admission;
@@ -27,6 +31,8 @@
 
 /**
  * struct disruption_record - parsed record
+ * @write_id: unique id of the last write, starts with the name of its writer,
+ *            or NULL
  * @min_shard_versions: shard versions a controller must have read before it
  * admits more
  * @entries: host name to struct disruption_entry; owns both
@@ -44,22 +50,25 @@
 struct disruption_record *
 disruption_record_copy(const struct disruption_record *record);
 
-/** disruption_record_add() - put an entry in; copies it. */
+/** disruption_record_add() - insert a copy of @entry, or replace the entry of
+ * @host. */
 void
 disruption_record_add(struct disruption_record *record, const char *host,
                       const struct disruption_entry *entry);
 
 /**
- * disruption_record_parse() - read the record's text
+ * disruption_record_parse() - parse the JSON text of a record
+ * @file: store key, for findings
  *
- * Returns: the record, or NULL and findings when any part is damaged; a
- * pool with a damaged record admits nothing.
+ * Returns: the record, or NULL with findings when any part is invalid. No
+ * host of a pool is admitted while the pool's record is invalid.
  */
 struct disruption_record *
 disruption_record_parse(const char *text, size_t size_bytes, const char *file,
                         struct findings *findings);
 
-/** disruption_record_serialise() - JSON text; free with g_free(). */
+/** disruption_record_serialise() - JSON text of @record; free with g_free().
+ */
 char *
 disruption_record_serialise(const struct disruption_record *record,
                             size_t *size_bytes);
--- a/include/core/fleet_planner.h
+++ b/include/core/fleet_planner.h
@@ -1,4 +1,4 @@
-/* Plans the next steps of every host, pool and wave. */
+/* Plans the next actions for every host, pool and maintenance wave. */
 #ifndef CORE_FLEET_PLANNER_H
 #define CORE_FLEET_PLANNER_H
 
@@ -11,12 +11,12 @@
 };
 
 /**
- * enum fleet_action_kind - what to write; each is one compare-and-swap on a
- *                          record as the planner was shown it
- * @FLEET_WRITE_HOST: put a host's new record into its shard
- * @FLEET_REMOVE_HOST: take a host's record out of its shard
- * @FLEET_ADMIT: put an entry into a pool's disruption record
- * @FLEET_RELEASE: take an entry out of it
+ * enum fleet_action_kind - write to a stored record, by compare-and-swap on
+ *                          the version that the snapshot was built from
+ * @FLEET_WRITE_HOST: insert or replace a host's record in its shard
+ * @FLEET_REMOVE_HOST: remove a host's record from its shard
+ * @FLEET_ADMIT: insert an entry into a pool's disruption record
+ * @FLEET_RELEASE: remove an entry from a pool's disruption record
  * @FLEET_WRITE_WAVE: replace a wave's record
  */
 enum fleet_action_kind {
@@ -28,13 +28,14 @@
 };
 
 /**
- * struct fleet_action - one step
- * @pool: pool whose turn decides which controller acts first
- * @host: host it is about, or NULL
- * @record: new host record, FLEET_WRITE_HOST
- * @entry: new entry, FLEET_ADMIT; only its admission for FLEET_RELEASE
- * @wave: new wave record, FLEET_WRITE_WAVE
- * @why: reason for the log
+ * struct fleet_action - planned action
+ * @pool: pool that it concerns, or the name of the wave; selects the delay of
+ *        each controller (core/stagger.h)
+ * @host: host that it concerns, or NULL
+ * @record: FLEET_WRITE_HOST: new host record, else NULL
+ * @entry: FLEET_ADMIT: new entry; FLEET_RELEASE: only its admission is set
+ * @wave: FLEET_WRITE_WAVE: new wave record, else NULL
+ * @why: reason, for the log
  */
 struct fleet_action {
     enum fleet_action_kind kind;
@@ -47,21 +48,22 @@
 };
 
 /**
- * struct fleet_pool_report - a pool as operators see it
- * @hosts: hosts whose record names the pool
- * @usable: those that serve or come back by themselves
+ * struct fleet_pool_report - status of a pool, for operators
+ * @hosts: count of hosts whose record names the pool
+ * @usable: hosts that serve in the pool or will do so after their maintenance
  * @incoming: hosts on their way into the pool
- * @available: hosts that count for the budget
- * @disrupted: hosts taken out on purpose
+ * @available: hosts that count as available for the disruption budget
+ * @disrupted: hosts out of service on purpose, or admitted to be
  * @failed: hosts that are down or recorded as failed
- * @budget: hosts that have to stay available
- * @reserve: hosts kept beyond that, against the loss of a rack
- * @needed: hosts the pool has to have
- * @shrink_threshold: hosts above which it gives some back
+ * @budget: configured minimum of available hosts
+ * @reserve: hosts to keep available beyond @budget, so that the pool survives
+ *           the loss of a rack
+ * @needed: hosts below which the pool gets hosts from other pools
+ * @shrink_threshold: hosts above which the pool gives hosts to other pools
  * @demand_slots: smoothed demand
- * @next_step: what is done next
- * @waits_for: why nothing is done, or empty
- * @finding: target that can't be met, or empty
+ * @next_step: last action planned for the pool in this pass, or empty
+ * @waits_for: condition that blocks a disruption in the pool, or empty
+ * @finding: target that cannot be met, or empty
  */
 struct fleet_pool_report {
     char pool[CONFIG_NAME_MAX_BYTES + 1];
@@ -82,9 +84,9 @@
 };
 
 /**
- * struct fleet_plan - result of a pass
+ * struct fleet_plan - result of a planning pass
  * @actions: struct fleet_action pointers, in the order to carry them out
- * @reports: struct fleet_pool_report, one for each pool of the facts
+ * @reports: struct fleet_pool_report, one for each pool of the snapshot
  */
 struct fleet_plan {
     GPtrArray *actions;
@@ -93,20 +95,23 @@
 
 struct fleet_planner;
 
-/** fleet_planner_create() - remembers only how long things have been so. */
+/** fleet_planner_create() - the planner keeps only smoothed demand and how
+ * long hosts and pools have been in their state; all else is in the snapshot.
+ */
 struct fleet_planner *
 fleet_planner_create(const struct fleet_timings *timings);
 void
 fleet_planner_destroy(struct fleet_planner *planner);
 
-/** fleet_planner_pass() - plan; free with fleet_plan_destroy(). */
+/** fleet_planner_pass() - plan from @snapshot; free with fleet_plan_destroy().
+ */
 struct fleet_plan *
 fleet_planner_pass(struct fleet_planner *planner,
-                   const struct fleet_snapshot *facts);
+                   const struct fleet_snapshot *snapshot);
 void
 fleet_plan_destroy(struct fleet_plan *plan);
 
-/** fleet_action_kind_name() - stable name, for logs. */
+/** fleet_action_kind_name() - stable name, for logs and metrics. */
 const char *
 fleet_action_kind_name(enum fleet_action_kind kind);
 
--- a/include/core/fleet_snapshot.h
+++ b/include/core/fleet_snapshot.h
@@ -1,4 +1,4 @@
-/* What a controller knows when it plans: plain facts, no behaviour. */
+/* Input of the fleet planner: what a controller has read, as plain data. */
 #ifndef CORE_FLEET_SNAPSHOT_H
 #define CORE_FLEET_SNAPSHOT_H
 
@@ -13,13 +13,16 @@
 #include "core/wave_record.h"
 
 /**
- * struct fleet_host - one host that is listed or has a record
- * @record: its record, or NULL
- * @damaged: its record can't be read; nothing is done with it
- * @listed: the host list names it; the members below are from there
- * @initial_pool: pool to start in when there is no record, or NULL
+ * struct fleet_host - host that is in the host list or has a record
+ * @record: its stored record, or NULL
+ * @damaged: its stored record is invalid; no action is planned for the host
+ * @listed: it is in the host list; the members up to @initial_pool are taken
+ *          from there
+ * @live: all health checks of the platform pass
+ * @leaving: the platform is about to remove it
+ * @initial_pool: pool that it joins while it has no record, or NULL
  * @drained: every gateway has reported that none of its tasks runs there
- * @suspect: gateways report that it fails everything
+ * @suspect: gateways report that every task fails there
  */
 struct fleet_host {
     const char *name;
@@ -36,12 +39,13 @@
 };
 
 /**
- * struct fleet_pool_info - what is known of a pool besides its hosts
- * @disruptions: its disruption record, or NULL for none
- * @host_records_current: the host records read are as new as the disruption
- * record needs
- * @demand_known: gateways have reported demand lately
- * @demand_slots: slots the pool's work asks for now
+ * struct fleet_pool_info - data of a pool other than its hosts
+ * @disruptions: its disruption record, or NULL
+ * @host_records_current: the host shards read are at least as new as the
+ *                        min_shard_versions of the disruption record, and
+ *                        that record is valid
+ * @demand_known: a recent demand report of a gateway exists
+ * @demand_slots: slots needed for the pool's running and queued tasks
  */
 struct fleet_pool_info {
     const char *name;
@@ -54,9 +58,11 @@
 /**
  * struct fleet_snapshot - input of one planning pass
  * @now_ms: monotonic time
- * @now_s: wall time, for what is written into records
- * @host_list_fresh: the host list was read lately
- * @pools: every pool of @config and every other pool that a record names
+ * @now_s: wall time, for stored records
+ * @host_list_fresh: the host list is younger than list_stale_ms
+ * @hosts: sorted by name
+ * @pools: every pool of @config, and every other pool that a host record or a
+ *         disruption record names
  * @waves: sorted by number
  */
 struct fleet_snapshot {
--- a/include/core/host_state.h
+++ b/include/core/host_state.h
@@ -1,4 +1,4 @@
-/* What the project knows and wants of one host. */
+/* Stored record of a host: its pool and its state in the maintenance cycle. */
 #ifndef CORE_HOST_STATE_H
 #define CORE_HOST_STATE_H
 
@@ -6,12 +6,13 @@
 #include <stdint.h>
 
 /**
- * enum host_state - where a host stands
- * @HOST_SERVING: takes work and counts as available
- * @HOST_DRAINING: takes no new work; what runs finishes
- * @HOST_REBOOTING: the platform is asked to reboot it
- * @HOST_RETURNING: takes work again, but does not count as available yet
- * @HOST_FAILED: taken out after a failure
+ * enum host_state - state of a host
+ * @HOST_SERVING: accepts work and counts as available
+ * @HOST_DRAINING: accepts no new work; running tasks finish
+ * @HOST_REBOOTING: a reboot is requested from the platform
+ * @HOST_RETURNING: accepts work again, but does not count as available until
+ *                  it has been healthy for long enough
+ * @HOST_FAILED: out of service after a failure
  */
 enum host_state {
     HOST_SERVING,
@@ -27,16 +28,18 @@
 
 /**
  * struct host_record - one host's record in the store
- * @pool: the one pool the host belongs to
+ * @pool: pool that the host belongs to
  * @target: pool it moves to once drained, or NULL
- * @reason: why it is in @state
+ * @reason: why the host is in @state
  * @since_s: wall time of the last change of @state or @pool
- * @maintained_s: wall time of its last planned reboot, or of its adoption
+ * @maintained_s: wall time of its last planned reboot, or of the creation of
+ *                the record
  * @moved_s: wall time of its last move between pools, 0 for never
- * @admission: number of the last admitted disruption that it took up or
- *             gave back; only rises
- * @wave: number of the last wave that rebooted it or held it out
- * @seen_down: rebooting, and the host list has shown it as down since
+ * @admission: number of the last admission that the host started to drain on
+ *             or that was cancelled; never decreases
+ * @wave: number of the last maintenance wave that rebooted it
+ * @seen_down: in HOST_REBOOTING: the host list has shown the host as down
+ *             since the reboot was requested
  */
 struct host_record {
     char *pool;
@@ -58,11 +61,12 @@
 void
 host_record_destroy(struct host_record *record);
 
-/** host_state_name() - lower-case name as stored. */
+/** host_state_name() - lower-case name, as stored. */
 const char *
 host_state_name(enum host_state state);
 
-/** host_state_parse() - state of @name; false when there is none. */
+/** host_state_parse() - set @state from its name; false if @name is unknown.
+ */
 bool
 host_state_parse(const char *name, enum host_state *state);
 
--- a/include/core/record_edit.h
+++ b/include/core/record_edit.h
@@ -1,22 +1,25 @@
-/* Applies planned steps to copies of records. */
+/* Applies planned actions to copies of stored records. */
 #ifndef CORE_RECORD_EDIT_H
 #define CORE_RECORD_EDIT_H
 
 #include "core/fleet_planner.h"
 #include "core/host_shard.h"
 
-/** record_edit_shard() - @shard with @steps (struct fleet_action) made. */
+/** record_edit_shard() - copy of @shard with @actions (struct fleet_action)
+ * applied. */
 struct host_shard *
-record_edit_shard(const struct host_shard *shard, const GPtrArray *steps);
+record_edit_shard(const struct host_shard *shard, const GPtrArray *actions);
 
 /**
- * record_edit_disruptions() - @record, or an empty one, with @steps made
- * @versions: versions of the host shards that the removal of entries rests
- *            on; they go into the record
+ * record_edit_disruptions() - copy of @record with @actions applied
+ * @record: record to start from, NULL for an empty one
+ * @versions: versions of the host shards from which the planner concluded
+ *            that entries can be removed; stored as min_shard_versions of
+ *            the shards concerned
  */
 struct disruption_record *
 record_edit_disruptions(const struct disruption_record *record,
-                        const GPtrArray *steps,
+                        const GPtrArray *actions,
                         const uint64_t versions[HOST_SHARDS]);
 
 #endif
--- a/include/core/wave_record.h
+++ b/include/core/wave_record.h
@@ -1,4 +1,4 @@
-/* One wave of maintenance as operators and controllers see it. */
+/* Stored record of a maintenance wave. */
 #ifndef CORE_WAVE_RECORD_H
 #define CORE_WAVE_RECORD_H
 
@@ -9,7 +9,8 @@
 
 #include "common/findings.h"
 
-/** enum wave_state - what operators ask of a wave, and its end */
+/** enum wave_state - state of a wave; operators set all but WAVE_DONE, which
+ * the controllers set at the end */
 enum wave_state {
     WAVE_RUNNING,
     WAVE_PAUSED,
@@ -22,16 +23,22 @@
 };
 
 /**
- * struct wave_record - one wave
- * @number: key; of two waves that meet in a pool the lower goes first
- * @pools, @dcs: NULL-ended names selected; NULL for all
- * @older_than_s: only hosts last maintained longer than this before the start
- * @started_s: wall time
+ * struct wave_record - a maintenance wave: reboots the selected hosts
+ * @number: number, also the key; where two waves select hosts of one pool,
+ *          the lower number is worked off first
+ * @write_id: unique id of the last write, starts with the name of its writer,
+ *            or NULL
+ * @pools, @dcs: NULL-terminated names selected; NULL or empty for all
+ * @older_than_s: selects hosts whose last maintenance was at least this long
+ *                before the start
+ * @started_s: wall time of the start
  * @started_by: operator who started it
- * @total, @done: hosts selected and hosts finished
- * @estimated_end_s: estimated end, 0 for unknown
- * @wait_reason: why nothing goes on, or NULL
- * @held_out: host name to reason, both owned
+ * @total, @done: count of selected hosts and of completed ones
+ * @estimated_end_s: wall time of the estimated end, of the end itself once
+ *                   done, 0 for unknown
+ * @wait_reason: why the wave makes no progress, or NULL
+ * @held_out: selected hosts that failed in the wave or are down: name to
+ *            reason, both owned
  */
 struct wave_record {
     uint64_t number;
@@ -56,24 +63,29 @@
 struct wave_record *
 wave_record_copy(const struct wave_record *wave);
 
-/** wave_state_name() - lower-case name as stored. */
+/** wave_state_name() - lower-case name, as stored. */
 const char *
 wave_state_name(enum wave_state state);
 
-/** wave_is_open() - whether it may still go on. */
+/** wave_is_open() - whether the wave is running or paused. */
 bool
 wave_is_open(const struct wave_record *wave);
 
-/** wave_selects() - whether a host in @pool and @dc is meant. */
+/** wave_selects() - whether @wave selects hosts of @pool in @dc. */
 bool
 wave_selects(const struct wave_record *wave, const char *pool, const char *dc);
 
-/** wave_record_parse() - NULL and findings when it is damaged. */
+/**
+ * wave_record_parse() - parse the JSON text of a wave
+ * @file: store key, for findings
+ *
+ * Returns: the wave, or NULL with findings when any part is invalid.
+ */
 struct wave_record *
 wave_record_parse(const char *text, size_t size_bytes, const char *file,
                   struct findings *findings);
 
-/** wave_record_serialise() - JSON text; free with g_free(). */
+/** wave_record_serialise() - JSON text of @wave; free with g_free(). */
 char *
 wave_record_serialise(const struct wave_record *wave, size_t *size_bytes);
 
