--- a/egretjobd/acceptor.c
+++ b/egretjobd/acceptor.c
@@ -255,14 +255,16 @@
     slot->batch = g_ptr_array_new();
     slot->as_leader = leadership_held(acceptor->node->leadership);
     slot->sent_ms = node_now(acceptor->node);
-    guint most = slot->as_leader ? BATCH_JOBS_AS_LEADER_MAX : BATCH_JOBS_MAX;
+    guint batch_max =
+        slot->as_leader ? BATCH_JOBS_AS_LEADER_MAX : BATCH_JOBS_MAX;
     if (slot->as_leader) {
         conditions[txn.n_conditions++] = (struct kv_condition){
             .key = RECORD_LEADER_KEY,
             .revision = leadership_token(acceptor->node->leadership),
         };
     }
-    while (slot->batch->len < most && !g_queue_is_empty(&acceptor->waiting)) {
+    while (slot->batch->len < batch_max &&
+           !g_queue_is_empty(&acceptor->waiting)) {
         struct pending_job *pending = g_queue_pop_head(&acceptor->waiting);
         g_ptr_array_add(slot->batch, pending);
         /* A stored job only needs the inbox message for the scheduler. */
--- a/egretjobd/frontend.c
+++ b/egretjobd/frontend.c
@@ -336,9 +336,9 @@
 on_metrics(void *ctx, struct http_exchange *exchange)
 {
     struct frontend *frontend = ctx;
-    const struct frontend_counters *f = &frontend->counters;
-    struct sched_stats s;
-    leader_stats(frontend->node->leader, &s);
+    const struct frontend_counters *counters = &frontend->counters;
+    struct sched_stats stats;
+    leader_stats(frontend->node->leader, &stats);
     char text[METRICS_BYTES];
     g_snprintf(text, sizeof(text),
                "requests_total %" G_GUINT64_FORMAT "\n"
@@ -356,12 +356,12 @@
                "tasks_done_total %" G_GUINT64_FORMAT "\n"
                "runs_failed_total %" G_GUINT64_FORMAT "\n"
                "runs_lost_total %" G_GUINT64_FORMAT "\n",
-               f->requests, f->accepted, f->refused, f->unauthorized,
-               f->not_found, f->invalid, f->unknown,
-               leadership_held(frontend->node->leadership),
-               config_feed_fresh(frontend->node->feed), s.jobs_active, s.runs,
-               s.backends, s.backends_unreconciled, s.started, s.done,
-               s.failed, s.lost);
+               counters->requests, counters->accepted, counters->refused,
+               counters->unauthorized, counters->not_found, counters->invalid,
+               counters->unknown, leadership_held(frontend->node->leadership),
+               config_feed_fresh(frontend->node->feed), stats.jobs_active,
+               stats.runs, stats.backends, stats.backends_unreconciled,
+               stats.started, stats.done, stats.failed, stats.lost);
     http_exchange_reply(exchange, 200, text);
 }
 
--- a/egretjobd/leader.c
+++ b/egretjobd/leader.c
@@ -416,10 +416,10 @@
 }
 
 void
-leader_stats(const struct leader *leader, struct sched_stats *figures)
+leader_stats(const struct leader *leader, struct sched_stats *stats)
 {
-    *figures = (struct sched_stats){0};
+    *stats = (struct sched_stats){0};
     if (leader != NULL) {
-        scheduler_stats(leader->sched, figures);
+        scheduler_stats(leader->sched, stats);
     }
 }
--- a/egretjobd/leader_load.c
+++ b/egretjobd/leader_load.c
@@ -153,11 +153,10 @@
     leader->stage = STAGE_READY;
     leader->backends_as_of = leader->ranges[STAGE_BACKENDS].as_of;
     g_hash_table_remove_all(leader->progress);
-    struct sched_stats figures;
-    scheduler_stats(leader->sched, &figures);
+    struct sched_stats stats;
+    scheduler_stats(leader->sched, &stats);
     event_log("leader_ready", "\"jobs\":%u,\"backends\":%u,\"unsettled\":%u",
-              figures.jobs_active, figures.backends,
-              figures.backends_unreconciled);
+              stats.jobs_active, stats.backends, stats.backends_unreconciled);
     leader_config_changed(leader);
     leader_operator_records_changed(leader);
     leader_add_early_jobs(leader);
--- a/egretjobd/node.c
+++ b/egretjobd/node.c
@@ -24,8 +24,8 @@
     SHUTDOWN_MARGIN_MS = 700,
     /* Time to send the last replies. */
     SHUTDOWN_ANSWER_MS = 200,
-    /* Requests that are already routed here are still served; callers stop
-     * coming after the health check has failed twice, a second apart. */
+    /* Requests are still routed here until the health check has failed twice,
+     * a second apart. */
     SHUTDOWN_LINGER_MS = 2500,
     REGISTER_TIMEOUT_MS = 1000,
     REGISTER_RETRY_MS = 300,
--- a/egretjobd/records.c
+++ b/egretjobd/records.c
@@ -59,29 +59,31 @@
     return job;
 }
 
-/* One character per task of a part: 'd' if it is done, else '.'. */
+/* One character for each task of a step in one occurrence: 'd' if it is done,
+ * else '.'. */
 static void
-encode_part(GString *out, const struct job *job, uint32_t part_index)
+encode_step_progress(GString *out, const struct job *job,
+                     uint32_t progress_index)
 {
-    const struct step_progress *part = &job->parts[part_index];
-    uint32_t n_tasks = job->steps[part_index % job->n_steps].task_count;
-    if (part_index > 0) {
+    const struct step_progress *progress = &job->parts[progress_index];
+    uint32_t n_tasks = job->steps[progress_index % job->n_steps].task_count;
+    if (progress_index > 0) {
         g_string_append_c(out, ',');
     }
     g_string_append_c(out, '"');
     for (uint32_t t = 0; t < n_tasks; t++) {
-        g_string_append_c(out, part->tasks[t].done ? 'd' : '.');
+        g_string_append_c(out, progress->tasks[t].done ? 'd' : '.');
     }
     g_string_append_c(out, '"');
 }
 
-/* Rows of part, task, checkpoint and the run numbers of failed runs. */
+/* Rows of step progress index, task, checkpoint and numbers of failed runs. */
 static void
 encode_tasks(GString *out, const struct job *job)
 {
-    uint32_t n_parts = job->n_occurrences * job->n_steps;
+    uint32_t n_progress = job->n_occurrences * job->n_steps;
     bool first = true;
-    for (uint32_t p = 0; p < n_parts; p++) {
+    for (uint32_t p = 0; p < n_progress; p++) {
         uint32_t n_tasks = job->steps[p % job->n_steps].task_count;
         for (uint32_t t = 0; t < n_tasks; t++) {
             const struct job_task *task = &job->parts[p].tasks[t];
@@ -107,9 +109,9 @@
     add_text_member(out, "state", job_state_name(job->state));
     if (job->state == JOB_ACTIVE) {
         g_string_append(out, ",\"parts\":[");
-        uint32_t n_parts = job->n_occurrences * job->n_steps;
-        for (uint32_t p = 0; p < n_parts; p++) {
-            encode_part(out, job, p);
+        uint32_t n_progress = job->n_occurrences * job->n_steps;
+        for (uint32_t p = 0; p < n_progress; p++) {
+            encode_step_progress(out, job, p);
         }
         g_string_append(out, "],\"tasks\":[");
         encode_tasks(out, job);
@@ -133,21 +135,22 @@
 }
 
 static void
-apply_part(struct job *job, uint32_t part_index, const char *task_marks)
+apply_step_progress(struct job *job, uint32_t progress_index,
+                    const char *task_marks)
 {
-    struct step_progress *part = &job->parts[part_index];
-    uint32_t n_tasks = job->steps[part_index % job->n_steps].task_count;
+    struct step_progress *progress = &job->parts[progress_index];
+    uint32_t n_tasks = job->steps[progress_index % job->n_steps].task_count;
     for (uint32_t t = 0; t < n_tasks && task_marks[t] != '\0'; t++) {
         if (task_marks[t] == 'd') {
-            part->tasks[t].done = true;
-            part->done++;
+            progress->tasks[t].done = true;
+            progress->done++;
             job->started = true;
         }
     }
 }
 
 static void
-apply_task(struct job *job, const cJSON *row)
+apply_task_record(struct job *job, const cJSON *row)
 {
     const cJSON *p = cJSON_GetArrayItem(row, 0);
     const cJSON *t = cJSON_GetArrayItem(row, 1);
@@ -173,19 +176,19 @@
 {
     cJSON *record = cJSON_ParseWithLength(value, bytes);
     bool known = state_of(record, &job->state);
-    uint32_t n_parts = job->n_occurrences * job->n_steps;
+    uint32_t n_progress = job->n_occurrences * job->n_steps;
     uint32_t index = 0;
     const cJSON *item;
     cJSON_ArrayForEach(item, cJSON_GetObjectItemCaseSensitive(record, "parts"))
     {
-        if (index < n_parts && cJSON_IsString(item)) {
-            apply_part(job, index, item->valuestring);
+        if (index < n_progress && cJSON_IsString(item)) {
+            apply_step_progress(job, index, item->valuestring);
         }
         index++;
     }
     cJSON_ArrayForEach(item, cJSON_GetObjectItemCaseSensitive(record, "tasks"))
     {
-        apply_task(job, item);
+        apply_task_record(job, item);
     }
     cJSON_Delete(record);
     return known;
--- a/include/egretjobd/leader.h
+++ b/include/egretjobd/leader.h
@@ -50,6 +50,6 @@
 
 /** leader_stats() - statistics of its scheduler. */
 void
-leader_stats(const struct leader *leader, struct sched_stats *figures);
+leader_stats(const struct leader *leader, struct sched_stats *stats);
 
 #endif
