--- a/core/jobs/advice.c
+++ b/core/jobs/advice.c
@@ -14,20 +14,20 @@
 enum {
     /* The users' pages: at most 100 fit one call; a latency objective counts
      * on 30. */
-    ASK_MOST = 30,
-    ASK_RETRY_MS = 150,
+    ADVICE_BACKENDS_MAX = 30,
+    ADVICE_RETRY_MS = 150,
     /* A start is on its way while its ticket ends. */
     TICKET_MARGIN_MS = 150,
 };
 
 /* Share of backend servers that are taken to be allowed before any answer. */
-static const double FIRST_SHARE = 0.5;
-/* Weight of the last answer in the share. */
-static const double SHARE_WEIGHT = 0.2;
+static const double INITIAL_ALLOWED_FRACTION = 0.5;
+/* Weight of the last answer in the allowed_fraction. */
+static const double ALLOWED_FRACTION_WEIGHT = 0.2;
 /* Some more than needed: others may be full by the time of the answer. */
-static const double ASK_SURPLUS = 1.25;
+static const double CANDIDATE_SURPLUS_FACTOR = 1.25;
 
-struct asking {
+struct advice_request {
     struct scheduler *sched;
     struct job *job;
     uint32_t occurrence;
@@ -56,16 +56,16 @@
 }
 
 static int64_t
-tasks_waiting(const struct asking *asking)
+tasks_waiting(const struct advice_request *request)
 {
     const struct step_progress *part =
-        job_step_progress(asking->job, asking->occurrence, asking->step);
+        job_step_progress(request->job, request->occurrence, request->step);
     int64_t waiting = 0;
-    for (uint32_t t = 0; t < asking->job->steps[asking->step].task_count;
+    for (uint32_t t = 0; t < request->job->steps[request->step].task_count;
          t++) {
         const struct job_task *task = &part->tasks[t];
         waiting += task->run == NULL && !task->done &&
-                   task->wait_until_ms <= asking->now_ms;
+                   task->wait_until_ms <= request->now_ms;
     }
     return waiting;
 }
@@ -81,29 +81,29 @@
 /* Backend servers to name: those that were allowed before come first, since
  * only their tickets have ended. */
 static GPtrArray *
-choose_asked(const struct asking *asking, const char *pool)
+choose_candidates(const struct advice_request *request, const char *pool)
 {
-    struct scheduler *sched = asking->sched;
-    const struct job_step *step = &asking->job->steps[asking->step];
+    struct scheduler *sched = request->sched;
+    const struct job_step *step = &request->job->steps[request->step];
     const struct step_advice *advice =
-        job_step_progress(asking->job, asking->occurrence, asking->step)
+        job_step_progress(request->job, request->occurrence, request->step)
             ->advice;
     GPtrArray *expired = g_ptr_array_new();
     GPtrArray *unasked = g_ptr_array_new();
-    double left = (double)tasks_waiting(asking) * ASK_SURPLUS;
+    double left = (double)tasks_waiting(request) * CANDIDATE_SURPLUS_FACTOR;
     GHashTableIter iter;
     void *value;
     g_hash_table_iter_init(&iter, sched->backends);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct backend *backend = value;
         if (strcmp(backend->entry.pool, pool) != 0 ||
-            !sched_could_run(sched, backend, asking->job, asking->occurrence,
-                             asking->step)) {
+            !sched_backend_can_run(sched, backend, request->job,
+                                   request->occurrence, request->step)) {
             continue;
         }
         enum advice_status known = step_advice_status(
             advice, backend->entry.id, backend->entry.incarnation_start_ms,
-            asking->now_ms);
+            request->now_ms);
         if (known == ADVICE_GRANTED) {
             left -= (double)tasks_that_fit(backend, step);
         }
@@ -116,15 +116,15 @@
     g_ptr_array_sort(expired, compare_ids);
     g_ptr_array_sort(unasked, compare_ids);
     GPtrArray *asked = g_ptr_array_new();
-    for (guint i = 0;
-         left > 0 && asked->len < ASK_MOST && i < expired->len + unasked->len;
+    for (guint i = 0; left > 0 && asked->len < ADVICE_BACKENDS_MAX &&
+                      i < expired->len + unasked->len;
          i++) {
         bool again = i < expired->len;
         struct backend *backend =
             again ? g_ptr_array_index(expired, i)
                   : g_ptr_array_index(unasked, i - expired->len);
         left -= (double)tasks_that_fit(backend, step) *
-                (again ? 1 : sched->advice.share);
+                (again ? 1 : sched->advice.allowed_fraction);
         g_ptr_array_add(asked, backend);
     }
     g_ptr_array_unref(expired);
@@ -133,49 +133,50 @@
 }
 
 static void
-ask(const struct asking *asking, GPtrArray *backends)
+send_advice_call(const struct advice_request *request, GPtrArray *backends)
 {
-    struct scheduler *sched = asking->sched;
-    struct open_advice *open = &sched->advice;
-    open->job = job_ref(asking->job);
-    open->occurrence = asking->occurrence;
-    open->step = asking->step;
-    open->sent_ms = asking->now_ms;
+    struct scheduler *sched = request->sched;
+    struct advice_call *open = &sched->advice;
+    open->job = job_ref(request->job);
+    open->occurrence = request->occurrence;
+    open->step = request->step;
+    open->sent_ms = request->now_ms;
     open->asked = g_ptr_array_new_with_free_func(g_free);
     for (guint i = 0; i < backends->len; i++) {
         const struct backend *backend = g_ptr_array_index(backends, i);
         g_ptr_array_add(open->asked, g_strdup(backend->entry.id));
     }
     char step[JOB_ID_CHARS + 32];
-    g_snprintf(step, sizeof(step), "%s.%u.%u", asking->job->id,
-               asking->occurrence, asking->step);
-    sched_note(sched, "advice_asked", "\"step\":\"%s\",\"backends\":%u", step,
-               backends->len);
+    g_snprintf(step, sizeof(step), "%s.%u.%u", request->job->id,
+               request->occurrence, request->step);
+    sched_log_event(sched, "advice_asked", "\"step\":\"%s\",\"backends\":%u",
+                    step, backends->len);
     g_ptr_array_add(open->asked, NULL);
     sched->ops.request_advice(sched->ops.ctx, step,
                               (const char *const *)open->asked->pdata);
 }
 
 static bool
-ask_for_job(struct scheduler *sched, struct job *job, const char *pool)
+request_advice_for_job(struct scheduler *sched, struct job *job,
+                       const char *pool)
 {
     int64_t unix_ms = ms_clock_now(&sched->unix_clock);
-    struct asking asking = {
+    struct advice_request request = {
         .sched = sched, .job = job, .now_ms = sched_now(sched)};
     for (uint32_t k = 0; k < job->n_occurrences; k++) {
         if (job_due_ms(job, k) > unix_ms) {
             return false;
         }
         for (uint32_t s = 0; s < job->n_steps; s++) {
-            asking.occurrence = k;
-            asking.step = s;
-            if (!job_step_ready(job, k, s) || tasks_waiting(&asking) == 0) {
+            request.occurrence = k;
+            request.step = s;
+            if (!job_step_ready(job, k, s) || tasks_waiting(&request) == 0) {
                 continue;
             }
-            GPtrArray *backends = choose_asked(&asking, pool);
+            GPtrArray *backends = choose_candidates(&request, pool);
             bool any = backends->len > 0;
             if (any) {
-                ask(&asking, backends);
+                send_advice_call(&request, backends);
             }
             g_ptr_array_unref(backends);
             if (any) {
@@ -187,7 +188,7 @@
 }
 
 void
-sched_ask_advice(struct scheduler *sched)
+sched_request_advice(struct scheduler *sched)
 {
     if (sched->ops.request_advice == NULL || sched->advice.job != NULL ||
         sched_now(sched) < sched->advice.retry_ms) {
@@ -198,7 +199,7 @@
         const struct queue_config *queue =
             fleet_config_queue(sched->config, job->queue);
         if (queue != NULL && queue->needs_advice &&
-            ask_for_job(sched, job, queue->pool)) {
+            request_advice_for_job(sched, job, queue->pool)) {
             return;
         }
     }
@@ -228,13 +229,14 @@
 scheduler_on_advice(struct scheduler *sched,
                     const struct advice_answer *answer)
 {
-    struct open_advice *open = &sched->advice;
+    struct advice_call *open = &sched->advice;
     if (open->job == NULL) {
         return;
     }
     if (!answer->given) {
-        open->retry_ms = sched_now(sched) + ASK_RETRY_MS;
-        sched_note(sched, "advice_missing", "\"job\":\"%s\"", open->job->id);
+        open->retry_ms = sched_now(sched) + ADVICE_RETRY_MS;
+        sched_log_event(sched, "advice_missing", "\"job\":\"%s\"",
+                        open->job->id);
         close_call(sched);
         return;
     }
@@ -257,7 +259,9 @@
                               open->sent_ms + answer->valid_ms -
                                   TICKET_MARGIN_MS);
         }
-        open->share += SHARE_WEIGHT * ((row == NULL ? 0 : 1) - open->share);
+        open->allowed_fraction +=
+            ALLOWED_FRACTION_WEIGHT *
+            ((row == NULL ? 0 : 1) - open->allowed_fraction);
     }
     close_call(sched);
 }
@@ -265,7 +269,7 @@
 void
 sched_advice_init(struct scheduler *sched)
 {
-    sched->advice.share = FIRST_SHARE;
+    sched->advice.allowed_fraction = INITIAL_ALLOWED_FRACTION;
 }
 
 void
--- a/core/jobs/backend.c
+++ b/core/jobs/backend.c
@@ -4,9 +4,9 @@
 
 enum {
     /* The users' pages: a backend server's clock may be 2 % slow. */
-    CLOCK_SLOW_PERCENT = 2,
+    CLOCK_SLOW_MAX_PERCENT = 2,
     /* Covers rounding and the delay between sampling and sending. */
-    LAPSE_MARGIN_MS = 60,
+    LEASE_EXPIRY_MARGIN_MS = 60,
 };
 
 struct backend_entry *
@@ -71,7 +71,7 @@
 }
 
 static void
-end_free(void *data)
+pending_completion_free(void *data)
 {
     struct pending_completion *end = data;
     job_unref(end->job);
@@ -84,7 +84,7 @@
     if (backend == NULL) {
         return;
     }
-    g_queue_clear_full(&backend->completions, end_free);
+    g_queue_clear_full(&backend->completions, pending_completion_free);
     g_ptr_array_unref(backend->runs);
     backend_entry_clear(&backend->entry);
     g_free(backend);
@@ -107,7 +107,8 @@
 backend_clock_at_least_ms(const struct backend *backend, int64_t now_ms)
 {
     int64_t elapsed_ms = now_ms - backend->clock_sampled_ms;
-    return backend->clock_ms + elapsed_ms * (100 - CLOCK_SLOW_PERCENT) / 100;
+    return backend->clock_ms +
+           elapsed_ms * (100 - CLOCK_SLOW_MAX_PERCENT) / 100;
 }
 
 bool
@@ -120,7 +121,7 @@
         return true;
     }
     return backend_clock_at_least_ms(backend, now_ms) >
-           backend->granted_until_ms + LAPSE_MARGIN_MS;
+           backend->granted_until_ms + LEASE_EXPIRY_MARGIN_MS;
 }
 
 int64_t
@@ -144,7 +145,7 @@
             return;
         }
         backend->acked_completion = end->number;
-        end_free(g_queue_pop_head(&backend->completions));
+        pending_completion_free(g_queue_pop_head(&backend->completions));
     }
 }
 
--- a/core/jobs/command_budget.c
+++ b/core/jobs/command_budget.c
@@ -8,27 +8,30 @@
 
 /* Share of the rate that may be given at once, the rest as time goes on: no
  * second sees more than the whole. */
-static const double BURST_SHARE = 0.25;
+static const double BURST_FRACTION = 0.25;
 /* Share of the burst that is kept for what can't wait. */
-static const double KEPT_SHARE = 0.5;
+static const double RESERVED_BURST_FRACTION = 0.5;
 
 void
-order_budget_refill(struct order_budget *budget, double per_s, int64_t now_ms)
+command_budget_refill(struct command_budget *budget, double per_s,
+                      int64_t now_ms)
 {
-    double burst = MAX(per_s * BURST_SHARE, 1);
-    if (budget->filled_ms == 0) {
+    double burst = MAX(per_s * BURST_FRACTION, 1);
+    if (budget->refilled_ms == 0) {
         budget->left = burst;
     }
     else {
-        double passed_s = (double)(now_ms - budget->filled_ms) / 1000;
-        budget->left += passed_s * per_s * (1 - BURST_SHARE);
+        double passed_s = (double)(now_ms - budget->refilled_ms) / 1000;
+        budget->left += passed_s * per_s * (1 - BURST_FRACTION);
     }
     budget->left = MIN(budget->left, burst);
-    budget->filled_ms = now_ms;
+    budget->refilled_ms = now_ms;
 }
 
 bool
-order_budget_ample(const struct order_budget *budget, double per_s)
+command_budget_allows_deferrable(const struct command_budget *budget,
+                                 double per_s)
 {
-    return budget->left >= 1 + per_s * BURST_SHARE * KEPT_SHARE;
+    return budget->left >=
+           1 + per_s * BURST_FRACTION * RESERVED_BURST_FRACTION;
 }
--- a/core/jobs/drain.c
+++ b/core/jobs/drain.c
@@ -13,14 +13,14 @@
     for (guint i = 0; i < backend->runs->len; i++) {
         struct run *run = g_ptr_array_index(backend->runs, i);
         if (run->state == RUN_WORKING && run_step(run)->long_running &&
-            sched_run_may_stop(run) && sched_room_elsewhere(sched, run)) {
+            sched_run_may_stop(run) && sched_fits_elsewhere(sched, run)) {
             sched_run_stop(sched, run);
         }
     }
 }
 
 void
-sched_empty_draining(struct scheduler *sched)
+sched_move_off_draining(struct scheduler *sched)
 {
     GHashTableIter iter;
     void *value;
--- a/core/jobs/election_backoff.c
+++ b/core/jobs/election_backoff.c
@@ -4,14 +4,14 @@
 
 enum {
     /* Claims of equal hosts spread over this time. */
-    CLAIM_SPREAD_MS = 100,
+    ELECTION_SPREAD_MS = 100,
     /* Hosts with little processor leave the duty to the others for up to
      * this long. */
-    WEAK_HOST_MS = 500,
+    WEAK_HOST_DELAY_MAX_MS = 500,
 };
 
 /* A host with this many cores carries the scheduler of the grown fleet. */
-static const double STRONG_HOST_CORES = 0.5;
+static const double STRONG_HOST_MIN_CORES = 0.5;
 
 enum election_action
 election_backoff_next(struct election_backoff *turn, bool vacant, double cores,
@@ -26,7 +26,8 @@
         return ELECTION_CAMPAIGN;
     }
     turn->waited = true;
-    double lack = 1 - MIN(cores / STRONG_HOST_CORES, 1);
-    *delay_ms = (int64_t)(lack * WEAK_HOST_MS + chance * CLAIM_SPREAD_MS);
+    double lack = 1 - MIN(cores / STRONG_HOST_MIN_CORES, 1);
+    *delay_ms =
+        (int64_t)(lack * WEAK_HOST_DELAY_MAX_MS + chance * ELECTION_SPREAD_MS);
     return ELECTION_WAIT;
 }
--- a/core/jobs/host_plan.c
+++ b/core/jobs/host_plan.c
@@ -14,18 +14,18 @@
     /* A holder before may have given orders until its lease ended. */
     TAKEOVER_MARGIN_MS = 300,
     /* An order that was on its way at the takeover shows by then. */
-    TAKEOVER_SETTLE_MS = 800,
+    TAKEOVER_VISIBLE_MS = 800,
     /* Times of day may differ between hosts by this much. */
-    CLOCK_DIFFERENCE_MS = 500,
+    CLOCK_DIFFERENCE_MAX_MS = 500,
     /* A host that can't be emptied in this time stays where it is. */
     INTENT_TIMEOUT_MS = 6000,
     /* A move pays for itself when its host is off this long; shorter lulls
      * than this are waited out. */
-    SURPLUS_MS = 1500,
+    SURPLUS_MIN_MS = 1500,
 };
 
 /* A pool keeps this many hosts for what arrives without notice. */
-static const int64_t RESERVE_HOSTS = 1;
+static const int64_t RESERVE_HOST_COUNT = 1;
 
 static bool
 is_spare(const struct scheduler *sched, const char *pool)
@@ -35,13 +35,13 @@
 }
 
 static void
-send_order(struct scheduler *sched, struct host *host)
+send_host_command(struct scheduler *sched, struct host *host)
 {
-    host->ordering = true;
+    host->command_in_flight = true;
     host->intent_ms = sched_now(sched);
-    sched->order_budget.left--;
-    g_free(host->last_incarnation);
-    host->last_incarnation = g_strdup(host->backend_id);
+    sched->command_budget.left--;
+    g_free(host->commanded_incarnation);
+    host->commanded_incarnation = g_strdup(host->backend_id);
     if (host->intent == HOST_REBOOTS) {
         sched->ops.reboot_host(sched->ops.ctx, host->name, host->wave);
     }
@@ -66,9 +66,9 @@
 
 /* Whether an order of the holder before may be this recent. */
 static bool
-in_order_gap(const struct scheduler *sched)
+in_takeover_gap(const struct scheduler *sched)
 {
-    return sched_now(sched) < sched->taken_over_ms +
+    return sched_now(sched) < sched->takeover_ms +
                                   sched->timings.command_gap_ms +
                                   TAKEOVER_MARGIN_MS;
 }
@@ -76,45 +76,46 @@
 /* Whether an earlier holder's last order for this host is long enough ago:
  * its backend server was started by that order, or after it. */
 static bool
-order_allowed(const struct scheduler *sched, const struct host *host)
+command_allowed(const struct scheduler *sched, const struct host *host)
 {
     int64_t gap_ms = sched->timings.command_gap_ms + TAKEOVER_MARGIN_MS;
     int64_t now_ms = sched_now(sched);
-    if (!host->ordered_before || !in_order_gap(sched)) {
+    if (!host->commanded_before || !in_takeover_gap(sched)) {
         return true;
     }
     const struct backend *backend = sched_host_backend(sched, host);
-    return now_ms >= sched->taken_over_ms + TAKEOVER_SETTLE_MS &&
+    return now_ms >= sched->takeover_ms + TAKEOVER_VISIBLE_MS &&
            backend != NULL && backend->entry.incarnation_start_ms > 0 &&
            ms_clock_now(&sched->unix_clock) -
                    backend->entry.incarnation_start_ms >=
-               gap_ms + CLOCK_DIFFERENCE_MS;
+               gap_ms + CLOCK_DIFFERENCE_MAX_MS;
 }
 
 static void
-pursue(struct scheduler *sched, struct host *host)
+advance_host(struct scheduler *sched, struct host *host)
 {
     int64_t now_ms = sched_now(sched);
-    if (host->intent == HOST_STAYS || host->ordering || host->ordered ||
-        now_ms < host->retry_ms || !order_allowed(sched, host)) {
+    if (host->intent == HOST_STAYS || host->command_in_flight ||
+        host->command_accepted || now_ms < host->retry_ms ||
+        !command_allowed(sched, host)) {
         return;
     }
     if (sched_host_empty(sched, host)) {
-        if (sched->order_budget.left >= 1) {
-            send_order(sched, host);
+        if (sched->command_budget.left >= 1) {
+            send_host_command(sched, host);
         }
         return;
     }
     if (now_ms - host->intent_ms > INTENT_TIMEOUT_MS &&
         host->intent == HOST_MOVES) {
-        sched_host_intend(sched, host, HOST_STAYS, NULL);
+        sched_host_set_intent(sched, host, HOST_STAYS, NULL);
         return;
     }
     empty_host(sched, host);
 }
 
 static void
-count_coming(struct scheduler *sched)
+count_incoming_hosts(struct scheduler *sched)
 {
     GHashTableIter iter;
     void *value;
@@ -122,15 +123,15 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct host *host = value;
         if (host->intent == HOST_MOVES && host->target_pool != NULL) {
-            sched_pool_load(sched, host->target_pool)->coming++;
+            sched_pool_load(sched, host->target_pool)->incoming_hosts++;
         }
-        else if (host->intent == HOST_REBOOTS && host->ordered) {
-            sched_pool_load(sched, host->pool)->coming++;
+        else if (host->intent == HOST_REBOOTS && host->command_accepted) {
+            sched_pool_load(sched, host->pool)->incoming_hosts++;
         }
-        else if (host->present && !host->up && host->ordered_before &&
-                 in_order_gap(sched)) {
+        else if (host->present && !host->up && host->commanded_before &&
+                 in_takeover_gap(sched)) {
             /* On its way by an order of the holder before. */
-            sched_pool_load(sched, host->pool)->coming++;
+            sched_pool_load(sched, host->pool)->incoming_hosts++;
         }
     }
 }
@@ -139,8 +140,8 @@
 static int64_t
 surplus_hosts(const struct pool_load *load, int64_t now_ms)
 {
-    return load->hosts + load->coming - pool_load_wanted_hosts(load, now_ms) -
-           RESERVE_HOSTS;
+    return load->hosts + load->incoming_hosts -
+           pool_load_wanted_hosts(load, now_ms) - RESERVE_HOST_COUNT;
 }
 
 static bool
@@ -148,9 +149,9 @@
 {
     const struct backend *backend = sched_host_backend(sched, host);
     return host->present && host->up && host->intent == HOST_STAYS &&
-           !host->ordered && !host->ordering && host->wave == 0 &&
-           (backend == NULL || !backend->entry.draining) &&
-           sched_host_empty(sched, host) && order_allowed(sched, host);
+           !host->command_accepted && !host->command_in_flight &&
+           host->wave == 0 && (backend == NULL || !backend->entry.draining) &&
+           sched_host_empty(sched, host) && command_allowed(sched, host);
 }
 
 /* The best host to bring to @pool: a spare one, else an idle one of a pool
@@ -166,7 +167,7 @@
         struct host *host = value;
         if (!movable(sched, host) || strcmp(host->pool, pool) == 0 ||
             (host->data_centre != NULL &&
-             sched_is_out(sched, host->data_centre))) {
+             sched_is_out_of_service(sched, host->data_centre))) {
             continue;
         }
         if (is_spare(sched, host->pool)) {
@@ -182,20 +183,21 @@
 static void
 plan_move(struct scheduler *sched, struct host *host, const char *pool)
 {
-    sched_note(sched, "host_move_planned",
-               "\"host\":\"%s\",\"from\":\"%s\",\"to\":\"%s\"", host->name,
-               host->pool, pool);
+    sched_log_event(sched, "host_move_planned",
+                    "\"host\":\"%s\",\"from\":\"%s\",\"to\":\"%s\"",
+                    host->name, host->pool, pool);
     sched_pool_load(sched, host->pool)->hosts--;
-    sched_pool_load(sched, pool)->coming++;
-    sched_host_intend(sched, host, HOST_MOVES, pool);
-    pursue(sched, host);
+    sched_pool_load(sched, pool)->incoming_hosts++;
+    sched_host_set_intent(sched, host, HOST_MOVES, pool);
+    advance_host(sched, host);
 }
 
 static void
 grow_pool(struct scheduler *sched, struct pool_load *load, int64_t now_ms)
 {
-    while (sched->order_budget.left >= 1 &&
-           pool_load_wanted_hosts(load, now_ms) > load->hosts + load->coming) {
+    while (sched->command_budget.left >= 1 &&
+           pool_load_wanted_hosts(load, now_ms) >
+               load->hosts + load->incoming_hosts) {
         struct host *host = find_source(sched, load->pool, now_ms);
         if (host == NULL) {
             return;
@@ -209,7 +211,7 @@
 {
     const struct pool_config *spare = fleet_config_spare(sched->config);
     /* A new holder does not know yet what arrives. */
-    bool settling = now_ms < sched->taken_over_ms + TAKEOVER_SETTLE_MS;
+    bool settling = now_ms < sched->takeover_ms + TAKEOVER_VISIBLE_MS;
     if (spare == NULL || settling || surplus_hosts(load, now_ms) <= 0) {
         load->surplus_since_ms = 0;
         return;
@@ -217,7 +219,7 @@
     if (load->surplus_since_ms == 0) {
         load->surplus_since_ms = now_ms;
     }
-    if (now_ms - load->surplus_since_ms < SURPLUS_MS) {
+    if (now_ms - load->surplus_since_ms < SURPLUS_MIN_MS) {
         return;
     }
     GHashTableIter iter;
@@ -226,8 +228,8 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct host *host = value;
         if (surplus_hosts(load, now_ms) <= 0 ||
-            !order_budget_ample(&sched->order_budget,
-                                sched->timings.host_commands_per_s)) {
+            !command_budget_allows_deferrable(
+                &sched->command_budget, sched->timings.host_commands_per_s)) {
             return;
         }
         if (movable(sched, host) && strcmp(host->pool, load->pool) == 0) {
@@ -238,13 +240,13 @@
 
 /* Orders that are due for longest: maintenance, and what got no answer. */
 static void
-pursue_all(struct scheduler *sched)
+advance_hosts(struct scheduler *sched)
 {
     GHashTableIter iter;
     void *value;
     g_hash_table_iter_init(&iter, sched->hosts);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        pursue(sched, value);
+        advance_host(sched, value);
     }
 }
 
@@ -252,7 +254,7 @@
 plan_pools(struct scheduler *sched)
 {
     int64_t now_ms = sched_now(sched);
-    count_coming(sched);
+    count_incoming_hosts(sched);
     for (guint i = 0; i < sched->config->pools->len; i++) {
         const struct pool_config *pool =
             g_ptr_array_index(sched->config->pools, i);
@@ -277,12 +279,12 @@
         return;
     }
     sched->plan_due_ms = now_ms + PLAN_PERIOD_MS;
-    order_budget_refill(&sched->order_budget,
-                        sched->timings.host_commands_per_s, now_ms);
+    command_budget_refill(&sched->command_budget,
+                          sched->timings.host_commands_per_s, now_ms);
     sched_measure_pools(sched);
-    if (now_ms >= sched->taken_over_ms + TAKEOVER_SETTLE_MS) {
+    if (now_ms >= sched->takeover_ms + TAKEOVER_VISIBLE_MS) {
         sched_plan_waves(sched);
     }
-    pursue_all(sched);
+    advance_hosts(sched);
     plan_pools(sched);
 }
--- a/core/jobs/hosts.c
+++ b/core/jobs/hosts.c
@@ -6,12 +6,12 @@
 #include "scheduler_state.h"
 
 enum {
-    ORDER_RETRY_MS = 500,
+    COMMAND_RETRY_MS = 500,
     /* An accepted order shows in the list after the host is back; a list
      * that was asked for before the order may still show the old state. */
-    ORDER_SETTLE_MS = 2000,
+    COMMAND_VISIBLE_MS = 2000,
     /* An incarnation this young may have begun after the list was made. */
-    LIST_AGE_MS = 4000,
+    HOST_LIST_AGE_MAX_MS = 4000,
 };
 
 struct backend *
@@ -38,8 +38,8 @@
 }
 
 void
-sched_host_intend(struct scheduler *sched, struct host *host,
-                  enum host_intent intent, const char *pool)
+sched_host_set_intent(struct scheduler *sched, struct host *host,
+                      enum host_intent intent, const char *pool)
 {
     host->intent = intent;
     host->intent_ms = sched_now(sched);
@@ -76,12 +76,12 @@
     end_incarnation(sched, sched_host_backend(sched, host));
     g_free(host->backend_id);
     host->backend_id = g_strdup(backend_id);
-    if (host->ordered || host->ordering) {
-        host->ordered = false;
-        sched_host_intend(sched, host, HOST_STAYS, NULL);
+    if (host->command_accepted || host->command_in_flight) {
+        host->command_accepted = false;
+        sched_host_set_intent(sched, host, HOST_STAYS, NULL);
     }
     else if (host->intent != HOST_STAYS) {
-        sched_host_intend(sched, host, host->intent, host->target_pool);
+        sched_host_set_intent(sched, host, host->intent, host->target_pool);
     }
 }
 
@@ -109,7 +109,7 @@
 void
 scheduler_host_commanded_before(struct scheduler *sched, const char *name)
 {
-    sched_host_find_or_add(sched, name)->ordered_before = true;
+    sched_host_find_or_add(sched, name)->commanded_before = true;
 }
 
 /* Entries of incarnations that are over may linger; the latest born is the
@@ -125,7 +125,7 @@
         return;
     }
     const struct backend *present = sched_host_backend(sched, host);
-    if (g_strcmp0(host->last_incarnation, backend->entry.id) == 0 ||
+    if (g_strcmp0(host->commanded_incarnation, backend->entry.id) == 0 ||
         (present != NULL && present->entry.incarnation_start_ms >
                                 backend->entry.incarnation_start_ms)) {
         end_incarnation(sched, backend);
@@ -143,40 +143,40 @@
 }
 
 static void
-host_read(struct scheduler *sched, const struct host_info *fact)
+update_host(struct scheduler *sched, const struct host_info *info)
 {
-    struct host *host = sched_host_find_or_add(sched, fact->host);
+    struct host *host = sched_host_find_or_add(sched, info->host);
     int64_t now_ms = sched_now(sched);
     host->present = true;
-    set_text(&host->data_centre, fact->data_centre);
-    bool under_order = host->ordering || host->ordered;
-    if (under_order && now_ms - host->intent_ms < ORDER_SETTLE_MS) {
+    set_text(&host->data_centre, info->data_centre);
+    bool under_order = host->command_in_flight || host->command_accepted;
+    if (under_order && now_ms - host->intent_ms < COMMAND_VISIBLE_MS) {
         return;
     }
     struct backend *present = sched_host_backend(sched, host);
-    if (fact->unavailable && present != NULL &&
+    if (info->unavailable && present != NULL &&
         ms_clock_now(&sched->unix_clock) -
                 present->entry.incarnation_start_ms >
-            LIST_AGE_MS) {
+            HOST_LIST_AGE_MAX_MS) {
         end_incarnation(sched, present);
     }
-    if (fact->up && fact->backend_id != NULL &&
-        g_strcmp0(fact->backend_id, host->backend_id) != 0) {
-        new_incarnation(sched, host, fact->backend_id);
+    if (info->up && info->backend_id != NULL &&
+        g_strcmp0(info->backend_id, host->backend_id) != 0) {
+        new_incarnation(sched, host, info->backend_id);
     }
-    else if (fact->up && host->ordered && !host->ordering) {
+    else if (info->up && host->command_accepted && !host->command_in_flight) {
         /* The order was not carried out after all. */
-        host->ordered = false;
-        sched_host_intend(sched, host, HOST_STAYS, NULL);
+        host->command_accepted = false;
+        sched_host_set_intent(sched, host, HOST_STAYS, NULL);
     }
-    if (!fact->up && host->down_unix_ms == 0) {
+    if (!info->up && host->down_unix_ms == 0) {
         host->down_unix_ms = ms_clock_now(&sched->unix_clock);
     }
-    if (fact->up) {
+    if (info->up) {
         host->down_unix_ms = 0;
     }
-    host->up = fact->up;
-    set_text(&host->pool, fact->pool);
+    host->up = info->up;
+    set_text(&host->pool, info->pool);
 }
 
 void
@@ -191,14 +191,14 @@
         ((struct host *)value)->present = false;
     }
     for (size_t i = 0; i < n_hosts; i++) {
-        host_read(sched, &hosts[i]);
+        update_host(sched, &hosts[i]);
     }
 }
 
 static void
-order_accepted(struct scheduler *sched, struct host *host, int64_t number)
+on_command_accepted(struct scheduler *sched, struct host *host, int64_t number)
 {
-    host->ordered = true;
+    host->command_accepted = true;
     host->up = false;
     /* Half of the way: times of day differ a little between hosts. */
     host->down_unix_ms =
@@ -206,7 +206,7 @@
     host->intent_ms = sched_now(sched);
     struct wave *wave = sched_find_wave(sched, number);
     if (wave != NULL) {
-        g_hash_table_add(wave->begun, g_strdup(host->name));
+        g_hash_table_add(wave->started, g_strdup(host->name));
         host->wave = 0;
     }
     else if (host->target_pool != NULL) {
@@ -219,33 +219,34 @@
                           int64_t number, enum host_command_result answer)
 {
     struct host *host = g_hash_table_lookup(sched->hosts, name);
-    sched_note(sched, "host_order_answer",
-               "\"host\":\"%s\",\"wave\":%" G_GINT64_FORMAT ",\"answer\":%d",
-               name, number, answer);
-    if (host == NULL || !host->ordering) {
+    sched_log_event(sched, "host_order_answer",
+                    "\"host\":\"%s\",\"wave\":%" G_GINT64_FORMAT
+                    ",\"answer\":%d",
+                    name, number, answer);
+    if (host == NULL || !host->command_in_flight) {
         return;
     }
-    host->ordering = false;
+    host->command_in_flight = false;
     switch (answer) {
     case HOST_COMMAND_DONE:
-        order_accepted(sched, host, number);
+        on_command_accepted(sched, host, number);
         break;
     case HOST_COMMAND_NOT_WANTED:
         if (sched_find_wave(sched, number) != NULL) {
-            g_hash_table_add(sched_find_wave(sched, number)->begun,
+            g_hash_table_add(sched_find_wave(sched, number)->started,
                              g_strdup(name));
             host->wave = 0;
         }
-        sched_host_intend(sched, host, HOST_STAYS, NULL);
+        sched_host_set_intent(sched, host, HOST_STAYS, NULL);
         break;
     case HOST_COMMAND_UNKNOWN:
         /* Given again until it is answered: the same order twice is one. */
-        host->retry_ms = sched_now(sched) + ORDER_RETRY_MS;
+        host->retry_ms = sched_now(sched) + COMMAND_RETRY_MS;
         break;
     case HOST_COMMAND_REFUSED:
-        host->retry_ms = sched_now(sched) + ORDER_RETRY_MS;
+        host->retry_ms = sched_now(sched) + COMMAND_RETRY_MS;
         if (number == 0) {
-            sched_host_intend(sched, host, HOST_STAYS, NULL);
+            sched_host_set_intent(sched, host, HOST_STAYS, NULL);
         }
         break;
     }
--- a/core/jobs/place.c
+++ b/core/jobs/place.c
@@ -19,10 +19,10 @@
     int64_t now_ms;
     int64_t unix_ms;
     GHashTable *usable;
-    GHashTable *unsettled;
+    GHashTable *unreconciled_pools;
 };
 
-struct place_want {
+struct placement_request {
     const struct job *job;
     const struct job_step *step;
     uint32_t occurrence;
@@ -34,13 +34,14 @@
 };
 
 static uint32_t
-count_of_step(const struct backend *backend, const struct place_want *want)
+count_of_step(const struct backend *backend,
+              const struct placement_request *request)
 {
     uint32_t count = 0;
     for (guint i = 0; i < backend->runs->len; i++) {
         const struct run *run = g_ptr_array_index(backend->runs, i);
-        if (run->job == want->job && run->step == want->step_index &&
-            run->occurrence == want->occurrence) {
+        if (run->job == request->job && run->step == request->step_index &&
+            run->occurrence == request->occurrence) {
             count++;
         }
     }
@@ -49,7 +50,7 @@
 
 /* Whether tasks that fill and tasks that serve would share the server. */
 static bool
-would_disturb(const struct backend *backend, const struct job_step *step)
+would_mix_workloads(const struct backend *backend, const struct job_step *step)
 {
     bool serves = step->tail_latency_target_ms > 0;
     if (!serves && !step->best_effort) {
@@ -68,9 +69,9 @@
 
 static bool
 place_allowed(const struct placer *placer, const struct backend *backend,
-              const struct place_want *want)
+              const struct placement_request *request)
 {
-    const struct job_step *step = want->step;
+    const struct job_step *step = request->step;
     struct resources need = step->need;
     if (step->best_effort) {
         need.cpu_milli = 0;
@@ -87,57 +88,59 @@
         !backend_has_label(backend, step->required_label)) {
         return false;
     }
-    if (want->rack != NULL && strcmp(backend_rack(backend), want->rack) != 0) {
+    if (request->rack != NULL &&
+        strcmp(backend_rack(backend), request->rack) != 0) {
         return false;
     }
     if (step->max_per_backend > 0 &&
-        count_of_step(backend, want) >= step->max_per_backend) {
+        count_of_step(backend, request) >= step->max_per_backend) {
         return false;
     }
-    return !want->advised ||
-           step_advice_status(want->advice, backend->entry.id,
+    return !request->advised ||
+           step_advice_status(request->advice, backend->entry.id,
                               backend->entry.incarnation_start_ms,
                               placer->now_ms) == ADVICE_GRANTED;
 }
 
 static double
 place_score(const struct placer *placer, const struct backend *backend,
-            const struct place_want *want)
+            const struct placement_request *request)
 {
     double score = (double)backend->used.cpu_milli /
                    (double)MAX(backend->entry.capacity.cpu_milli, 1);
-    if (want->step->data_rack != NULL &&
-        backend_has_label(backend, want->step->data_rack)) {
+    if (request->step->data_rack != NULL &&
+        backend_has_label(backend, request->step->data_rack)) {
         score += 10;
     }
-    if (want->avoid != NULL && strcmp(want->avoid, backend->entry.id) == 0) {
+    if (request->avoid != NULL &&
+        strcmp(request->avoid, backend->entry.id) == 0) {
         score -= 40;
     }
     if (backend->suspect_until_ms > placer->now_ms) {
         score -= 20;
     }
-    if (would_disturb(backend, want->step)) {
+    if (would_mix_workloads(backend, request->step)) {
         score -= 5;
     }
-    if (want->step->long_running) {
-        score -= SPREAD_WEIGHT * count_of_step(backend, want);
+    if (request->step->long_running) {
+        score -= SPREAD_WEIGHT * count_of_step(backend, request);
     }
     return score;
 }
 
 static struct backend *
 choose_backend(const struct placer *placer, const char *pool,
-               const struct place_want *want)
+               const struct placement_request *request)
 {
     const GPtrArray *usable = g_hash_table_lookup(placer->usable, pool);
     struct backend *best = NULL;
     double best_score = 0;
     for (guint i = 0; usable != NULL && i < usable->len; i++) {
         struct backend *backend = g_ptr_array_index(usable, i);
-        if (!place_allowed(placer, backend, want)) {
+        if (!place_allowed(placer, backend, request)) {
             continue;
         }
-        double score = place_score(placer, backend, want);
+        double score = place_score(placer, backend, request);
         if (best == NULL || score > best_score) {
             best = backend;
             best_score = score;
@@ -147,22 +150,23 @@
 }
 
 bool
-sched_could_run(struct scheduler *sched, const struct backend *backend,
-                const struct job *job, uint32_t occurrence, uint32_t step)
+sched_backend_can_run(struct scheduler *sched, const struct backend *backend,
+                      const struct job *job, uint32_t occurrence,
+                      uint32_t step)
 {
     struct placer placer = {.sched = sched, .now_ms = sched_now(sched)};
-    struct place_want want = {
+    struct placement_request request = {
         .job = job,
         .step = &job->steps[step],
         .occurrence = occurrence,
         .step_index = step,
     };
     return sched_usable(sched, backend) &&
-           place_allowed(&placer, backend, &want);
+           place_allowed(&placer, backend, &request);
 }
 
 bool
-sched_room_elsewhere(struct scheduler *sched, const struct run *run)
+sched_fits_elsewhere(struct scheduler *sched, const struct run *run)
 {
     GHashTableIter iter;
     void *value;
@@ -171,8 +175,8 @@
         const struct backend *backend = value;
         if (backend != run->backend &&
             strcmp(backend->entry.pool, run->backend->entry.pool) == 0 &&
-            sched_could_run(sched, backend, run->job, run->occurrence,
-                            run->step)) {
+            sched_backend_can_run(sched, backend, run->job, run->occurrence,
+                                  run->step)) {
             return true;
         }
     }
@@ -219,11 +223,11 @@
 static uint32_t
 next_number(const struct scheduler *sched, const struct job_task *task)
 {
-    return MAX(task->run_number, sched->term * TERM_RUNS) + 1;
+    return MAX(task->run_number, sched->term * TERM_RUN_NUMBERS_MAX) + 1;
 }
 
 static bool
-task_waits(const struct placer *placer, const struct job_task *task)
+task_is_waiting(const struct placer *placer, const struct job_task *task)
 {
     return task->run == NULL && !task->done &&
            task->wait_until_ms <= placer->now_ms;
@@ -231,32 +235,32 @@
 
 static struct run *
 place_task(struct placer *placer, struct job *job, const char *pool,
-           struct place_want *want, uint32_t index, uint32_t number)
+           struct placement_request *request, uint32_t index, uint32_t number)
 {
     struct scheduler *sched = placer->sched;
     struct job_task *task =
-        &job_step_progress(job, want->occurrence, want->step_index)
+        &job_step_progress(job, request->occurrence, request->step_index)
              ->tasks[index];
-    if (!team_allows(sched, job, &want->step->need)) {
+    if (!team_allows(sched, job, &request->step->need)) {
         return NULL;
     }
-    want->avoid = task->avoid;
-    struct backend *backend = choose_backend(placer, pool, want);
+    request->avoid = task->avoid;
+    struct backend *backend = choose_backend(placer, pool, request);
     if (backend == NULL) {
         return NULL;
     }
-    return sched_run_create(sched, job, want->occurrence, want->step_index,
-                            index, number, backend);
+    return sched_run_create(sched, job, request->occurrence,
+                            request->step_index, index, number, backend);
 }
 
 /* Starts all members of a gang, or none of them. */
 static bool
 place_gang_in(struct placer *placer, struct job *job, const char *pool,
-              struct place_want *want)
+              struct placement_request *request)
 {
     struct step_progress *part =
-        job_step_progress(job, want->occurrence, want->step_index);
-    uint32_t n_tasks = want->step->task_count;
+        job_step_progress(job, request->occurrence, request->step_index);
+    uint32_t n_tasks = request->step->task_count;
     uint32_t number = 0;
     for (uint32_t t = 0; t < n_tasks; t++) {
         number = MAX(number, next_number(placer->sched, &part->tasks[t]));
@@ -264,7 +268,7 @@
     GPtrArray *runs = g_ptr_array_new();
     while (runs->len < n_tasks) {
         struct run *run =
-            place_task(placer, job, pool, want, runs->len, number);
+            place_task(placer, job, pool, request, runs->len, number);
         if (run == NULL) {
             break;
         }
@@ -285,30 +289,30 @@
 
 static void
 place_gang(struct placer *placer, struct job *job, const char *pool,
-           struct place_want *want)
+           struct placement_request *request)
 {
     struct step_progress *part =
-        job_step_progress(job, want->occurrence, want->step_index);
-    for (uint32_t t = 0; t < want->step->task_count; t++) {
-        if (!task_waits(placer, &part->tasks[t])) {
+        job_step_progress(job, request->occurrence, request->step_index);
+    for (uint32_t t = 0; t < request->step->task_count; t++) {
+        if (!task_is_waiting(placer, &part->tasks[t])) {
             return;
         }
     }
     const GPtrArray *usable = g_hash_table_lookup(placer->usable, pool);
     GHashTable *tried = g_hash_table_new(g_str_hash, g_str_equal);
     bool placed = false;
-    for (guint i = 0;
-         want->step->same_rack && usable != NULL && !placed && i < usable->len;
+    for (guint i = 0; request->step->same_rack && usable != NULL && !placed &&
+                      i < usable->len;
          i++) {
         const char *rack = backend_rack(g_ptr_array_index(usable, i));
         if (g_hash_table_add(tried, (void *)rack)) {
-            want->rack = rack;
-            placed = place_gang_in(placer, job, pool, want);
+            request->rack = rack;
+            placed = place_gang_in(placer, job, pool, request);
         }
     }
-    want->rack = NULL;
+    request->rack = NULL;
     if (!placed) {
-        place_gang_in(placer, job, pool, want);
+        place_gang_in(placer, job, pool, request);
     }
     g_hash_table_unref(tried);
 }
@@ -322,7 +326,7 @@
     const char *pool = queue == NULL ? job->pool : queue->pool;
     struct step_progress *part =
         job_step_progress(job, occurrence, step_index);
-    struct place_want want = {
+    struct placement_request request = {
         .job = job,
         .step = &job->steps[step_index],
         .occurrence = occurrence,
@@ -330,19 +334,19 @@
         .advised = queue != NULL && queue->needs_advice,
         .advice = part->advice,
     };
-    if (part->done >= want.step->task_count) {
+    if (part->done >= request.step->task_count) {
         return;
     }
-    if (want.step->gang) {
-        place_gang(placer, job, pool, &want);
+    if (request.step->gang) {
+        place_gang(placer, job, pool, &request);
         return;
     }
-    for (uint32_t t = 0; t < want.step->task_count; t++) {
+    for (uint32_t t = 0; t < request.step->task_count; t++) {
         struct job_task *task = &part->tasks[t];
-        if (!task_waits(placer, task)) {
+        if (!task_is_waiting(placer, task)) {
             continue;
         }
-        struct run *run = place_task(placer, job, pool, &want, t,
+        struct run *run = place_task(placer, job, pool, &request, t,
                                      next_number(placer->sched, task));
         if (run == NULL) {
             return;
@@ -358,7 +362,8 @@
         fleet_config_queue(placer->sched->config, job->queue);
     /* A job outlives the queue it came through. */
     const char *pool = queue == NULL ? job->pool : queue->pool;
-    if (job->inherited && g_hash_table_contains(placer->unsettled, pool)) {
+    if (job->inherited &&
+        g_hash_table_contains(placer->unreconciled_pools, pool)) {
         return;
     }
     for (uint32_t k = 0; k < job->n_occurrences; k++) {
@@ -382,7 +387,7 @@
 }
 
 static void
-sort_backends(struct placer *placer)
+index_backends(struct placer *placer)
 {
     GHashTableIter iter;
     void *value;
@@ -390,7 +395,7 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct backend *backend = value;
         if (backend->unreconciled) {
-            g_hash_table_add(placer->unsettled, backend->entry.pool);
+            g_hash_table_add(placer->unreconciled_pools, backend->entry.pool);
         }
         if (!sched_usable(placer->sched, backend)) {
             continue;
@@ -424,9 +429,9 @@
         .unix_ms = ms_clock_now(&sched->unix_clock),
         .usable = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
                                         (GDestroyNotify)g_ptr_array_unref),
-        .unsettled = g_hash_table_new(g_str_hash, g_str_equal),
+        .unreconciled_pools = g_hash_table_new(g_str_hash, g_str_equal),
     };
-    sort_backends(&placer);
+    index_backends(&placer);
     for (guint i = 0; i < sched->active->len; i++) {
         job_order_rank(sched, g_ptr_array_index(sched->active, i),
                        placer.unix_ms);
@@ -436,5 +441,5 @@
         place_job(&placer, g_ptr_array_index(sched->active, i));
     }
     g_hash_table_unref(placer.usable);
-    g_hash_table_unref(placer.unsettled);
+    g_hash_table_unref(placer.unreconciled_pools);
 }
--- a/core/jobs/pool_load.c
+++ b/core/jobs/pool_load.c
@@ -20,12 +20,12 @@
 };
 
 /* Part of a host that tasks of uneven sizes fill. */
-static const double FILL = 0.85;
+static const double HOST_FILL_FRACTION = 0.85;
 /* Part of the deviation by chance that a rise has to exceed: a host too many
  * costs less than callers that wait. */
-static const double CHANCE = 0.65;
+static const double RISE_NOISE_FACTOR = 0.65;
 /* A policy that allows fewer backend servers than this takes no more hosts. */
-static const double ADVISED_SHARE_LEAST = 0.2;
+static const double ALLOWED_FRACTION_MIN = 0.2;
 
 static double
 decayed(const struct pool_load *load, double value, double tau_ms,
@@ -45,7 +45,8 @@
     double slow = decayed(load, load->arrival_milli, ARRIVAL_TAU_MS, now_ms);
     double recent = decayed(load, load->recent_milli, RECENT_TAU_MS, now_ms);
     double jobs = decayed(load, load->recent_jobs, RECENT_TAU_MS, now_ms);
-    double chance = jobs > 0 ? CHANCE * recent / sqrt(jobs) : recent;
+    double chance =
+        jobs > 0 ? RISE_NOISE_FACTOR * recent / sqrt(jobs) : recent;
     double rise = recent - slow - chance;
     if (rise <= 0) {
         return slow;
@@ -56,7 +57,7 @@
 }
 
 void
-sched_note_arrival(struct scheduler *sched, const struct job *job)
+sched_record_arrival(struct scheduler *sched, const struct job *job)
 {
     if (job_is_service(job) || job->pool == NULL) {
         return;
@@ -75,10 +76,10 @@
     load->arrival_at_ms = now_ms;
 }
 
-/* @share: part of the backend servers that may run the step. */
+/* @allowed_fraction: part of the backend servers that may run the step. */
 static void
-measure_part(struct pool_load *load, const struct job *job,
-             uint32_t occurrence, uint32_t index, double share)
+measure_step(struct pool_load *load, const struct job *job,
+             uint32_t occurrence, uint32_t index, double allowed_fraction)
 {
     const struct job_step *step = &job->steps[index];
     const struct step_progress *part =
@@ -94,12 +95,12 @@
     if (step->max_per_backend > 0) {
         int64_t hosts =
             (left + step->max_per_backend - 1) / step->max_per_backend;
-        load->spread_hosts =
-            MAX(load->spread_hosts, (int64_t)((double)hosts / share));
+        load->spread_hosts = MAX(load->spread_hosts,
+                                 (int64_t)((double)hosts / allowed_fraction));
     }
-    left = (int64_t)((double)left / share);
+    left = (int64_t)((double)left / allowed_fraction);
     if (step->long_running) {
-        resources_add(&load->lasting, &need, left);
+        resources_add(&load->service_need, &need, left);
         return;
     }
     resources_add(&load->ready, &need, left);
@@ -114,15 +115,16 @@
     struct pool_load *load = sched_pool_load(sched, job->pool);
     const struct queue_config *queue =
         fleet_config_queue(sched->config, job->queue);
-    double share = queue != NULL && queue->needs_advice
-                       ? MAX(sched->advice.share, ADVISED_SHARE_LEAST)
-                       : 1;
+    double allowed_fraction =
+        queue != NULL && queue->needs_advice
+            ? MAX(sched->advice.allowed_fraction, ALLOWED_FRACTION_MIN)
+            : 1;
     for (uint32_t k = 0; k < job->n_occurrences; k++) {
         if (job_due_ms(job, k) > unix_ms) {
             return;
         }
         for (uint32_t s = 0; s < job->n_steps; s++) {
-            measure_part(load, job, k, s, share);
+            measure_step(load, job, k, s, allowed_fraction);
         }
     }
 }
@@ -132,12 +134,13 @@
 {
     struct pool_load *load = sched_pool_load(sched, backend->entry.pool);
     const struct resources *room = &backend->entry.capacity;
-    load->host.cpu_milli = MAX(load->host.cpu_milli, room->cpu_milli);
-    load->host.mem_mb = MAX(load->host.mem_mb, room->mem_mb);
-    load->host.gpus = MAX(load->host.gpus, room->gpus);
+    load->largest_host.cpu_milli =
+        MAX(load->largest_host.cpu_milli, room->cpu_milli);
+    load->largest_host.mem_mb = MAX(load->largest_host.mem_mb, room->mem_mb);
+    load->largest_host.gpus = MAX(load->largest_host.gpus, room->gpus);
     if (backend->listed && !backend->leaving && !backend->entry.draining &&
         !backend->unresponsive &&
-        !sched_is_out(sched, backend->entry.data_centre)) {
+        !sched_is_out_of_service(sched, backend->entry.data_centre)) {
         load->hosts++;
         load->used_milli += backend->used.cpu_milli;
     }
@@ -152,12 +155,12 @@
     g_hash_table_iter_init(&iter, sched->pools);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct pool_load *load = value;
-        load->lasting = (struct resources){0};
+        load->service_need = (struct resources){0};
         load->ready = (struct resources){0};
         load->ready_milli = 0;
         load->spread_hosts = 0;
         load->hosts = 0;
-        load->coming = 0;
+        load->incoming_hosts = 0;
         load->used_milli = 0;
     }
     for (guint i = 0; i < sched->active->len; i++) {
@@ -175,7 +178,7 @@
 static double
 hosts_for(double need, int64_t per_host)
 {
-    return per_host == 0 ? 0 : need / ((double)per_host * FILL);
+    return per_host == 0 ? 0 : need / ((double)per_host * HOST_FILL_FRACTION);
 }
 
 int64_t
@@ -183,12 +186,13 @@
 {
     double cores =
         MAX(expected_milli(load, now_ms), (double)load->ready_milli);
-    double by_cpu = hosts_for((double)load->lasting.cpu_milli + cores,
-                              load->host.cpu_milli);
-    double by_memory =
-        hosts_for((double)load->lasting.mem_mb, load->host.mem_mb);
-    double by_gpus = hosts_for((double)(load->lasting.gpus + load->ready.gpus),
-                               load->host.gpus);
+    double by_cpu = hosts_for((double)load->service_need.cpu_milli + cores,
+                              load->largest_host.cpu_milli);
+    double by_memory = hosts_for((double)load->service_need.mem_mb,
+                                 load->largest_host.mem_mb);
+    double by_gpus =
+        hosts_for((double)(load->service_need.gpus + load->ready.gpus),
+                  load->largest_host.gpus);
     int64_t hosts = (int64_t)ceil(MAX(MAX(by_cpu, by_memory), by_gpus));
     return MAX(hosts, load->spread_hosts);
 }
--- a/core/jobs/scheduler.c
+++ b/core/jobs/scheduler.c
@@ -7,7 +7,7 @@
 #include "scheduler_state.h"
 
 enum {
-    NOTE_BYTES = 600,
+    LOG_FIELDS_BYTES = 600,
     TICK_MS = 100,
 };
 
@@ -32,9 +32,9 @@
 }
 
 static void
-team_use_destroy(void *data)
+team_usage_destroy(void *data)
 {
-    struct team_use *use = data;
+    struct team_usage *use = data;
     g_free(use->team);
     g_free(use);
 }
@@ -48,7 +48,7 @@
     g_free(host->data_centre);
     g_free(host->backend_id);
     g_free(host->target_pool);
-    g_free(host->last_incarnation);
+    g_free(host->commanded_incarnation);
     g_free(host);
 }
 
@@ -65,7 +65,7 @@
 {
     struct wave *wave = data;
     g_ptr_array_unref(wave->hosts);
-    g_hash_table_unref(wave->begun);
+    g_hash_table_unref(wave->started);
     g_free(wave);
 }
 
@@ -77,12 +77,12 @@
     struct scheduler *sched = g_new0(struct scheduler, 1);
     sched->timings = *timings;
     sched->timings.lease_max_ms =
-        MIN(timings->lease_max_ms, (int64_t)LEASE_LONGEST_MS);
+        MIN(timings->lease_max_ms, (int64_t)LEASE_MAX_MS);
     sched->ops = *ops;
     sched->term = term;
     sched->clock = clock;
     sched->unix_clock = unix_clock;
-    sched->taken_over_ms = ms_clock_now(&clock);
+    sched->takeover_ms = ms_clock_now(&clock);
     sched->next_handle = 1;
     sched->backends = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
                                             backend_value_destroy);
@@ -91,8 +91,8 @@
     sched->active = g_ptr_array_new();
     sched->runs =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, run_destroy);
-    sched->team_use =
-        g_hash_table_new_full(g_str_hash, g_str_equal, NULL, team_use_destroy);
+    sched->team_usage = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
+                                              team_usage_destroy);
     sched->hosts =
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, host_destroy);
     sched->pools = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
@@ -117,7 +117,7 @@
     g_hash_table_unref(sched->backends);
     g_ptr_array_unref(sched->active);
     g_hash_table_unref(sched->jobs);
-    g_hash_table_unref(sched->team_use);
+    g_hash_table_unref(sched->team_usage);
     g_hash_table_unref(sched->hosts);
     g_hash_table_unref(sched->pools);
     g_ptr_array_unref(sched->waves);
@@ -128,17 +128,18 @@
     g_ptr_array_unref(sched->to_register);
     g_ptr_array_unref(sched->to_release);
     g_queue_clear(&sched->finished);
-    g_strfreev(sched->out);
+    g_strfreev(sched->out_of_service);
     g_free(sched);
 }
 
 void
-sched_note(struct scheduler *sched, const char *event, const char *format, ...)
+sched_log_event(struct scheduler *sched, const char *event, const char *format,
+                ...)
 {
     if (sched->ops.log_event == NULL) {
         return;
     }
-    char fields[NOTE_BYTES];
+    char fields[LOG_FIELDS_BYTES];
     va_list args;
     va_start(args, format);
     vsnprintf(fields, sizeof(fields), format, args);
@@ -155,23 +156,24 @@
 void
 scheduler_set_out_of_service(struct scheduler *sched, char **data_centres)
 {
-    g_strfreev(sched->out);
-    sched->out = g_strdupv(data_centres);
+    g_strfreev(sched->out_of_service);
+    sched->out_of_service = g_strdupv(data_centres);
 }
 
 bool
-sched_is_out(const struct scheduler *sched, const char *data_centre)
+sched_is_out_of_service(const struct scheduler *sched, const char *data_centre)
 {
-    return sched->out != NULL &&
-           g_strv_contains((const char *const *)sched->out, data_centre);
+    return sched->out_of_service != NULL &&
+           g_strv_contains((const char *const *)sched->out_of_service,
+                           data_centre);
 }
 
 void
 scheduler_set_leadership_valid(struct scheduler *sched, bool valid)
 {
     if (sched->leadership_valid != valid) {
-        sched_note(sched, valid ? "orders_allowed" : "orders_suspended",
-                   "\"term\":%u", sched->term);
+        sched_log_event(sched, valid ? "orders_allowed" : "orders_suspended",
+                        "\"term\":%u", sched->term);
     }
     sched->leadership_valid = valid;
 }
@@ -183,7 +185,7 @@
         return;
     }
     sched->outage = outage;
-    sched->outage_ms = sched_now(sched);
+    sched->outage_changed_ms = sched_now(sched);
     GHashTableIter iter;
     void *value;
     g_hash_table_iter_init(&iter, sched->backends);
@@ -237,7 +239,7 @@
     }
     g_ptr_array_add(sched->active, job);
     if (!job->inherited) {
-        sched_note_arrival(sched, job);
+        sched_record_arrival(sched, job);
     }
     if (job_all_done(job)) {
         sched_finish_job(sched, job, JOB_COMPLETED);
@@ -275,11 +277,11 @@
     job->state = state;
     g_ptr_array_remove_fast(sched->active, job);
     g_queue_push_tail(&sched->finished, job);
-    sched_note(sched, "job_finished",
-               "\"job\":\"%s\",\"queue\":\"%s\",\"state\":\"%s\","
-               "\"after_ms\":%" G_GINT64_FORMAT,
-               job->id, job->queue, job_state_name(state),
-               ms_clock_now(&sched->unix_clock) - job->accepted_unix_ms);
+    sched_log_event(sched, "job_finished",
+                    "\"job\":\"%s\",\"queue\":\"%s\",\"state\":\"%s\","
+                    "\"after_ms\":%" G_GINT64_FORMAT,
+                    job->id, job->queue, job_state_name(state),
+                    ms_clock_now(&sched->unix_clock) - job->accepted_unix_ms);
     sched_mark_dirty(sched, job);
     stop_runs_of(sched, job);
 }
@@ -319,13 +321,13 @@
     sched_register_backends(sched);
     if (sched->leadership_valid && !sched->fenced) {
         sched_watch_runs(sched);
-        sched_empty_draining(sched);
-        sched_pace(sched);
+        sched_move_off_draining(sched);
+        sched_throttle(sched);
         sched_place(sched);
-        sched_ask_advice(sched);
+        sched_request_advice(sched);
         sched_plan_hosts(sched);
     }
-    sched_lists_due(sched);
+    sched_request_reports(sched);
     if (sched->ops.store != NULL &&
         (sched->dirty->len > 0 || sched->to_register->len > 0 ||
          sched->to_release->len > 0)) {
--- a/core/jobs/scheduler_backends.c
+++ b/core/jobs/scheduler_backends.c
@@ -76,16 +76,16 @@
     struct backend *backend = scheduler_find_backend(sched, entry->id);
     if (backend == NULL) {
         backend = add_backend(sched, entry);
-        sched_note(sched, "backend_seen",
-                   "\"backend\":\"%s\",\"pool\":\"%s\",\"host\":\"%s\"",
-                   entry->id, entry->pool,
-                   entry->host == NULL ? "" : entry->host);
+        sched_log_event(sched, "backend_seen",
+                        "\"backend\":\"%s\",\"pool\":\"%s\",\"host\":\"%s\"",
+                        entry->id, entry->pool,
+                        entry->host == NULL ? "" : entry->host);
     }
     else {
         int64_t born_before_ms = backend->entry.incarnation_start_ms;
         if (entry->draining && !backend->entry.draining) {
-            sched_note(sched, "backend_draining", "\"backend\":\"%s\"",
-                       entry->id);
+            sched_log_event(sched, "backend_draining", "\"backend\":\"%s\"",
+                            entry->id);
         }
         update_entry(backend, entry);
         if (born_before_ms != 0 && entry->incarnation_start_ms != 0 &&
@@ -105,8 +105,8 @@
         return;
     }
     backend->listed = false;
-    sched_note(sched, "backend_unlisted", "\"backend\":\"%s\",\"runs\":%u", id,
-               backend->runs->len);
+    sched_log_event(sched, "backend_unlisted",
+                    "\"backend\":\"%s\",\"runs\":%u", id, backend->runs->len);
 }
 
 void
@@ -120,11 +120,11 @@
     }
     backend->unreconciled = true;
     backend->registered = true;
-    sched->inherited_long = sched->inherited_long || lease_ms > LEASE_MS;
+    sched->inherited_long_lease =
+        sched->inherited_long_lease || lease_ms > LEASE_MS;
     /* The scheduler before granted its last lease before this one began. */
     int64_t open_ms = MIN(lease_ms, sched->timings.lease_max_ms);
-    backend->leases_expire_ms =
-        sched->taken_over_ms + open_ms * 102 / 100 + 100;
+    backend->leases_expire_ms = sched->takeover_ms + open_ms * 102 / 100 + 100;
     sched_host_incarnation(sched, backend);
 }
 
@@ -134,11 +134,11 @@
     int64_t open_ms = sched->timings.lease_max_ms * 102 / 100;
     int64_t now_ms = sched_now(sched);
     bool outage_lately =
-        sched->outage ||
-        (sched->outage_ms != 0 && now_ms - sched->outage_ms < open_ms);
+        sched->outage || (sched->outage_changed_ms != 0 &&
+                          now_ms - sched->outage_changed_ms < open_ms);
     /* Leases of the holder before may be open just as long. */
     bool inherited =
-        sched->inherited_long && now_ms - sched->taken_over_ms < open_ms;
+        sched->inherited_long_lease && now_ms - sched->takeover_ms < open_ms;
     return outage_lately || inherited ? sched->timings.lease_max_ms
                                       : (int64_t)LEASE_MS;
 }
@@ -149,7 +149,7 @@
     return backend->listed && backend->report_received &&
            backend->registered && !backend->entry.draining &&
            !backend->unresponsive && !backend->leaving &&
-           !sched_is_out(sched, backend->entry.data_centre);
+           !sched_is_out_of_service(sched, backend->entry.data_centre);
 }
 
 /* Forgets backend servers that can hold nothing of ours any more. */
@@ -162,14 +162,14 @@
     g_hash_table_iter_init(&iter, sched->backends);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct backend *backend = value;
-        bool lapsed = backend_leases_expired(backend, now_ms);
-        if (lapsed && backend->unresponsive && backend->runs->len > 0) {
+        bool expired = backend_leases_expired(backend, now_ms);
+        if (expired && backend->unresponsive && backend->runs->len > 0) {
             sched_backend_lost(sched, backend, "lapsed");
         }
-        if (lapsed && backend->unresponsive) {
+        if (expired && backend->unresponsive) {
             backend->unreconciled = false;
         }
-        if (backend->listed || !lapsed || backend->runs->len > 0 ||
+        if (backend->listed || !expired || backend->runs->len > 0 ||
             backend->report_in_flight || backend->registering) {
             continue;
         }
--- a/core/jobs/scheduler_reports.c
+++ b/core/jobs/scheduler_reports.c
@@ -10,7 +10,7 @@
 
 enum {
     /* The users' pages: completions come 500 at a time. */
-    ENDS_PER_LIST = 500,
+    COMPLETIONS_PER_REPORT_MAX = 500,
     /* A backend server's clock may be 2 % slow; a stop is on its way. */
     STOP_MARGIN_MS = 100,
 };
@@ -63,80 +63,80 @@
 }
 
 static void
-stop_stray(struct scheduler *sched, struct backend *backend,
-           const struct reported_run *listed)
+stop_unknown_run(struct scheduler *sched, struct backend *backend,
+                 const struct reported_run *reported)
 {
     if (!sched->leadership_valid || sched->fenced) {
         return;
     }
-    sched_note(sched, "stray_stopped",
-               "\"task\":\"%s\",\"run\":%u,\"backend\":\"%s\"", listed->task,
-               listed->number, backend->entry.id);
+    sched_log_event(sched, "stray_stopped",
+                    "\"task\":\"%s\",\"run\":%u,\"backend\":\"%s\"",
+                    reported->task, reported->number, backend->entry.id);
     struct stop_command order = {
         .backend = backend,
-        .task = listed->task,
-        .number = listed->number,
+        .task = reported->task,
+        .number = reported->number,
     };
     sched->ops.stop(sched->ops.ctx, &order);
 }
 
 static void
 update_run(struct scheduler *sched, struct run *run,
-           const struct reported_run *listed)
+           const struct reported_run *reported)
 {
     int64_t now_ms = sched_now(sched);
     run->confirmed_ms = now_ms;
     run->job->started = true;
-    run->load_metric = listed->load_metric;
-    if (run->percent != listed->percent) {
-        run->percent = listed->percent;
+    run->load_metric = reported->load_metric;
+    if (run->percent != reported->percent) {
+        run->percent = reported->percent;
         run->percent_at_ms = now_ms;
     }
     if (run->state == RUN_STARTING || run->state == RUN_UNCERTAIN) {
         run->state = RUN_WORKING;
     }
     struct job_task *task = run_task(run);
-    if (listed->saved != NULL && listed->saved[0] != '\0' &&
-        g_strcmp0(task->saved, listed->saved) != 0) {
+    if (reported->saved != NULL && reported->saved[0] != '\0' &&
+        g_strcmp0(task->saved, reported->saved) != 0) {
         g_free(task->saved);
-        task->saved = g_strdup(listed->saved);
+        task->saved = g_strdup(reported->saved);
     }
 }
 
 static void
-take_running(struct scheduler *sched, struct backend *backend,
-             const struct reported_run *listed)
+process_reported_run(struct scheduler *sched, struct backend *backend,
+                     const struct reported_run *reported)
 {
     struct task_name name;
-    struct job *job = find_task(sched, listed->task, &name);
+    struct job *job = find_task(sched, reported->task, &name);
     if (job == NULL) {
-        stop_stray(sched, backend, listed);
+        stop_unknown_run(sched, backend, reported);
         return;
     }
     struct job_task *task =
         &job_step_progress(job, name.occurrence, name.step)->tasks[name.index];
-    task->run_number = MAX(task->run_number, listed->number);
+    task->run_number = MAX(task->run_number, reported->number);
     if (task->run != NULL && task->run->backend == backend &&
-        task->run->number == listed->number) {
-        update_run(sched, task->run, listed);
+        task->run->number == reported->number) {
+        update_run(sched, task->run, reported);
         return;
     }
     if (task->run != NULL || task->done || job->state != JOB_ACTIVE) {
-        stop_stray(sched, backend, listed);
+        stop_unknown_run(sched, backend, reported);
         return;
     }
     struct run *run = sched_run_create(sched, job, name.occurrence, name.step,
-                                       name.index, listed->number, backend);
+                                       name.index, reported->number, backend);
     run->state = RUN_WORKING;
     /* The holder before may have slowed it down. */
     run->cpu_limit_percent = -1;
-    update_run(sched, run, listed);
-    sched_note(sched, "run_adopted", "\"task\":\"%s\",\"backend\":\"%s\"",
-               listed->task, backend->entry.id);
+    update_run(sched, run, reported);
+    sched_log_event(sched, "run_adopted", "\"task\":\"%s\",\"backend\":\"%s\"",
+                    reported->task, backend->entry.id);
 }
 
 static void
-queue_end(struct backend *backend, int64_t number, struct job *job)
+queue_completion(struct backend *backend, int64_t number, struct job *job)
 {
     struct pending_completion *end = g_new0(struct pending_completion, 1);
     end->number = number;
@@ -149,38 +149,39 @@
 }
 
 static void
-take_end(struct scheduler *sched, struct backend *backend,
-         const struct run_completion *listed)
+process_completion(struct scheduler *sched, struct backend *backend,
+                   const struct run_completion *completion)
 {
-    if (listed->number <= backend->last_completion) {
+    if (completion->number <= backend->last_completion) {
         return;
     }
     struct task_name name;
-    struct job *job = find_task(sched, listed->task, &name);
+    struct job *job = find_task(sched, completion->task, &name);
     if (job == NULL) {
-        queue_end(backend, listed->number, NULL);
+        queue_completion(backend, completion->number, NULL);
         return;
     }
     struct job_task *task =
         &job_step_progress(job, name.occurrence, name.step)->tasks[name.index];
-    task->run_number = MAX(task->run_number, listed->run);
+    task->run_number = MAX(task->run_number, completion->run);
     struct run *run = task->run;
-    if (run != NULL && run->backend == backend && run->number == listed->run) {
-        sched_run_end(sched, run, listed->reason, listed->saved);
+    if (run != NULL && run->backend == backend &&
+        run->number == completion->run) {
+        sched_run_end(sched, run, completion->reason, completion->saved);
     }
-    else if (listed->reason == END_DONE && job->state == JOB_ACTIVE) {
+    else if (completion->reason == END_DONE && job->state == JOB_ACTIVE) {
         sched_task_done(sched, job, name.occurrence, name.step, name.index);
     }
-    else if (listed->reason == END_FAILED) {
-        sched_late_failure(sched, job, name.occurrence, name.step, name.index,
-                           listed->run);
+    else if (completion->reason == END_FAILED) {
+        sched_untracked_failure(sched, job, name.occurrence, name.step,
+                                name.index, completion->run);
     }
-    queue_end(backend, listed->number, job);
+    queue_completion(backend, completion->number, job);
 }
 
 /* Time after which a stop has surely ended its run. */
 static int64_t
-stop_shows_ms(const struct scheduler *sched)
+stop_visible_after_ms(const struct scheduler *sched)
 {
     return sched->timings.stop_ms + STOP_MARGIN_MS;
 }
@@ -189,28 +190,29 @@
  * for and stands in neither list of the report is not there. */
 static void
 drop_absent(struct scheduler *sched, struct backend *backend,
-            const struct run_report *lists)
+            const struct run_report *report)
 {
-    if (lists->n_completions >= ENDS_PER_LIST) {
+    if (report->n_completions >= COMPLETIONS_PER_REPORT_MAX) {
         return;
     }
     int64_t now_ms = sched_now(sched);
     for (guint i = backend->runs->len; i > 0; i--) {
         struct run *run = g_ptr_array_index(backend->runs, i - 1);
-        bool listed_now = run->confirmed_ms == now_ms;
+        bool reported_now = run->confirmed_ms == now_ms;
         bool confirmed = run->confirmed_ms != 0 &&
                          run->confirmed_ms < backend->report_requested_ms;
         /* A run that is being stopped may be in neither list of the report. */
         bool barred = run->stop_acked_ms != 0 &&
-                      run->stop_acked_ms + stop_shows_ms(sched) <
+                      run->stop_acked_ms + stop_visible_after_ms(sched) <
                           backend->report_requested_ms;
-        if (listed_now || (run->state != RUN_STOPPING && !confirmed) ||
+        if (reported_now || (run->state != RUN_STOPPING && !confirmed) ||
             (run->state == RUN_STOPPING && !barred)) {
             continue;
         }
-        sched_note(sched, "run_absent",
-                   "\"job\":\"%s\",\"step\":%u,\"task\":%u,\"backend\":\"%s\"",
-                   run->job->id, run->step, run->index, backend->entry.id);
+        sched_log_event(
+            sched, "run_absent",
+            "\"job\":\"%s\",\"step\":%u,\"task\":%u,\"backend\":\"%s\"",
+            run->job->id, run->step, run->index, backend->entry.id);
         sched->stats.lost++;
         sched_run_free(sched, run);
     }
@@ -219,22 +221,23 @@
 static void
 other_incarnation(struct scheduler *sched, struct backend *backend)
 {
-    sched_note(sched, "backend_other_incarnation", "\"backend\":\"%s\"",
-               backend->entry.id);
+    sched_log_event(sched, "backend_other_incarnation", "\"backend\":\"%s\"",
+                    backend->entry.id);
     backend->unresponsive = true;
-    backend->report_due_ms = sched_now(sched) + LIST_RETRY_MS;
+    backend->report_due_ms = sched_now(sched) + REPORT_RETRY_MS;
 }
 
 /* A run that an earlier scheduler is stopping stands in neither list of the
  * report; until that has shown, nothing it may be is started again. */
 static void
-settle(struct scheduler *sched, struct backend *backend)
+update_reconciliation(struct scheduler *sched, struct backend *backend)
 {
     if (!backend->unreconciled) {
         return;
     }
     if (backend->reconcile_due_ms == 0) {
-        backend->reconcile_due_ms = sched_now(sched) + stop_shows_ms(sched);
+        backend->reconcile_due_ms =
+            sched_now(sched) + stop_visible_after_ms(sched);
     }
     else if (backend->report_requested_ms >= backend->reconcile_due_ms) {
         backend->unreconciled = false;
@@ -247,7 +250,7 @@
 
 void
 scheduler_on_report(struct scheduler *sched, const char *backend_id,
-                    const struct run_report *lists)
+                    const struct run_report *report)
 {
     struct backend *backend = scheduler_find_backend(sched, backend_id);
     if (backend == NULL) {
@@ -255,35 +258,35 @@
     }
     int64_t now_ms = sched_now(sched);
     backend->report_in_flight = false;
-    backend->report_due_ms = now_ms + LIST_GAP_MS;
-    if (lists->outcome == REPORT_FENCED) {
+    backend->report_due_ms = now_ms + REPORT_GAP_MIN_MS;
+    if (report->outcome == REPORT_FENCED) {
         sched->fenced = true;
         return;
     }
-    if (lists->outcome == REPORT_OTHER_INCARNATION) {
+    if (report->outcome == REPORT_OTHER_INCARNATION) {
         other_incarnation(sched, backend);
         return;
     }
-    if (lists->outcome == REPORT_NO_ANSWER) {
+    if (report->outcome == REPORT_NO_ANSWER) {
         if (!backend->unresponsive) {
-            sched_note(sched, "backend_silent", "\"backend\":\"%s\"",
-                       backend->entry.id);
+            sched_log_event(sched, "backend_silent", "\"backend\":\"%s\"",
+                            backend->entry.id);
         }
         backend->unresponsive = true;
-        backend->report_due_ms = now_ms + LIST_RETRY_MS;
+        backend->report_due_ms = now_ms + REPORT_RETRY_MS;
         return;
     }
-    if (lists->incarnation_start_ms != 0 &&
+    if (report->incarnation_start_ms != 0 &&
         backend->entry.incarnation_start_ms != 0 &&
-        lists->incarnation_start_ms != backend->entry.incarnation_start_ms) {
+        report->incarnation_start_ms != backend->entry.incarnation_start_ms) {
         /* The answer is of an incarnation that the host list doesn't show yet.
          */
-        if (lists->incarnation_start_ms <
+        if (report->incarnation_start_ms <
             backend->entry.incarnation_start_ms) {
             return;
         }
         struct backend_entry *entry = backend_entry_copy(&backend->entry);
-        entry->incarnation_start_ms = lists->incarnation_start_ms;
+        entry->incarnation_start_ms = report->incarnation_start_ms;
         bool listed = backend->listed;
         scheduler_backend_seen(sched, entry);
         backend->listed = listed;
@@ -292,25 +295,25 @@
         return;
     }
     if (backend->unresponsive) {
-        sched_note(sched, "backend_answers", "\"backend\":\"%s\"",
-                   backend->entry.id);
+        sched_log_event(sched, "backend_answers", "\"backend\":\"%s\"",
+                        backend->entry.id);
     }
     backend->unresponsive = false;
-    backend_clock_sampled(backend, lists->clock_ms, now_ms);
-    for (size_t i = 0; i < lists->n_completions; i++) {
-        take_end(sched, backend, &lists->completions[i]);
+    backend_clock_sampled(backend, report->clock_ms, now_ms);
+    for (size_t i = 0; i < report->n_completions; i++) {
+        process_completion(sched, backend, &report->completions[i]);
     }
-    for (size_t i = 0; i < lists->n_running; i++) {
-        take_running(sched, backend, &lists->running[i]);
+    for (size_t i = 0; i < report->n_running; i++) {
+        process_reported_run(sched, backend, &report->running[i]);
     }
-    drop_absent(sched, backend, lists);
+    drop_absent(sched, backend, report);
     backend->report_read_ms = now_ms;
     backend->report_received = true;
-    settle(sched, backend);
+    update_reconciliation(sched, backend);
 }
 
 static bool
-list_wanted(const struct scheduler *sched, const struct backend *backend)
+report_needed(const struct scheduler *sched, const struct backend *backend)
 {
     if (backend->runs->len > 0 || backend->unreconciled) {
         return true;
@@ -326,7 +329,7 @@
 }
 
 static void
-read_list(struct scheduler *sched, struct backend *backend)
+send_report_request(struct scheduler *sched, struct backend *backend)
 {
     int64_t now_ms = sched_now(sched);
     backend_ack_completions(backend);
@@ -338,9 +341,9 @@
             now_ms);
     }
     bool wait = !first && !sched->outage && backend->runs->len > 0;
-    int64_t wait_ms = wait ? LIST_WAIT_MS : 0;
+    int64_t wait_ms = wait ? REPORT_WAIT_MS : 0;
     if (wait && sched_backend_mixed(backend)) {
-        wait_ms = LIST_MIXED_WAIT_MS;
+        wait_ms = REPORT_WAIT_MIXED_MS;
     }
     for (guint i = 0; wait && i < backend->runs->len; i++) {
         const struct run *run = g_ptr_array_index(backend->runs, i);
@@ -349,7 +352,7 @@
         }
     }
     if (!wait && backend->runs->len > 0 && sched->outage) {
-        wait_ms = LIST_WAIT_MS / 4;
+        wait_ms = REPORT_WAIT_MS / 4;
     }
     backend->report_in_flight = true;
     backend->report_requested_ms = now_ms;
@@ -359,7 +362,7 @@
 }
 
 void
-sched_lists_due(struct scheduler *sched)
+sched_request_reports(struct scheduler *sched)
 {
     int64_t now_ms = sched_now(sched);
     if (sched->fenced) {
@@ -371,12 +374,12 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct backend *backend = value;
         if (backend->report_in_flight &&
-            now_ms - backend->report_requested_ms > ANSWER_OVERDUE_MS) {
+            now_ms - backend->report_requested_ms > ANSWER_TIMEOUT_MS) {
             backend->report_in_flight = false;
             backend->unresponsive = true;
         }
         if (backend->report_in_flight || now_ms < backend->report_due_ms ||
-            !list_wanted(sched, backend)) {
+            !report_needed(sched, backend)) {
             continue;
         }
         if (backend->runs->len == 0 && backend->report_received &&
@@ -387,6 +390,6 @@
                 continue;
             }
         }
-        read_list(sched, backend);
+        send_report_request(sched, backend);
     }
 }
--- a/core/jobs/scheduler_runs.c
+++ b/core/jobs/scheduler_runs.c
@@ -9,11 +9,11 @@
 struct resources *
 sched_team_used(struct scheduler *sched, const char *team)
 {
-    struct team_use *use = g_hash_table_lookup(sched->team_use, team);
+    struct team_usage *use = g_hash_table_lookup(sched->team_usage, team);
     if (use == NULL) {
-        use = g_new0(struct team_use, 1);
+        use = g_new0(struct team_usage, 1);
         use->team = g_strdup(team);
-        g_hash_table_insert(sched->team_use, use->team, use);
+        g_hash_table_insert(sched->team_usage, use->team, use);
     }
     return &use->used;
 }
@@ -30,7 +30,7 @@
 }
 
 static void
-run_count(struct scheduler *sched, struct run *run, int64_t times)
+account_run(struct scheduler *sched, struct run *run, int64_t times)
 {
     const struct job_step *step = run_step(run);
     struct resources need = backend_need(step);
@@ -60,14 +60,14 @@
     struct job_task *task = run_task(run);
     task->run = run;
     task->run_number = MAX(task->run_number, number);
-    run_count(sched, run, 1);
+    account_run(sched, run, 1);
     return run;
 }
 
 void
 sched_run_free(struct scheduler *sched, struct run *run)
 {
-    run_count(sched, run, -1);
+    account_run(sched, run, -1);
     struct job_task *task = run_task(run);
     if (task->run == run) {
         task->run = NULL;
@@ -126,16 +126,16 @@
 
 /* A run that ended as failed counts against its job and its server. */
 static void
-count_failure(struct scheduler *sched, struct run *run)
+record_failure(struct scheduler *sched, struct run *run)
 {
     struct job_task *task = run_task(run);
     struct job *job = run->job;
     struct backend *backend = run->backend;
     sched->stats.failed++;
-    sched_note(sched, "task_failed",
-               "\"task\":\"%s.%u.%u.%u\",\"run\":%u,\"backend\":\"%s\"",
-               job->id, run->occurrence, run->step, run->index, run->number,
-               backend->entry.id);
+    sched_log_event(sched, "task_failed",
+                    "\"task\":\"%s.%u.%u.%u\",\"run\":%u,\"backend\":\"%s\"",
+                    job->id, run->occurrence, run->step, run->index,
+                    run->number, backend->entry.id);
     g_free(task->avoid);
     task->avoid = g_strdup(backend->entry.id);
     if (run_step(run)->long_running) {
@@ -145,18 +145,18 @@
         return;
     }
     backend->failures++;
-    if (backend->failures >= SUSPECT_FAILURES) {
-        backend->suspect_until_ms = sched_now(sched) + SUSPECT_MS;
-        sched_note(sched, "backend_suspect",
-                   "\"backend\":\"%s\",\"failures\":%u", backend->entry.id,
-                   backend->failures);
+    if (backend->failures >= SUSPECT_FAILURE_COUNT) {
+        backend->suspect_until_ms = sched_now(sched) + SUSPECT_DURATION_MS;
+        sched_log_event(sched, "backend_suspect",
+                        "\"backend\":\"%s\",\"failures\":%u",
+                        backend->entry.id, backend->failures);
     }
     sched_mark_dirty(sched, job);
 }
 
 static bool
-attempts_used(const struct scheduler *sched, const struct job *job,
-              const struct job_step *step, const struct job_task *task)
+attempts_exhausted(const struct scheduler *sched, const struct job *job,
+                   const struct job_step *step, const struct job_task *task)
 {
     const struct queue_config *queue =
         fleet_config_queue(sched->config, job->queue);
@@ -165,9 +165,9 @@
 }
 
 void
-sched_late_failure(struct scheduler *sched, struct job *job,
-                   uint32_t occurrence, uint32_t step, uint32_t index,
-                   uint32_t number)
+sched_untracked_failure(struct scheduler *sched, struct job *job,
+                        uint32_t occurrence, uint32_t step, uint32_t index,
+                        uint32_t number)
 {
     struct job_task *task =
         &job_step_progress(job, occurrence, step)->tasks[index];
@@ -177,7 +177,7 @@
         return;
     }
     sched_mark_dirty(sched, job);
-    if (attempts_used(sched, job, &job->steps[step], task)) {
+    if (attempts_exhausted(sched, job, &job->steps[step], task)) {
         sched_finish_job(sched, job, JOB_FAILED);
     }
 }
@@ -206,7 +206,7 @@
 
 /* One end as done stands for all members of a gang. */
 static void
-gang_done(struct scheduler *sched, struct run *run)
+complete_gang(struct scheduler *sched, struct run *run)
 {
     uint32_t n_tasks = run_step(run)->task_count;
     struct job *job = run->job;
@@ -234,9 +234,9 @@
     }
     bool failed = reason == END_FAILED;
     if (failed) {
-        count_failure(sched, run);
+        record_failure(sched, run);
     }
-    bool give_up = failed && attempts_used(sched, job, step, task);
+    bool give_up = failed && attempts_exhausted(sched, job, step, task);
     if (reason == END_DONE) {
         run->backend->failures = 0;
         run->backend->suspect_until_ms = 0;
@@ -245,7 +245,7 @@
     uint32_t step_index = run->step;
     uint32_t index = run->index;
     if (reason == END_DONE && step->gang) {
-        gang_done(sched, run);
+        complete_gang(sched, run);
     }
     sched_run_free(sched, run);
     if (reason == END_DONE) {
@@ -265,9 +265,9 @@
                    const char *why)
 {
     if (backend->runs->len > 0) {
-        sched_note(sched, "runs_lost",
-                   "\"backend\":\"%s\",\"why\":\"%s\",\"runs\":%u",
-                   backend->entry.id, why, backend->runs->len);
+        sched_log_event(sched, "runs_lost",
+                        "\"backend\":\"%s\",\"why\":\"%s\",\"runs\":%u",
+                        backend->entry.id, why, backend->runs->len);
     }
     while (backend->runs->len > 0) {
         struct run *run = g_ptr_array_index(backend->runs, 0);
@@ -284,22 +284,22 @@
     return run->state == RUN_WORKING && run->percent >= 0 &&
            run->percent < 100 && run->cpu_limit_percent == 100 &&
            !run->backend->unresponsive &&
-           now_ms - run->percent_at_ms > STALL_MS;
+           now_ms - run->percent_at_ms > STALL_TIMEOUT_MS;
 }
 
 /* An order whose answer never came is one without an answer. */
 static void
-drop_overdue(struct run *run, int64_t now_ms)
+expire_overdue_calls(struct run *run, int64_t now_ms)
 {
     if (run->state == RUN_STARTING &&
-        now_ms - run->started_ms > ANSWER_OVERDUE_MS) {
+        now_ms - run->started_ms > ANSWER_TIMEOUT_MS) {
         run->state = RUN_UNCERTAIN;
     }
-    if (run->stop_pending && now_ms - run->stop_sent_ms > ANSWER_OVERDUE_MS) {
+    if (run->stop_pending && now_ms - run->stop_sent_ms > ANSWER_TIMEOUT_MS) {
         run->stop_pending = false;
     }
     if (run->throttle_pending &&
-        now_ms - run->throttle_sent_ms > ANSWER_OVERDUE_MS) {
+        now_ms - run->throttle_sent_ms > ANSWER_TIMEOUT_MS) {
         run->throttle_pending = false;
     }
 }
@@ -314,10 +314,10 @@
     g_hash_table_iter_init(&iter, sched->runs);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct run *run = value;
-        drop_overdue(run, now_ms);
+        expire_overdue_calls(run, now_ms);
         if (run->state == RUN_UNCERTAIN) {
             if (!run_step(run)->long_running ||
-                now_ms - run->started_ms > LASTING_SHOWS_MS) {
+                now_ms - run->started_ms > SERVICE_START_VISIBLE_MS) {
                 sched_run_stop(sched, run);
             }
         }
@@ -328,11 +328,11 @@
             }
         }
         else if (run_stalled(run, now_ms)) {
-            sched_note(sched, "run_stalled",
-                       "\"job\":\"%s\",\"step\":%u,\"task\":%u,"
-                       "\"backend\":\"%s\",\"percent\":%d",
-                       run->job->id, run->step, run->index,
-                       run->backend->entry.id, run->percent);
+            sched_log_event(sched, "run_stalled",
+                            "\"job\":\"%s\",\"step\":%u,\"task\":%u,"
+                            "\"backend\":\"%s\",\"percent\":%d",
+                            run->job->id, run->step, run->index,
+                            run->backend->entry.id, run->percent);
             g_free(run_task(run)->avoid);
             run_task(run)->avoid = g_strdup(run->backend->entry.id);
             sched_run_stop(sched, run);
@@ -369,15 +369,17 @@
         if (run->state == RUN_STARTING) {
             run->state = RUN_UNCERTAIN;
         }
-        sched_note(sched, "start_unanswered",
-                   "\"job\":\"%s\",\"step\":%u,\"task\":%u,\"backend\":\"%s\"",
-                   run->job->id, run->step, run->index, backend->entry.id);
+        sched_log_event(
+            sched, "start_unanswered",
+            "\"job\":\"%s\",\"step\":%u,\"task\":%u,\"backend\":\"%s\"",
+            run->job->id, run->step, run->index, backend->entry.id);
         return;
     }
-    sched_note(sched, "start_refused",
-               "\"job\":\"%s\",\"step\":%u,\"task\":%u,\"backend\":\"%s\","
-               "\"answer\":%d",
-               run->job->id, run->step, run->index, backend->entry.id, answer);
+    sched_log_event(
+        sched, "start_refused",
+        "\"job\":\"%s\",\"step\":%u,\"task\":%u,\"backend\":\"%s\","
+        "\"answer\":%d",
+        run->job->id, run->step, run->index, backend->entry.id, answer);
     run_task(run)->wait_until_ms =
         answer == START_STALE_RUN_NUMBER ? 0 : now_ms + START_RETRY_MS;
     if (answer == START_OTHER_INCARNATION) {
--- a/core/jobs/scheduler_state.h
+++ b/core/jobs/scheduler_state.h
@@ -11,33 +11,33 @@
     /* Longest lease asked for, in an outage of the store. A holder after us
      * waits it out for a silent backend server; the users' pages bound that
      * wait by about 10 s after the fault. */
-    LEASE_LONGEST_MS = 8500,
+    LEASE_MAX_MS = 8500,
     /* Part of a lease after which it is renewed at the latest. */
-    LIST_WAIT_MS = 800,
+    REPORT_WAIT_MS = 800,
     /* Smallest time between two lists of one backend server: ends that come
      * together are read together. */
-    LIST_GAP_MS = 15,
-    LIST_RETRY_MS = 250,
+    REPORT_GAP_MIN_MS = 15,
+    REPORT_RETRY_MS = 250,
     /* Tails beside filling tasks are looked at this often. */
-    LIST_MIXED_WAIT_MS = 300,
+    REPORT_WAIT_MIXED_MS = 300,
     /* Calls end by their own timeouts well before; an answer that is overdue
      * by then never comes. */
-    ANSWER_OVERDUE_MS = 5000,
+    ANSWER_TIMEOUT_MS = 5000,
     /* A stop without an answer is sent again after this time. */
     STOP_RETRY_MS = 400,
     /* A task that lasts and whose start got no answer shows on a list by
      * then; stopping it sooner could end one that is at work. */
-    LASTING_SHOWS_MS = 2500,
+    SERVICE_START_VISIBLE_MS = 2500,
     /* A start that found no room or was refused waits this long. */
     START_RETRY_MS = 120,
     /* A run whose progress stands still this long is moved elsewhere; a
-     * list is read at least every LIST_WAIT_MS. */
-    STALL_MS = 2500,
+     * list is read at least every REPORT_WAIT_MS. */
+    STALL_TIMEOUT_MS = 2500,
     /* Runs that fail in a row before a backend server is set aside. */
-    SUSPECT_FAILURES = 3,
-    SUSPECT_MS = 4000,
+    SUSPECT_FAILURE_COUNT = 3,
+    SUSPECT_DURATION_MS = 4000,
     /* Run numbers of one term; no task is started that often by one. */
-    TERM_RUNS = 1000,
+    TERM_RUN_NUMBERS_MAX = 1000,
 };
 
 /** enum host_intent - what is planned for a host */
@@ -58,11 +58,11 @@
  * @intent_ms: when that was decided
  * @target_pool: pool it is to move to, or NULL
  * @wave: maintenance it still owes; 0: none
- * @ordering: an order is in flight
- * @ordered: the order was accepted, or may have been
- * @last_incarnation: backend server at the time of the order
+ * @command_in_flight: an order is in flight
+ * @command_accepted: the order was accepted, or may have been
+ * @commanded_incarnation: backend server at the time of the order
  * @retry_ms: no order before this time
- * @ordered_before: the holder before may have given an order lately
+ * @commanded_before: the holder before may have given an order lately
  */
 struct host {
     char *name;
@@ -76,29 +76,29 @@
     int64_t intent_ms;
     char *target_pool;
     int64_t wave;
-    bool ordering;
-    bool ordered;
-    char *last_incarnation;
+    bool command_in_flight;
+    bool command_accepted;
+    char *commanded_incarnation;
     int64_t retry_ms;
-    bool ordered_before;
+    bool commanded_before;
 };
 
 /**
  * struct wave - maintenance under way
  * @hosts: names of its hosts
- * @begun: names of those whose maintenance was accepted
+ * @started: names of those whose maintenance was accepted
  * @most: hosts that may be away for it at once
  * @complete_by_ms: when it should be complete
  */
 struct wave {
     int64_t number;
     GPtrArray *hosts;
-    GHashTable *begun;
-    int64_t most;
+    GHashTable *started;
+    int64_t max_unavailable;
     int64_t complete_by_ms;
 };
 
-struct team_use {
+struct team_usage {
     char *team;
     struct resources used;
 };
@@ -109,13 +109,13 @@
  * @recent_milli: the same over a shorter time
  * @recent_jobs: jobs that arrived in that time, decaying
  * @arrival_at_ms: when these were last brought up to date
- * @lasting: room of tasks that last, running or waiting
+ * @service_need: room of tasks that last, running or waiting
  * @ready: room of short tasks that run or could run now
  * @ready_milli: cores that would finish these in time
  * @spread_hosts: hosts over which some step has to be spread
  * @host: room of its largest host
  * @hosts: hosts that take work
- * @coming: hosts on their way into the pool
+ * @incoming_hosts: hosts on their way into the pool
  * @used_milli: cores in use on those that take work
  * @surplus_since_ms: since when it has had more than it needs; 0: has not
  */
@@ -125,42 +125,42 @@
     double recent_milli;
     double recent_jobs;
     int64_t arrival_at_ms;
-    struct resources lasting;
+    struct resources service_need;
     struct resources ready;
     int64_t ready_milli;
     int64_t spread_hosts;
-    struct resources host;
+    struct resources largest_host;
     int64_t hosts;
-    int64_t coming;
+    int64_t incoming_hosts;
     int64_t used_milli;
     int64_t surplus_since_ms;
 };
 
 /**
- * struct order_budget - orders about hosts that may be given now
+ * struct command_budget - orders about hosts that may be given now
  * @left: orders, refilled up to the burst
- * @filled_ms: when it was last refilled
+ * @refilled_ms: when it was last refilled
  */
-struct order_budget {
+struct command_budget {
     double left;
-    int64_t filled_ms;
+    int64_t refilled_ms;
 };
 
 /**
- * struct open_advice - the call about advice that is under way
+ * struct advice_call - the call about advice that is under way
  * @job: whose step is asked about, referenced; NULL: none is
  * @asked: ids of the backend servers named, NULL-terminated
  * @retry_ms: no call before this time
  * @share: share of backend servers that turn out to be allowed
  */
-struct open_advice {
+struct advice_call {
     struct job *job;
     uint32_t occurrence;
     uint32_t step;
     GPtrArray *asked;
     int64_t sent_ms;
     int64_t retry_ms;
-    double share;
+    double allowed_fraction;
 };
 
 struct scheduler {
@@ -170,19 +170,19 @@
     struct ms_clock unix_clock;
     uint32_t term;
     const struct fleet_config *config;
-    char **out;
+    char **out_of_service;
     bool leadership_valid;
     bool outage;
-    int64_t outage_ms;
-    bool inherited_long;
+    int64_t outage_changed_ms;
+    bool inherited_long_lease;
     bool fenced;
-    int64_t taken_over_ms;
+    int64_t takeover_ms;
     uint64_t next_handle;
     GHashTable *backends;
     GHashTable *jobs;
     GPtrArray *active;
     GHashTable *runs;
-    GHashTable *team_use;
+    GHashTable *team_usage;
     GHashTable *hosts;
     GHashTable *pools;
     GPtrArray *waves;
@@ -192,8 +192,8 @@
     GQueue finished;
     bool hosts_read;
     int64_t plan_due_ms;
-    struct order_budget order_budget;
-    struct open_advice advice;
+    struct command_budget command_budget;
+    struct advice_call advice;
     struct sched_stats stats;
 };
 
@@ -205,15 +205,16 @@
 
 /* scheduler.c */
 void
-sched_note(struct scheduler *sched, const char *event, const char *format, ...)
-    __attribute__((format(printf, 3, 4)));
+sched_log_event(struct scheduler *sched, const char *event, const char *format,
+                ...) __attribute__((format(printf, 3, 4)));
 void
 sched_mark_dirty(struct scheduler *sched, struct job *job);
 void
 sched_finish_job(struct scheduler *sched, struct job *job,
                  enum job_state state);
 bool
-sched_is_out(const struct scheduler *sched, const char *data_centre);
+sched_is_out_of_service(const struct scheduler *sched,
+                        const char *data_centre);
 bool
 sched_usable(const struct scheduler *sched, const struct backend *backend);
 struct pool_load *
@@ -242,9 +243,9 @@
                 uint32_t step, uint32_t index);
 /* A failed end of a run that is not tracked any more. */
 void
-sched_late_failure(struct scheduler *sched, struct job *job,
-                   uint32_t occurrence, uint32_t step, uint32_t index,
-                   uint32_t number);
+sched_untracked_failure(struct scheduler *sched, struct job *job,
+                        uint32_t occurrence, uint32_t step, uint32_t index,
+                        uint32_t number);
 void
 sched_backend_lost(struct scheduler *sched, struct backend *backend,
                    const char *why);
@@ -255,23 +256,24 @@
 
 /* scheduler_reports.c */
 void
-sched_lists_due(struct scheduler *sched);
+sched_request_reports(struct scheduler *sched);
 
 /* place.c */
 void
 sched_place(struct scheduler *sched);
 /* Whether another backend server of its pool could take over @run. */
 bool
-sched_room_elsewhere(struct scheduler *sched, const struct run *run);
+sched_fits_elsewhere(struct scheduler *sched, const struct run *run);
 
 /* Whether @backend has room for a task and may hold it, ticket or not. */
 bool
-sched_could_run(struct scheduler *sched, const struct backend *backend,
-                const struct job *job, uint32_t occurrence, uint32_t step);
+sched_backend_can_run(struct scheduler *sched, const struct backend *backend,
+                      const struct job *job, uint32_t occurrence,
+                      uint32_t step);
 
 /* throttle_runs.c */
 void
-sched_pace(struct scheduler *sched);
+sched_throttle(struct scheduler *sched);
 /* Whether filling tasks run beside serving ones. */
 bool
 sched_backend_mixed(const struct backend *backend);
@@ -282,11 +284,11 @@
 void
 sched_advice_clear(struct scheduler *sched);
 void
-sched_ask_advice(struct scheduler *sched);
+sched_request_advice(struct scheduler *sched);
 
 /* drain.c */
 void
-sched_empty_draining(struct scheduler *sched);
+sched_move_off_draining(struct scheduler *sched);
 
 /* hosts.c */
 struct host *
@@ -294,8 +296,8 @@
 void
 sched_host_incarnation(struct scheduler *sched, struct backend *backend);
 void
-sched_host_intend(struct scheduler *sched, struct host *host,
-                  enum host_intent intent, const char *pool);
+sched_host_set_intent(struct scheduler *sched, struct host *host,
+                      enum host_intent intent, const char *pool);
 struct backend *
 sched_host_backend(const struct scheduler *sched, const struct host *host);
 bool
@@ -303,10 +305,12 @@
 
 /* command_budget.c */
 void
-order_budget_refill(struct order_budget *budget, double per_s, int64_t now_ms);
+command_budget_refill(struct command_budget *budget, double per_s,
+                      int64_t now_ms);
 /* Whether orders that can wait may be given: a part is kept for others. */
 bool
-order_budget_ample(const struct order_budget *budget, double per_s);
+command_budget_allows_deferrable(const struct command_budget *budget,
+                                 double per_s);
 
 /* host_plan.c */
 void
@@ -322,7 +326,7 @@
 
 /* pool_load.c */
 void
-sched_note_arrival(struct scheduler *sched, const struct job *job);
+sched_record_arrival(struct scheduler *sched, const struct job *job);
 void
 sched_measure_pools(struct scheduler *sched);
 int64_t
--- a/core/jobs/throttle_runs.c
+++ b/core/jobs/throttle_runs.c
@@ -6,11 +6,11 @@
 #include "scheduler_state.h"
 
 enum {
-    PACE_RETRY_MS = 300,
+    THROTTLE_RETRY_MS = 300,
 };
 
 static bool
-run_serves(const struct run *run)
+run_is_latency_sensitive(const struct run *run)
 {
     return run_step(run)->tail_latency_target_ms > 0;
 }
@@ -22,19 +22,19 @@
     bool fills = false;
     for (guint i = 0; i < backend->runs->len; i++) {
         const struct run *run = g_ptr_array_index(backend->runs, i);
-        serves = serves || run_serves(run);
+        serves = serves || run_is_latency_sensitive(run);
         fills = fills || run_step(run)->best_effort;
     }
     return serves && fills;
 }
 
 static double
-worst_tail(const struct backend *backend)
+worst_latency_ratio(const struct backend *backend)
 {
     double worst = 0;
     for (guint i = 0; i < backend->runs->len; i++) {
         const struct run *run = g_ptr_array_index(backend->runs, i);
-        if (run_serves(run) && run->state == RUN_WORKING) {
+        if (run_is_latency_sensitive(run) && run->state == RUN_WORKING) {
             double share = (double)run->load_metric /
                            (double)run_step(run)->tail_latency_target_ms;
             worst = MAX(worst, share);
@@ -44,7 +44,7 @@
 }
 
 static void
-send_pace(struct scheduler *sched, struct run *run, int32_t percent)
+send_throttle(struct scheduler *sched, struct run *run, int32_t percent)
 {
     char name[JOB_ID_CHARS + 48];
     snprintf(name, sizeof(name), "%s.%u.%u.%u", run->job->id, run->occurrence,
@@ -58,14 +58,14 @@
         .number = run->number,
         .percent = percent,
     };
-    sched_note(sched, "task_paced",
-               "\"task\":\"%s\",\"backend\":\"%s\",\"percent\":%d", name,
-               run->backend->entry.id, percent);
+    sched_log_event(sched, "task_paced",
+                    "\"task\":\"%s\",\"backend\":\"%s\",\"percent\":%d", name,
+                    run->backend->entry.id, percent);
     sched->ops.throttle(sched->ops.ctx, &order);
 }
 
 static void
-pace_backend(struct scheduler *sched, struct backend *backend)
+throttle_backend(struct scheduler *sched, struct backend *backend)
 {
     int32_t level = 100;
     if (sched_backend_mixed(backend)) {
@@ -73,7 +73,8 @@
         /* Each list is one sample of the tails. */
         if (backend->throttle.changed_ms == 0 ||
             backend->report_read_ms > backend->throttle_sample_ms) {
-            level = throttle_update(&backend->throttle, worst_tail(backend),
+            level = throttle_update(&backend->throttle,
+                                    worst_latency_ratio(backend),
                                     sched_now(sched));
             backend->throttle_sample_ms = backend->report_read_ms;
         }
@@ -82,14 +83,14 @@
         struct run *run = g_ptr_array_index(backend->runs, i);
         if (run_step(run)->best_effort && run->state == RUN_WORKING &&
             run->cpu_limit_percent != level && !run->throttle_pending &&
-            sched_now(sched) - run->throttle_sent_ms >= PACE_RETRY_MS) {
-            send_pace(sched, run, level);
+            sched_now(sched) - run->throttle_sent_ms >= THROTTLE_RETRY_MS) {
+            send_throttle(sched, run, level);
         }
     }
 }
 
 void
-sched_pace(struct scheduler *sched)
+sched_throttle(struct scheduler *sched)
 {
     if (sched->ops.throttle == NULL) {
         return;
@@ -100,7 +101,7 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct backend *backend = value;
         if (backend->runs->len > 0 && !backend->unresponsive) {
-            pace_backend(sched, backend);
+            throttle_backend(sched, backend);
         }
     }
 }
--- a/core/jobs/wave_plan.c
+++ b/core/jobs/wave_plan.c
@@ -12,12 +12,12 @@
     /* Time to empty a host: short tasks end within about this time. */
     EMPTY_HOST_MS = 2000,
     /* Before this much is left, hosts of busy pools wait for a quiet time. */
-    WAVE_COMFORT_MS = 12000,
-    DEFAULT_WITHIN_MS = 20000,
+    WAVE_SLACK_MS = 12000,
+    WAVE_DEFAULT_DURATION_MS = 20000,
 };
 
 /* Above this use of its pool a host is rebooted only if time runs out. */
-static const double BUSY_POOL = 0.6;
+static const double BUSY_POOL_FRACTION = 0.6;
 
 struct wave *
 sched_find_wave(const struct scheduler *sched, int64_t number)
@@ -39,7 +39,7 @@
         wave = g_new0(struct wave, 1);
         wave->number = number;
         wave->hosts = g_ptr_array_new_with_free_func(g_free);
-        wave->begun =
+        wave->started =
             g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
         g_ptr_array_add(sched->waves, wave);
     }
@@ -50,9 +50,10 @@
 scheduler_wave_set(struct scheduler *sched, const struct host_wave *order)
 {
     struct wave *wave = find_or_add(sched, order->number);
-    int64_t within_ms =
-        order->within_ms > 0 ? order->within_ms : (int64_t)DEFAULT_WITHIN_MS;
-    wave->most = MAX(order->max_unavailable, 1);
+    int64_t within_ms = order->within_ms > 0
+                            ? order->within_ms
+                            : (int64_t)WAVE_DEFAULT_DURATION_MS;
+    wave->max_unavailable = MAX(order->max_unavailable, 1);
     wave->complete_by_ms = order->seen_ms + within_ms;
     g_ptr_array_set_size(wave->hosts, 0);
     for (char **host = order->hosts; *host != NULL; host++) {
@@ -64,7 +65,7 @@
 scheduler_wave_host_started(struct scheduler *sched, int64_t number,
                             const char *host)
 {
-    g_hash_table_add(find_or_add(sched, number)->begun, g_strdup(host));
+    g_hash_table_add(find_or_add(sched, number)->started, g_strdup(host));
 }
 
 char *
@@ -74,7 +75,7 @@
     GString *text = g_string_new(NULL);
     for (guint i = 0; wave != NULL && i < wave->hosts->len; i++) {
         const char *host = g_ptr_array_index(wave->hosts, i);
-        if (g_hash_table_contains(wave->begun, host)) {
+        if (g_hash_table_contains(wave->started, host)) {
             g_string_append_printf(text, "%s%s", text->len > 0 ? " " : "",
                                    host);
         }
@@ -91,7 +92,7 @@
     for (guint i = 0; i < wave->hosts->len; i++) {
         const char *name = g_ptr_array_index(wave->hosts, i);
         const struct host *host = g_hash_table_lookup(sched->hosts, name);
-        if (!g_hash_table_contains(wave->begun, name) && host != NULL &&
+        if (!g_hash_table_contains(wave->started, name) && host != NULL &&
             host->present) {
             left++;
         }
@@ -132,7 +133,7 @@
 }
 
 static uint32_t
-hosts_taken(const struct scheduler *sched, const struct wave *wave)
+hosts_unavailable(const struct scheduler *sched, const struct wave *wave)
 {
     uint32_t taken = 0;
     for (guint i = 0; i < wave->hosts->len; i++) {
@@ -155,7 +156,7 @@
         return 0;
     }
     const struct pool_load *load = sched_pool_load(sched, host->pool);
-    int64_t room_milli = load->hosts * load->host.cpu_milli;
+    int64_t room_milli = load->hosts * load->largest_host.cpu_milli;
     double use =
         room_milli == 0 ? 1 : (double)load->used_milli / (double)room_milli;
     return use + (double)backend->used.cpu_milli /
@@ -171,8 +172,8 @@
         const char *name = g_ptr_array_index(wave->hosts, i);
         struct host *host = g_hash_table_lookup(sched->hosts, name);
         if (host == NULL || !host->present || !host->up ||
-            host->intent != HOST_STAYS || host->ordered ||
-            g_hash_table_contains(wave->begun, name)) {
+            host->intent != HOST_STAYS || host->command_accepted ||
+            g_hash_table_contains(wave->started, name)) {
             continue;
         }
         const struct backend *backend = sched_host_backend(sched, host);
@@ -180,7 +181,7 @@
             continue;
         }
         double cost = reboot_cost(sched, host);
-        if (cost > BUSY_POOL && !hurry) {
+        if (cost > BUSY_POOL_FRACTION && !hurry) {
             continue;
         }
         if (best == NULL || cost < best_cost) {
@@ -196,20 +197,22 @@
 {
     int64_t now_ms = sched_now(sched);
     uint32_t left = hosts_left(sched, wave);
-    int64_t rounds = (left + wave->most - 1) / wave->most;
+    int64_t rounds =
+        (left + wave->max_unavailable - 1) / wave->max_unavailable;
     int64_t needed_ms = rounds * (sched->timings.reboot_ms + EMPTY_HOST_MS);
-    bool hurry = now_ms + needed_ms + WAVE_COMFORT_MS > wave->complete_by_ms;
-    while (hosts_taken(sched, wave) < wave->most) {
+    bool hurry = now_ms + needed_ms + WAVE_SLACK_MS > wave->complete_by_ms;
+    while (hosts_unavailable(sched, wave) < wave->max_unavailable) {
         struct host *host = next_host(sched, wave, hurry);
         if (host == NULL) {
             return;
         }
         host->wave = wave->number;
-        sched_host_intend(sched, host, HOST_REBOOTS, NULL);
-        sched_note(sched, "host_reboot_planned",
-                   "\"host\":\"%s\",\"wave\":%" G_GINT64_FORMAT
-                   ",\"left\":%u,\"hurry\":%s",
-                   host->name, wave->number, left, hurry ? "true" : "false");
+        sched_host_set_intent(sched, host, HOST_REBOOTS, NULL);
+        sched_log_event(sched, "host_reboot_planned",
+                        "\"host\":\"%s\",\"wave\":%" G_GINT64_FORMAT
+                        ",\"left\":%u,\"hurry\":%s",
+                        host->name, wave->number, left,
+                        hurry ? "true" : "false");
     }
 }
 
--- a/include/core/jobs/scheduler.h
+++ b/include/core/jobs/scheduler.h
@@ -284,7 +284,7 @@
                       int32_t percent, bool acked);
 void
 scheduler_on_report(struct scheduler *sched, const char *backend_id,
-                    const struct run_report *lists);
+                    const struct run_report *report);
 
 /** struct advice_row - a backend server that may run the step */
 struct advice_row {
--- a/include/core/jobs/throttle.h
+++ b/include/core/jobs/throttle.h
@@ -32,6 +32,6 @@
  * Return: the cpu_limit_percent from now on, 0 to 100.
  */
 int32_t
-throttle_update(struct throttle *pace, double worst, int64_t now_ms);
+throttle_update(struct throttle *throttle, double worst, int64_t now_ms);
 
 #endif
