--- a/egretd/config_feed.c
+++ b/egretd/config_feed.c
@@ -8,8 +8,8 @@
 #include "store/store_keys.h"
 
 enum {
-    /* Earlier heads kept, to send peers only what they lack. */
-    REMEMBERED_HEADS = 16,
+    /* Earlier heads that are kept, to send peers only the parts they lack. */
+    EARLIER_HEADS_MAX = 16,
 };
 
 /* A read of the head that may outlive the feed. */
@@ -18,15 +18,15 @@
 };
 
 /**
- * struct config_feed - the generation in force and what may replace it
- * @head, @head_text, @texts: the generation in force as stored
- * @earlier: heads that were in force before, oldest first
- * @known: part keys to texts of the generation in force
- * @fetch: a newer generation being read, or NULL
- * @read_again: a head came in while @fetch was under way
- * @asked_ms: when the last read of the head was sent
- * @confirmed_ms: when the newest read was sent that found nothing newer
- * @reported: id of the last generation that was reported as unusable
+ * struct config_feed - the active generation and what may replace it
+ * @head, @head_text, @texts: the active generation as stored
+ * @earlier: heads of previously active generations, oldest first
+ * @parts_by_key: texts of the active generation by part key
+ * @fetch: read of a newer generation, or NULL
+ * @read_again: another head arrived while @fetch was pending
+ * @read_sent_ms: when the last read of the head was sent
+ * @confirmed_ms: when the last read was sent that found nothing newer
+ * @rejected_id: id of the last generation that was logged as rejected
  */
 struct config_feed {
     struct config_feed_options options;
@@ -35,14 +35,14 @@
     char *head_text;
     GTree *texts;
     GQueue earlier;
-    GTree *known;
+    GTree *parts_by_key;
     struct store_watch *watch;
     struct head_read *read;
     struct config_fetch *fetch;
     bool read_again;
-    int64_t asked_ms;
+    int64_t read_sent_ms;
     int64_t confirmed_ms;
-    char *reported;
+    char *rejected_id;
     guint timer;
 };
 
@@ -60,27 +60,27 @@
        const char *reason)
 {
     count(feed, "egret_config_rejected_total", labels);
-    if (g_strcmp0(feed->reported, id) == 0) {
+    if (g_strcmp0(feed->rejected_id, id) == 0) {
         return;
     }
-    g_free(feed->reported);
-    feed->reported = g_strdup(id);
+    g_free(feed->rejected_id);
+    feed->rejected_id = g_strdup(id);
     log_line(LOG_LEVEL_ERROR, "config-rejected",
              "id=%s in_force=%" PRIu64 " reason=%s", log_quote(id),
              config_feed_generation(feed), log_quote(reason));
 }
 
 static GTree *
-known_parts(const struct config_head *head, GTree *texts)
+index_parts(const struct config_head *head, GTree *texts)
 {
-    GTree *known = config_texts_create();
+    GTree *parts_by_key = config_texts_create();
     for (GTreeNode *node = g_tree_node_first(head->parts); node != NULL;
          node = g_tree_node_next(node)) {
         const char *text = g_tree_lookup(texts, g_tree_node_key(node));
-        g_tree_insert(known, g_strdup(g_tree_node_value(node)),
+        g_tree_insert(parts_by_key, g_strdup(g_tree_node_value(node)),
                       g_strdup(text));
     }
-    return known;
+    return parts_by_key;
 }
 
 static void
@@ -90,26 +90,26 @@
         return;
     }
     g_queue_push_tail(&feed->earlier, g_steal_pointer(&feed->head));
-    if (g_queue_get_length(&feed->earlier) > REMEMBERED_HEADS) {
+    if (g_queue_get_length(&feed->earlier) > EARLIER_HEADS_MAX) {
         config_head_destroy(g_queue_pop_head(&feed->earlier));
     }
 }
 
-/* Takes the snapshot's members over. */
+/* Takes ownership of the snapshot's members. */
 static void
-put_in_force(struct config_feed *feed, struct config_snapshot *snapshot,
-             const char *source)
+activate(struct config_feed *feed, struct config_snapshot *snapshot,
+         const char *source)
 {
     struct config *previous = feed->current;
     remember_head(feed);
     g_free(feed->head_text);
     g_clear_pointer(&feed->texts, g_tree_unref);
-    g_clear_pointer(&feed->known, g_tree_unref);
+    g_clear_pointer(&feed->parts_by_key, g_tree_unref);
     feed->current = g_steal_pointer(&snapshot->config);
     feed->head = g_steal_pointer(&snapshot->head);
     feed->head_text = g_steal_pointer(&snapshot->head_text);
     feed->texts = g_steal_pointer(&snapshot->texts);
-    feed->known = known_parts(feed->head, feed->texts);
+    feed->parts_by_key = index_parts(feed->head, feed->texts);
     counters_set(feed->options.counters, "egret_config_generation", NULL,
                  (int64_t)feed->head->generation);
     count(feed, "egret_config_changes_total", source);
@@ -122,22 +122,23 @@
 }
 
 /*
- * Whether @head may come into force. The number alone decides; the id shows
- * when two contents bear the same number, as after a store was reset.
+ * Whether @head may replace the active generation. The number alone decides;
+ * the id only reveals two contents with the same number, as happens after a
+ * store was reset.
  */
 static bool
 is_newer(struct config_feed *feed, const struct config_head *head)
 {
-    uint64_t in_force = config_feed_generation(feed);
-    if (head->generation > in_force) {
+    uint64_t active = config_feed_generation(feed);
+    if (head->generation > active) {
         return true;
     }
-    if (head->generation < in_force) {
+    if (head->generation < active) {
         count(feed, "egret_config_rejected_total", "reason=\"older\"");
     }
     else if (!g_str_equal(head->id, feed->head->id)) {
         reject(feed, head->id, "reason=\"same-number\"",
-               "another content bears the generation in force");
+               "same generation number as the active one, but another id");
     }
     return false;
 }
@@ -152,10 +153,10 @@
                "reason=\"malformed\"", snapshot->status.message);
     }
     else if (status_ok(&snapshot->status) && is_newer(feed, snapshot->head)) {
-        put_in_force(feed, snapshot, "source=\"store\"");
+        activate(feed, snapshot, "source=\"store\"");
     }
     if (snapshot->status.code != STATUS_UNAVAILABLE && feed->read == NULL) {
-        feed->confirmed_ms = feed->asked_ms;
+        feed->confirmed_ms = feed->read_sent_ms;
     }
     if (feed->read_again) {
         feed->read_again = false;
@@ -171,7 +172,7 @@
         return;
     }
     feed->fetch = config_fetch_entry(
-        feed->options.store, entry, feed->known,
+        feed->options.store, entry, feed->parts_by_key,
         (struct config_fetch_callback){.done = on_fetched, .ctx = feed});
 }
 
@@ -218,7 +219,7 @@
     bool answered =
         status_ok(&result->status) || result->status.code == STATUS_NOT_FOUND;
     if (answered && feed->fetch == NULL) {
-        feed->confirmed_ms = feed->asked_ms;
+        feed->confirmed_ms = feed->read_sent_ms;
     }
 }
 
@@ -228,7 +229,7 @@
     if (feed->read != NULL) {
         return;
     }
-    feed->asked_ms = ms_clock_now(&feed->options.clock);
+    feed->read_sent_ms = ms_clock_now(&feed->options.clock);
     feed->read = g_new0(struct head_read, 1);
     feed->read->feed = feed;
     store_get(feed->options.store, STORE_KEY_CONFIG_HEAD,
@@ -290,8 +291,8 @@
     g_queue_clear_full(&feed->earlier, (GDestroyNotify)config_head_destroy);
     g_free(feed->head_text);
     g_clear_pointer(&feed->texts, g_tree_unref);
-    g_clear_pointer(&feed->known, g_tree_unref);
-    g_free(feed->reported);
+    g_clear_pointer(&feed->parts_by_key, g_tree_unref);
+    g_free(feed->rejected_id);
     g_free(feed);
 }
 
@@ -313,15 +314,18 @@
     return feed->head == NULL ? "" : feed->head->id;
 }
 
-/* A peer may leave out parts that are known here already. */
+/* The peer may have left out parts that are the same in the generation active
+ * here. */
 static GTree *
 offered_texts(const struct config_feed *feed, const struct config_head *head,
               const struct message_config *offer)
 {
     GTree *texts = config_texts_create();
     for (GTreeNode *node = g_tree_node_first(head->parts);
-         node != NULL && feed->known != NULL; node = g_tree_node_next(node)) {
-        const char *text = g_tree_lookup(feed->known, g_tree_node_value(node));
+         node != NULL && feed->parts_by_key != NULL;
+         node = g_tree_node_next(node)) {
+        const char *text =
+            g_tree_lookup(feed->parts_by_key, g_tree_node_value(node));
         if (text != NULL) {
             g_tree_insert(texts, g_strdup(g_tree_node_key(node)),
                           g_strdup(text));
@@ -334,7 +338,8 @@
     return texts;
 }
 
-/* An offer made for a peer that holds more than this one does. */
+/* The peer left out parts in the belief that this gateway has a generation
+ * that it does not have. */
 static bool
 is_incomplete(const struct config_head *head, GTree *texts)
 {
@@ -348,8 +353,8 @@
 }
 
 static void
-take_offer(struct config_feed *feed, struct config_snapshot *snapshot,
-           const struct message_config *offer, struct findings *findings)
+apply_offer(struct config_feed *feed, struct config_snapshot *snapshot,
+            const struct message_config *offer, struct findings *findings)
 {
     snapshot->texts = offered_texts(feed, snapshot->head, offer);
     if (is_incomplete(snapshot->head, snapshot->texts)) {
@@ -359,7 +364,7 @@
     snapshot->config = config_join(snapshot->head, snapshot->texts, findings);
     if (snapshot->config != NULL) {
         snapshot->head_text = g_strdup(offer->head);
-        put_in_force(feed, snapshot, "source=\"peer\"");
+        activate(feed, snapshot, "source=\"peer\"");
     }
 }
 
@@ -374,7 +379,7 @@
         .head = config_head_parse(offer->head, -1, findings),
     };
     if (snapshot.head != NULL && is_newer(feed, snapshot.head)) {
-        take_offer(feed, &snapshot, offer, findings);
+        apply_offer(feed, &snapshot, offer, findings);
     }
     if (findings_count(findings) > 0) {
         reject(feed, snapshot.head == NULL ? "" : snapshot.head->id,
--- a/egretd/demand.c
+++ b/egretd/demand.c
@@ -7,11 +7,12 @@
 #include "common/json_write.h"
 
 enum {
-    SAMPLE_MS = 500,
+    SAMPLE_INTERVAL_MS = 500,
     SAMPLES_PER_RECORD = 20,
 };
 
-/* Sums over the samples of one interval. */
+/* Sums over the samples of one record; the run time and the deadline are those
+ * of the last sample. */
 struct pool_sum {
     double busy_slots;
     double queued;
@@ -73,7 +74,7 @@
     json_builder_end_object(builder);
 }
 
-struct draining {
+struct draining_context {
     struct demand *demand;
     JsonBuilder *builder;
 };
@@ -81,7 +82,7 @@
 static void
 add_draining_host(void *ctx, const char *host)
 {
-    struct draining *draining = ctx;
+    struct draining_context *draining = ctx;
     json_builder_set_member_name(draining->builder, host);
     json_builder_add_int_value(
         draining->builder,
@@ -92,7 +93,7 @@
 static void
 add_draining(struct demand *demand, JsonBuilder *builder)
 {
-    struct draining draining = {demand, builder};
+    struct draining_context draining = {demand, builder};
     json_builder_set_member_name(builder, "draining");
     json_builder_begin_object(builder);
     host_view_each_draining(demand->options.hosts, add_draining_host,
@@ -184,7 +185,7 @@
     demand->key = g_strconcat(STORE_KEY_DEMAND, options->settings->name, NULL);
     demand->pools =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    demand->timer = g_timeout_add(SAMPLE_MS, on_sample, demand);
+    demand->timer = g_timeout_add(SAMPLE_INTERVAL_MS, on_sample, demand);
     return demand;
 }
 
--- a/egretd/host_view.c
+++ b/egretd/host_view.c
@@ -6,8 +6,9 @@
 #include "store/host_records.h"
 
 enum {
-    /* Bounds how long a silent connection hides a leaving host. */
-    LIST_WAIT_MS = 1000,
+    /* Bounds how long a connection that fails without an error hides a leaving
+     * host. */
+    HOST_LIST_WAIT_MS = 1000,
 };
 
 struct host_view {
@@ -27,7 +28,7 @@
 }
 
 static void
-join(struct host_view *view)
+join_hosts(struct host_view *view)
 {
     const struct host_list_view *list = host_list_view(view->list);
     g_array_set_size(view->hosts, 0);
@@ -54,7 +55,7 @@
 {
     struct host_view *view = data;
     view->idle = 0;
-    join(view);
+    join_hosts(view);
     view->options.changed(
         view->options.ctx,
         (const struct dispatch_host *)(void *)view->hosts->data,
@@ -62,9 +63,9 @@
     return G_SOURCE_REMOVE;
 }
 
-/* Several shards that change at once lead to one join. */
+/* Joins once for several shards that change at the same time. */
 static void
-schedule(struct host_view *view)
+schedule_join(struct host_view *view)
 {
     if (view->idle == 0) {
         view->idle = g_idle_add(on_idle, view);
@@ -75,14 +76,14 @@
 on_list(void *ctx, const struct host_list_view *list)
 {
     (void)list;
-    schedule(ctx);
+    schedule_join(ctx);
 }
 
 static void
 on_shard(void *ctx, uint32_t shard)
 {
     (void)shard;
-    schedule(ctx);
+    schedule_join(ctx);
 }
 
 void
@@ -113,7 +114,7 @@
     view->list = host_list_create(&(struct host_list_options){
         .url = options->settings->hosts_url,
         .timeout_ms = options->settings->store_timeout_ms,
-        .wait_ms = LIST_WAIT_MS,
+        .wait_ms = HOST_LIST_WAIT_MS,
         .clock = options->clock,
         .changed = on_list,
         .ctx = view,
--- a/egretd/members_json.c
+++ b/egretd/members_json.c
@@ -9,7 +9,7 @@
 #include "common/json_write.h"
 
 enum {
-    LEASE_MAX_MS = 7 * 24 * 3600 * 1000,
+    TASK_LEASE_MAX_MS = 7 * 24 * 3600 * 1000,
 };
 
 static const char *const state_names[] = {
@@ -19,7 +19,7 @@
 };
 
 static char *
-finish_text(JsonBuilder *builder)
+finish_json(JsonBuilder *builder)
 {
     char *text = json_write_finish(builder, NULL);
     return text;
@@ -55,7 +55,7 @@
     }
     json_builder_end_object(builder);
     json_builder_end_object(builder);
-    return finish_text(builder);
+    return finish_json(builder);
 }
 
 static bool
@@ -70,7 +70,7 @@
     }
     if (text != NULL) {
         findings_add(place->findings, place->file, place->path,
-                     "has an unknown state");
+                     "unknown member state");
     }
     return false;
 }
@@ -92,7 +92,7 @@
                                              0, true),
         .state = state,
         .lease_ms =
-            json_read_int(place, "lease_ms", 0, LEASE_MAX_MS, 0, false),
+            json_read_int(place, "lease_ms", 0, TASK_LEASE_MAX_MS, 0, false),
     };
     if (has_state && entry.name != NULL && entry.address != NULL &&
         entry.dc != NULL) {
@@ -165,7 +165,8 @@
     if (node != NULL) {
         struct json_place place = {json_node_get_object(node), "beat", "$",
                                    findings};
-        lease_ms = json_read_int(&place, "lease_ms", 0, LEASE_MAX_MS, 0, true);
+        lease_ms =
+            json_read_int(&place, "lease_ms", 0, TASK_LEASE_MAX_MS, 0, true);
         json_node_unref(node);
     }
     findings_destroy(findings);
--- a/egretd/members_json.h
+++ b/egretd/members_json.h
@@ -8,21 +8,22 @@
 #include "common/status.h"
 #include "core/members.h"
 
-/** members_json_format() - text to store; freed with g_free(). */
+/** members_json_format() - @record as JSON; free it with g_free(). */
 char *
 members_json_format(const struct members_record *record);
 
-/** members_json_parse() - record out of stored text; NULL with
- * STATUS_INVALID and the place of the fault. */
+/** members_json_parse() - record from JSON; NULL with STATUS_INVALID and the
+ * path and reason of the first fault. */
 struct members_record *
 members_json_parse(const char *text, size_t size_bytes, struct status *status);
 
-/** renewal_json_format() - renewal record; freed with g_free(). */
+/** renewal_json_format() - renewal record as JSON; free it with g_free().
+ * @number counts this incarnation's writes. */
 char *
 renewal_json_format(uint64_t number, int64_t lease_ms);
 
-/** renewal_json_lease_ms() - longest lease named in a renewal record; 0 when
- * it can't be read. */
+/** renewal_json_lease_ms() - longest task lease that a renewal record names; 0
+ * if it is malformed. */
 int64_t
 renewal_json_lease_ms(const char *text, size_t size_bytes);
 
--- a/egretd/membership.c
+++ b/egretd/membership.c
@@ -7,8 +7,9 @@
 #include "egretd/usage_report.h"
 
 enum {
-    /* Peer links are silent for as long as a period of support at most. */
-    SILENCE_BEATS = 4,
+    /* Heartbeats that a peer may miss before its link is dropped; about as
+     * long as a quorum lease lasts. */
+    IDLE_TIMEOUT_HEARTBEATS = 4,
 };
 
 struct membership {
@@ -20,10 +21,10 @@
     struct usage_report *usage;
     GArray *members;
     uint64_t epoch;
-    int64_t until_ms;
+    int64_t lease_until_ms;
     guint tick;
-    void (*left)(void *ctx);
-    void *left_ctx;
+    void (*leave_done)(void *ctx);
+    void *leave_ctx;
 };
 
 static struct dispatch *
@@ -94,17 +95,17 @@
 }
 
 static void
-on_until(void *ctx, int64_t until_ms)
+on_lease_changed(void *ctx, int64_t lease_until_ms)
 {
     struct membership *membership = ctx;
-    bool lost = until_ms < membership->until_ms;
+    bool lost = lease_until_ms < membership->lease_until_ms;
     int64_t now = ms_clock_now(&membership->options.clock);
-    bool first = membership->until_ms <= now && until_ms > now;
-    membership->until_ms = until_ms;
-    dispatch_set_standing(dispatch_of(membership), until_ms);
-    if (lost || first) {
+    bool gained = membership->lease_until_ms <= now && lease_until_ms > now;
+    membership->lease_until_ms = lease_until_ms;
+    dispatch_set_standing(dispatch_of(membership), lease_until_ms);
+    if (lost || gained) {
         log_line(LOG_LEVEL_INFO, "standing", "until_in_ms=%" G_GINT64_FORMAT,
-                 MAX(until_ms, now) - now);
+                 MAX(lease_until_ms, now) - now);
         engine_pump(membership->options.engine);
     }
 }
@@ -127,7 +128,7 @@
 }
 
 static void
-on_newer(void *ctx, const char *peer)
+on_newer_config(void *ctx, const char *peer)
 {
     struct membership *membership = ctx;
     struct message message = {
@@ -139,21 +140,21 @@
 }
 
 static void
-on_refresh(void *ctx)
+on_refresh_config(void *ctx)
 {
     struct membership *membership = ctx;
     config_feed_refresh(membership->options.feed);
 }
 
 static int64_t
-on_confirmed(void *ctx)
+on_config_confirmed_ms(void *ctx)
 {
     struct membership *membership = ctx;
     return config_feed_confirmed_ms(membership->options.feed);
 }
 
 static int64_t
-on_longest_lease(void *ctx)
+on_longest_task_lease_ms(void *ctx)
 {
     struct membership *membership = ctx;
     const struct config *config =
@@ -292,14 +293,14 @@
             .peer_port = peers_port(membership->peers),
             .http_port = options->http_port,
             .generation = on_generation,
-            .newer_config = on_newer,
-            .refresh_config = on_refresh,
-            .config_confirmed_ms = on_confirmed,
-            .longest_task_lease_ms = on_longest_lease,
+            .newer_config = on_newer_config,
+            .refresh_config = on_refresh_config,
+            .config_confirmed_ms = on_config_confirmed_ms,
+            .longest_task_lease_ms = on_longest_task_lease_ms,
             .ctx = membership,
             .listener =
                 {
-                    .lease_changed = on_until,
+                    .lease_changed = on_lease_changed,
                     .members_changed = on_members,
                     .fenced = on_fenced,
                     .reclaim_permits = on_reclaim,
@@ -336,7 +337,7 @@
 {
     struct membership *membership = g_new0(struct membership, 1);
     membership->options = *options;
-    membership->until_ms = INT64_MIN;
+    membership->lease_until_ms = INT64_MIN;
     membership->incarnation = g_strdup(options->incarnation);
     membership->members =
         g_array_new(FALSE, TRUE, sizeof(struct gateway_member));
@@ -348,7 +349,8 @@
             .secret = options->secret,
             .incarnation = membership->incarnation,
             .name = options->settings->name,
-            .idle_timeout_ms = options->settings->heartbeat_ms * SILENCE_BEATS,
+            .idle_timeout_ms =
+                options->settings->heartbeat_ms * IDLE_TIMEOUT_HEARTBEATS,
             .clock = options->clock,
             .handler =
                 {
@@ -399,7 +401,8 @@
                       const struct config *config)
 {
     permit_accounts_set_config(membership->accounts, config);
-    /* Who is further behind asks after the next beat. */
+    /* Peers that lack more than one generation request it after the next
+     * heartbeat. */
     send_config(membership, NULL, config->generation - 1);
 }
 
@@ -422,7 +425,7 @@
 int64_t
 membership_lease_until_ms(const struct membership *membership)
 {
-    return membership->until_ms;
+    return membership->lease_until_ms;
 }
 
 const char *
@@ -450,15 +453,15 @@
 on_released(void *ctx)
 {
     struct membership *membership = ctx;
-    registration_leave(membership->registration, membership->left,
-                       membership->left_ctx);
+    registration_leave(membership->registration, membership->leave_done,
+                       membership->leave_ctx);
 }
 
 void
 membership_leave(struct membership *membership, void (*done)(void *ctx),
                  void *ctx)
 {
-    membership->left = done;
-    membership->left_ctx = ctx;
+    membership->leave_done = done;
+    membership->leave_ctx = ctx;
     permit_accounts_release(membership->accounts, on_released, membership);
 }
--- a/egretd/permits_json.h
+++ b/egretd/permits_json.h
@@ -7,12 +7,12 @@
 #include "common/status.h"
 #include "core/permits.h"
 
-/** permits_json_format() - text to store; freed with g_free(). */
+/** permits_json_format() - @record as JSON; free it with g_free(). */
 char *
 permits_json_format(const struct permits_record *record);
 
-/** permits_json_parse() - record out of stored text; NULL with
- * STATUS_INVALID and the place of the fault. */
+/** permits_json_parse() - record from JSON; NULL with STATUS_INVALID and the
+ * path and reason of the first fault. */
 struct permits_record *
 permits_json_parse(const char *text, size_t size_bytes, struct status *status);
 
--- a/egretd/usage_report.c
+++ b/egretd/usage_report.c
@@ -3,10 +3,10 @@
 enum {
     ACTIVE_INTERVAL_MS = 250,
     IDLE_INTERVAL_MS = 2000,
-    /* Long reports are sent more rarely, to spend no more than this. */
+    /* Long reports are sent less often, to keep the traffic below this. */
     ACTIVE_BYTES_PER_S = 16 << 10,
     IDLE_BYTES_PER_S = 1 << 10,
-    /* Peers forget what is older than 3 s. */
+    /* Peers discard reports older than 3 s (PEER_REPORT_MAX_AGE_MS). */
     ACTIVE_LONGEST_MS = 2500,
     IDLE_LONGEST_MS = 60000,
     ENTRY_BYTES = 40,
@@ -17,8 +17,8 @@
     guint timer;
     int64_t last_sent_ms;
     bool was_active;
-    /* A peer with waiting work wants to know of free permits. */
-    bool peer_waits;
+    /* A peer with waiting tasks needs to know of free permits soon. */
+    bool peer_has_queued;
 };
 
 static bool
@@ -79,14 +79,16 @@
     size_t n_entries = dispatch_usage_get(
         engine_dispatch(report->options.engine), &entries, now);
     bool active = is_active(entries, n_entries);
-    /* One more report after the last task shows the peers that it ended. */
-    int64_t wait_ms = interval_ms(
-        report, n_entries, active || report->was_active || report->peer_waits);
+    /* One more report at the active interval shows peers that the last task
+     * has ended. */
+    int64_t wait_ms =
+        interval_ms(report, n_entries,
+                    active || report->was_active || report->peer_has_queued);
     if (now - report->last_sent_ms >= wait_ms) {
         send_usage(report, entries, n_entries);
         report->last_sent_ms = now;
         report->was_active = active;
-        report->peer_waits = false;
+        report->peer_has_queued = false;
     }
     return G_SOURCE_CONTINUE;
 }
@@ -98,7 +100,7 @@
     struct dispatch_usage *entries =
         g_new0(struct dispatch_usage, usage->n_entries);
     for (size_t i = 0; i < usage->n_entries; i++) {
-        report->peer_waits |= usage->entries[i].queued > 0;
+        report->peer_has_queued |= usage->entries[i].queued > 0;
         entries[i] = (struct dispatch_usage){
             .team = usage->entries[i].team,
             .pool = usage->entries[i].pool,
--- a/include/egretd/config_feed.h
+++ b/include/egretd/config_feed.h
@@ -1,4 +1,4 @@
-/* Keeps the newest configuration generation in force on a gateway. */
+/* Keeps the newest configuration generation active on a gateway. */
 #ifndef EGRETD_CONFIG_FEED_H
 #define EGRETD_CONFIG_FEED_H
 
@@ -8,7 +8,7 @@
 #include "store/store.h"
 #include "wire/message.h"
 
-/** struct config_feed_listener - told when a newer generation is in force */
+/** struct config_feed_listener - notified when a newer generation is active */
 struct config_feed_listener {
     void (*changed)(void *ctx, const struct config *config);
     void *ctx;
@@ -16,7 +16,7 @@
 
 /**
  * struct config_feed_options - sources of generations
- * @poll_ms: interval of the plain reads that back up the watch
+ * @poll_ms: interval of reads in case the watch misses a change
  */
 struct config_feed_options {
     struct store *store;
@@ -33,40 +33,41 @@
 void
 config_feed_destroy(struct config_feed *feed);
 
-/** config_feed_current() - configuration in force, or NULL at start. Valid
+/** config_feed_current() - active configuration, or NULL at start. Valid
  * until the next @changed call has returned. */
 const struct config *
 config_feed_current(const struct config_feed *feed);
 
-/** config_feed_generation() - its number, 0 for none. */
+/** config_feed_generation() - number of the active generation, 0 for none. */
 uint64_t
 config_feed_generation(const struct config_feed *feed);
 
-/** config_feed_refresh() - read the head now. */
+/** config_feed_refresh() - start a read of the head at the store. */
 void
 config_feed_refresh(struct config_feed *feed);
 
-/** config_feed_confirmed_ms() - when the newest read was sent that found
- * nothing newer than what is in force; INT64_MIN for none. */
+/** config_feed_confirmed_ms() - when the last read was sent that found no
+ * generation newer than the active one; INT64_MIN for none. */
 int64_t
 config_feed_confirmed_ms(const struct config_feed *feed);
 
-/** config_feed_id() - id of the apply that wrote it, "" for none. */
+/** config_feed_id() - id of the apply that wrote the active generation, "" for
+ * none. */
 const char *
 config_feed_id(const struct config_feed *feed);
 
-/** config_feed_offer() - a peer's generation; put in force if newer. */
+/** config_feed_offer() - take a peer's generation if it is newer. */
 void
 config_feed_offer(struct config_feed *feed,
                   const struct message_config *offer);
 
 /**
- * config_feed_make_message() - what is in force, as a message to a peer
- * @have_generation: generation that the peer has in force, 0 for none. Parts
- *                   that it holds already are left out, as long as that
- *                   generation is remembered here.
+ * config_feed_make_message() - the active generation as a message to a peer
+ * @have_generation: active generation of the peer, 0 for none. Parts that are
+ *                   the same in that generation are left out if its head is
+ *                   still kept here.
  *
- * Returns: false when there is none. The caller clears the message.
+ * Returns: false when no generation is active. The caller clears the message.
  */
 bool
 config_feed_make_message(const struct config_feed *feed,
--- a/include/egretd/demand.h
+++ b/include/egretd/demand.h
@@ -1,4 +1,5 @@
-/* Publishes the demand on pools for the fleet controllers. */
+/* Publishes this gateway's demand on each pool, the hosts that it sees
+ * draining and those that failed tasks, for the fleet controllers. */
 #ifndef EGRETD_DEMAND_H
 #define EGRETD_DEMAND_H
 
--- a/include/egretd/membership.h
+++ b/include/egretd/membership.h
@@ -1,4 +1,4 @@
-/* Peer links, standing and permits of one incarnation. */
+/* Peer links, registration and permit accounts of one incarnation. */
 #ifndef EGRETD_MEMBERSHIP_H
 #define EGRETD_MEMBERSHIP_H
 
@@ -12,9 +12,10 @@
 #include "store/store.h"
 
 /**
- * struct membership_options - parts it ties together
- * @incarnation: name to register under, never used before
- * @fenced: this incarnation was fenced; the receiver restarts membership
+ * struct membership_options - the parts that it connects
+ * @incarnation: unique name to register under, never used before
+ * @fenced: this incarnation was fenced; the receiver creates a new membership
+ *          under a new incarnation
  */
 struct membership_options {
     const struct settings *settings;
@@ -38,17 +39,20 @@
 void
 membership_destroy(struct membership *membership);
 
-/** membership_set_config() - follow a new generation and tell the peers. */
+/** membership_set_config() - apply a new generation and send it to the peers.
+ */
 void
 membership_set_config(struct membership *membership,
                       const struct config *config);
 
-/** membership_find_peer() - HTTP address of a gateway. */
+/** membership_find_peer() - HTTP address of a live gateway; false if @peer is
+ * none. */
 bool
 membership_find_peer(const struct membership *membership, const char *peer,
                      struct forward_target *target);
 
-/** membership_lease_until_ms() - work may start before this time. */
+/** membership_lease_until_ms() - end of the quorum lease; work may start only
+ * before it. */
 int64_t
 membership_lease_until_ms(const struct membership *membership);
 
@@ -56,7 +60,8 @@
 const char *
 membership_incarnation(const struct membership *membership);
 
-/** membership_members() - registered gateways. */
+/** membership_members() - registered gateways, and the epoch of their record.
+ */
 const struct gateway_member *
 membership_members(const struct membership *membership, size_t *n_members,
                    uint64_t *epoch);
@@ -65,7 +70,7 @@
 struct peers_stats
 membership_peers_stats(const struct membership *membership);
 
-/** membership_leave() - give permits and registration back. */
+/** membership_leave() - release all permits, then unregister. */
 void
 membership_leave(struct membership *membership, void (*done)(void *ctx),
                  void *ctx);
--- a/include/egretd/usage_report.h
+++ b/include/egretd/usage_report.h
@@ -1,4 +1,4 @@
-/* Exchanges the use of pools with the other gateways. */
+/* Exchanges with the other gateways how much of each pool every team uses. */
 #ifndef EGRETD_USAGE_REPORT_H
 #define EGRETD_USAGE_REPORT_H
 
@@ -19,7 +19,7 @@
 void
 usage_report_destroy(struct usage_report *report);
 
-/** usage_report_received() - a peer's report. */
+/** usage_report_received() - apply a peer's report. */
 void
 usage_report_received(struct usage_report *report, const char *peer,
                       const struct message_usage *usage);
