--- a/egretjobd/committer.c
+++ b/egretjobd/committer.c
@@ -25,7 +25,7 @@
  * struct committer - the open transaction
  * @number: number of the open transaction; answers to earlier ones are ignored
  * @open_attempts: attempts without an answer
- * @unknown: a sending got no answer
+ * @outcome_unknown: an attempt got no answer
  * @body: what is sent, or NULL if none is open
  */
 struct committer {
--- a/tests/jobs/committer_test.c
+++ b/tests/jobs/committer_test.c
@@ -7,7 +7,7 @@
 
 enum {
     TIMEOUT_MS = 1000,
-    /* Well before the timeout, after the second sending. */
+    /* Well before the timeout, after the second attempt. */
     SOON_MS = 400,
     TURN_US = 2500,
     KEPT_MAX = 8,
@@ -92,8 +92,8 @@
     return seen;
 }
 
-/* The answer to the first sending is lost; the second one tells what became
- * of the transaction, long before the timeout. */
+/* The answer to the first attempt is lost; the second attempt gives the
+ * outcome of the transaction long before the timeout. */
 static void
 test_lost_answer_is_learnt_soon(void)
 {
@@ -104,8 +104,8 @@
     CU_ASSERT_EQUAL(store.requests, 2);
 }
 
-/* One sending got no answer, the other was refused: the first may have been
- * carried out, so nobody may be told that it was not. */
+/* One attempt got no answer, the other was refused: the first may have been
+ * carried out, so the outcome must not be KV_REFUSED. */
 static void
 test_refusal_after_silence_is_unknown(void)
 {
@@ -115,7 +115,7 @@
     CU_ASSERT_EQUAL(seen.outcome, KV_UNKNOWN);
 }
 
-/* A refusal of the only sending is one, and comes at once. */
+/* If the only attempt is refused, the outcome is KV_REFUSED, without delay. */
 static void
 test_refusal_is_one(void)
 {
