--- a/egretjobd/leader_load.c
+++ b/egretjobd/leader_load.c
@@ -71,7 +71,7 @@
         scheduler_backend_gone(leader->sched, id);
         return;
     }
-    g_hash_table_add(leader->registered_ids, g_strdup(id));
+    g_hash_table_add(leader->listed_ids, g_strdup(id));
     if (!decode_backend(id, item->value, item->value_bytes, &entry)) {
         return;
     }
@@ -247,12 +247,12 @@
 
 /* After a complete read, removes backend servers that it did not return. */
 static void
-drop_unregistered(struct leader *leader)
+drop_unlisted_backends(struct leader *leader)
 {
     GPtrArray *ids = scheduler_backend_ids(leader->sched);
     for (guint i = 0; i < ids->len; i++) {
         const char *id = g_ptr_array_index(ids, i);
-        if (!g_hash_table_contains(leader->registered_ids, id)) {
+        if (!g_hash_table_contains(leader->listed_ids, id)) {
             scheduler_backend_gone(leader->sched, id);
         }
     }
@@ -288,7 +288,7 @@
         read_backends(leader, last->key);
         return;
     }
-    drop_unregistered(leader);
+    drop_unlisted_backends(leader);
     leader->backends_as_of = result->as_of;
     leader_schedule_tick(leader);
     timer_set(leader->watch_timer, 0);
@@ -317,7 +317,7 @@
 void
 leader_watch_backends(struct leader *leader)
 {
-    g_hash_table_remove_all(leader->registered_ids);
+    g_hash_table_remove_all(leader->listed_ids);
     if (leader->backends_as_of == 0) {
         read_backends(leader, NULL);
         return;
--- a/egretjobd/leader_state.h
+++ b/egretjobd/leader_state.h
@@ -10,7 +10,12 @@
 #include "platform/hosts_api.h"
 #include "platform/kv.h"
 
-/** enum leader_stage - records in the order in which they are applied */
+/**
+ * enum leader_stage - records in the order in which they are applied
+ * @STAGE_REGISTERED: backend servers on which an earlier leader may have
+ *                    started runs
+ * @STAGE_BACKENDS: backend servers that the platform lists
+ */
 enum leader_stage {
     STAGE_PROGRESS,
     STAGE_JOBS,
@@ -68,7 +73,7 @@
  * @backend_clients: id of a backend server to its struct backend_client
  * @progress: id of a job to the struct kv_item of its progress, while loading
  * @early_jobs: struct kv_item, jobs accepted before STAGE_READY
- * @registered_ids: ids of backend servers that the current read has returned
+ * @listed_ids: ids of backend servers in the platform's list, as read so far
  * @backends_as_of: revision after which to watch backend servers; 0: read all
  * @inbox_fetching: a job that a message names is being read
  * @cancels: struct cancel_waiter
@@ -98,7 +103,7 @@
     GHashTable *backend_clients;
     GHashTable *progress;
     GPtrArray *early_jobs;
-    GHashTable *registered_ids;
+    GHashTable *listed_ids;
     int64_t backends_as_of;
     bool inbox_fetching;
     struct record_range ranges[STAGE_READY];
--- a/egretjobd/leadership.c
+++ b/egretjobd/leadership.c
@@ -28,6 +28,12 @@
     CLOCK_DRIFT_MARGIN_MS = 60,
 };
 
+/**
+ * enum leadership_state - state of this process
+ * @LEADERSHIP_WATCHING: reads or watches the leader's record
+ * @LEADERSHIP_CLAIMING: tries to write its own record
+ * @LEADERSHIP_HELD: is the leader
+ */
 enum leadership_state {
     LEADERSHIP_WATCHING,
     LEADERSHIP_CLAIMING,
--- a/egretjobd/peers.c
+++ b/egretjobd/peers.c
@@ -9,8 +9,8 @@
 #include "platform/kv.h"
 
 enum {
-    /* Storing a job usually takes milliseconds. After this time the store is
-     * called directly. */
+    /* Storing a job usually takes milliseconds. After this time without an
+     * answer of the leader, this process calls the store. */
     CALL_TIMEOUT_MS = 700,
     /* Per peer, opened when needed. A call is open until the leader has stored
      * the job, which takes a quarter of a second on a slow store. */
