--- a/egretd/peer_link.c
+++ b/egretd/peer_link.c
@@ -11,7 +11,7 @@
 
 enum {
     READ_BYTES = 4096,
-    /* Room for a whole configuration and some beats behind it. */
+    /* Fits a whole configuration and some heartbeats behind it. */
     WRITE_QUEUE_MAX_BYTES = FRAME_MAX_BYTES + (64 << 10),
 };
 
@@ -24,10 +24,10 @@
     size_t queued_bytes;
     bool writing;
     bool closed;
-    bool proved;
-    struct message_hello own;
+    bool authenticated;
+    struct message_hello own_hello;
     struct message *hello;
-    int64_t heard_ms;
+    int64_t last_frame_ms;
     uint8_t input[READ_BYTES];
 };
 
@@ -43,7 +43,7 @@
     g_free(link->dialled);
 }
 
-/* Each read or write under way keeps the link. */
+/* Each pending read or write holds a reference. */
 static void
 link_unref(struct peer_link *link)
 {
@@ -85,7 +85,7 @@
 write_next(struct peer_link *link);
 
 static void
-written(GObject *source, GAsyncResult *result, void *ctx)
+on_written(GObject *source, GAsyncResult *result, void *ctx)
 {
     struct peer_link *link = ctx;
     GBytes *frame = g_queue_pop_head(&link->writes);
@@ -117,7 +117,7 @@
     link->writing = true;
     g_rc_box_acquire(link);
     g_output_stream_write_all_async(out, bytes, size_bytes, G_PRIORITY_DEFAULT,
-                                    link->cancellable, written, link);
+                                    link->cancellable, on_written, link);
 }
 
 bool
@@ -128,8 +128,9 @@
     }
     size_t size_bytes = g_bytes_get_size(frame);
     if (link->queued_bytes + size_bytes > WRITE_QUEUE_MAX_BYTES) {
-        /* Not closed here: the caller may be walking over its links. */
-        link->heard_ms = INT64_MIN;
+        /* Counts as idle and is closed by the next check for idle links. Not
+         * closed here: the caller may be iterating over its links. */
+        link->last_frame_ms = INT64_MIN;
         return false;
     }
     link->options.traffic->frames_out++;
@@ -141,7 +142,7 @@
 }
 
 GBytes *
-peer_link_frame(const struct message *message)
+peer_link_make_frame(const struct message *message)
 {
     msgpack_sbuffer buffer;
     msgpack_sbuffer_init(&buffer);
@@ -154,72 +155,75 @@
 static void
 send_message(struct peer_link *link, const struct message *message)
 {
-    GBytes *frame = peer_link_frame(message);
+    GBytes *frame = peer_link_make_frame(message);
     peer_link_send(link, frame);
     g_bytes_unref(frame);
 }
 
 static void
-take_hello(struct peer_link *link, struct message *hello)
+handle_hello(struct peer_link *link, struct message *hello)
 {
     link->hello = hello;
     const struct message_hello *other = &hello->as.hello;
-    if (strcmp(other->incarnation, link->own.incarnation) == 0) {
-        link_reject(link, "own incarnation");
+    if (strcmp(other->incarnation, link->own_hello.incarnation) == 0) {
+        link_reject(link, "HELLO names this gateway's own incarnation");
         return;
     }
     struct message proof = {.type = MESSAGE_PROOF};
     peer_proof_make(
-        &(struct peer_proof){link->dialled != NULL, &link->own, other},
+        &(struct peer_proof){link->dialled != NULL, &link->own_hello, other},
         link->options.secret, proof.as.proof.mac);
     send_message(link, &proof);
 }
 
 static void
-take_proof(struct peer_link *link, const struct message_proof *proof)
+handle_proof(struct peer_link *link, const struct message_proof *proof)
 {
     uint8_t expected[MESSAGE_NONCE_BYTES];
     peer_proof_make(&(struct peer_proof){link->dialled == NULL,
-                                         &link->hello->as.hello, &link->own},
+                                         &link->hello->as.hello,
+                                         &link->own_hello},
                     link->options.secret, expected);
     if (!constant_time_equal(expected, proof->mac, sizeof(expected))) {
-        link_reject(link, "wrong proof");
+        link_reject(link, "proof does not match the shared secret");
         return;
     }
-    link->proved = true;
+    link->authenticated = true;
     frame_reader_set_max(link->reader, FRAME_MAX_BYTES);
-    if (!link->options.handler.proved(link->options.handler.ctx, link)) {
-        link->proved = false;
+    if (!link->options.handler.authenticated(link->options.handler.ctx,
+                                             link)) {
+        link->authenticated = false;
         link_end(link, false);
     }
 }
 
-/* Takes over @message. */
+/* Takes ownership of @message. */
 static void
-take_message(struct peer_link *link, struct message *message)
+handle_message(struct peer_link *link, struct message *message)
 {
     if (link->hello == NULL && message->type == MESSAGE_HELLO) {
-        take_hello(link, message);
+        handle_hello(link, message);
         return;
     }
     bool handshake =
         message->type == MESSAGE_HELLO || message->type == MESSAGE_PROOF;
-    if (link->proved && !handshake) {
+    if (link->authenticated && !handshake) {
         link->options.handler.message(link->options.handler.ctx, link,
                                       message);
     }
-    else if (!link->proved && link->hello != NULL &&
+    else if (!link->authenticated && link->hello != NULL &&
              message->type == MESSAGE_PROOF) {
-        take_proof(link, &message->as.proof);
+        handle_proof(link, &message->as.proof);
     }
     else {
-        link_reject(link, "message out of order");
+        link_reject(link,
+                    "message type not allowed in this state of the handshake");
     }
     message_destroy(message);
 }
 
 static void
-take_frames(struct peer_link *link)
+handle_frames(struct peer_link *link)
 {
     struct status status;
     status_clear(&status);
@@ -228,13 +232,13 @@
     while (!link->closed &&
            frame_reader_next(link->reader, &bytes, &size_bytes, &status)) {
         link->options.traffic->frames_in++;
-        link->heard_ms = ms_clock_now(&link->options.clock);
+        link->last_frame_ms = ms_clock_now(&link->options.clock);
         struct message *message = message_decode(bytes, size_bytes, &status);
         if (message == NULL) {
             link_reject(link, status.message);
             return;
         }
-        take_message(link, message);
+        handle_message(link, message);
     }
     if (!link->closed && !status_ok(&status)) {
         link_reject(link, status.message);
@@ -245,7 +249,7 @@
 read_next(struct peer_link *link);
 
 static void
-bytes_came(GObject *source, GAsyncResult *result, void *ctx)
+on_bytes_read(GObject *source, GAsyncResult *result, void *ctx)
 {
     struct peer_link *link = ctx;
     gssize size_bytes =
@@ -255,14 +259,15 @@
         return;
     }
     if (size_bytes <= 0) {
-        /* Ends before the handshake are as suspicious as wrong bytes. */
-        link_end(link, !link->proved && link->dialled == NULL);
+        /* A connection that ends before its handshake counts as a fault, like
+         * malformed bytes. */
+        link_end(link, !link->authenticated && link->dialled == NULL);
         link_unref(link);
         return;
     }
     link->options.traffic->bytes_in += (uint64_t)size_bytes;
     frame_reader_feed(link->reader, link->input, (size_t)size_bytes);
-    take_frames(link);
+    handle_frames(link);
     if (!link->closed) {
         read_next(link);
     }
@@ -276,7 +281,7 @@
         g_io_stream_get_input_stream(G_IO_STREAM(link->options.connection));
     g_rc_box_acquire(link);
     g_input_stream_read_async(in, link->input, READ_BYTES, G_PRIORITY_DEFAULT,
-                              link->cancellable, bytes_came, link);
+                              link->cancellable, on_bytes_read, link);
 }
 
 struct peer_link *
@@ -289,17 +294,17 @@
     link->cancellable = g_cancellable_new();
     link->reader = frame_reader_create(FRAME_MAX_UNPROVED_BYTES);
     g_queue_init(&link->writes);
-    link->heard_ms = ms_clock_now(&options->clock);
-    link->own.incarnation = (char *)options->incarnation;
-    link->own.name = (char *)options->name;
+    link->last_frame_ms = ms_clock_now(&options->clock);
+    link->own_hello.incarnation = (char *)options->incarnation;
+    link->own_hello.name = (char *)options->name;
     GSocket *socket = g_socket_connection_get_socket(options->connection);
     g_socket_set_option(socket, IPPROTO_TCP, TCP_NODELAY, 1, NULL);
-    if (!peer_proof_nonce(link->own.nonce)) {
+    if (!peer_proof_make_nonce(link->own_hello.nonce)) {
         link_unref(link);
         return NULL;
     }
-    send_message(
-        link, &(struct message){.type = MESSAGE_HELLO, .as.hello = link->own});
+    send_message(link, &(struct message){.type = MESSAGE_HELLO,
+                                         .as.hello = link->own_hello});
     read_next(link);
     return link;
 }
@@ -317,13 +322,13 @@
 }
 
 bool
-peer_link_proved(const struct peer_link *link)
+peer_link_authenticated(const struct peer_link *link)
 {
-    return link->proved;
+    return link->authenticated;
 }
 
 int64_t
-peer_link_heard_ms(const struct peer_link *link)
+peer_link_last_frame_ms(const struct peer_link *link)
 {
-    return link->heard_ms;
+    return link->last_frame_ms;
 }
--- a/egretd/peer_link.h
+++ b/egretd/peer_link.h
@@ -12,14 +12,15 @@
 struct peer_link;
 
 /**
- * struct peer_link_handler - what becomes of a link
- * @proved: the other end knows the secret; false closes the link
+ * struct peer_link_handler - events of a link
+ * @authenticated: the other end proved that it knows the secret; returning
+ *                 false closes the link
  * @message: a message after the handshake
- * @closed: the link is over; @fault tells that the other end broke the
- *          protocol. Nothing follows, and the link is released afterwards
+ * @closed: the link was closed; @fault if the other end violated the protocol.
+ *          No event follows, and the link is released afterwards
  */
 struct peer_link_handler {
-    bool (*proved)(void *ctx, struct peer_link *link);
+    bool (*authenticated)(void *ctx, struct peer_link *link);
     void (*message)(void *ctx, struct peer_link *link,
                     const struct message *message);
     void (*closed)(void *ctx, struct peer_link *link, bool fault);
@@ -37,7 +38,7 @@
 };
 
 /**
- * struct peer_link_options - both ends of a link
+ * struct peer_link_options - how to create a link
  * @dialled: incarnation that was dialled; NULL for an accepted link
  * @secret, @incarnation, @name: of this gateway
  */
@@ -52,20 +53,23 @@
     struct peer_link_handler handler;
 };
 
-/** peer_link_create() - start the handshake. */
+/** peer_link_create() - start the handshake; NULL if no nonce could be made.
+ */
 struct peer_link *
 peer_link_create(const struct peer_link_options *options);
 
-/** peer_link_close() - end the link; @closed is called unless it was. */
+/** peer_link_close() - close the link; calls @closed unless it was closed
+ * already. */
 void
 peer_link_close(struct peer_link *link);
 
-/** peer_link_send() - queue an encoded frame; false when there is no room,
- * which also makes the link count as silent. */
+/** peer_link_send() - queue an encoded frame; false when the link is closed or
+ * its write queue is full, which also makes the link count as idle. */
 bool
 peer_link_send(struct peer_link *link, GBytes *frame);
 
-/** peer_link_incarnation() - the other end, NULL before its HELLO. */
+/** peer_link_incarnation() - incarnation of the other end, NULL before its
+ * HELLO. */
 const char *
 peer_link_incarnation(const struct peer_link *link);
 
@@ -74,15 +78,15 @@
 peer_link_dialled(const struct peer_link *link);
 
 bool
-peer_link_proved(const struct peer_link *link);
+peer_link_authenticated(const struct peer_link *link);
 
-/** peer_link_heard_ms() - when the last frame came, or the link began;
- * INT64_MIN once its write queue was full. */
+/** peer_link_last_frame_ms() - when the last frame was received, or the link
+ * was created; INT64_MIN once its write queue was full. */
 int64_t
-peer_link_heard_ms(const struct peer_link *link);
+peer_link_last_frame_ms(const struct peer_link *link);
 
-/** peer_link_frame() - @message as a frame to send. */
+/** peer_link_make_frame() - @message as a frame to send. */
 GBytes *
-peer_link_frame(const struct message *message);
+peer_link_make_frame(const struct message *message);
 
 #endif
--- a/egretd/peer_proof.c
+++ b/egretd/peer_proof.c
@@ -28,7 +28,7 @@
 }
 
 bool
-peer_proof_nonce(uint8_t nonce[MESSAGE_NONCE_BYTES])
+peer_proof_make_nonce(uint8_t nonce[MESSAGE_NONCE_BYTES])
 {
     return getentropy(nonce, MESSAGE_NONCE_BYTES) == 0;
 }
--- a/egretd/peer_proof.h
+++ b/egretd/peer_proof.h
@@ -1,5 +1,5 @@
-/* Challenge and response with which gateways show that they know the secret.
- */
+/* Challenge and response by which gateways prove that they know the shared
+ * secret. */
 #ifndef EGRETD_PEER_PROOF_H
 #define EGRETD_PEER_PROOF_H
 
@@ -23,8 +23,8 @@
 peer_proof_make(const struct peer_proof *proof, const char *secret,
                 uint8_t mac[MESSAGE_NONCE_BYTES]);
 
-/** peer_proof_nonce() - fresh random nonce; false on failure. */
+/** peer_proof_make_nonce() - fresh random nonce; false on failure. */
 bool
-peer_proof_nonce(uint8_t nonce[MESSAGE_NONCE_BYTES]);
+peer_proof_make_nonce(uint8_t nonce[MESSAGE_NONCE_BYTES]);
 
 #endif
--- a/egretd/peers.c
+++ b/egretd/peers.c
@@ -7,7 +7,7 @@
 #include "peers_internal.h"
 
 enum {
-    UNPROVED_MAX = 32,
+    UNAUTHENTICATED_LINKS_MAX = 32,
     LINKS_MAX = 128,
     TICK_MIN_MS = 20,
     TICK_MAX_MS = 200,
@@ -20,7 +20,7 @@
 }
 
 static void
-note_replaced(struct peers *peers, const char *dialled)
+report_replaced(struct peers *peers, const char *dialled)
 {
     struct peer_target *target = g_hash_table_lookup(peers->targets, dialled);
     if (target == NULL || target->replaced) {
@@ -41,7 +41,7 @@
 }
 
 static bool
-link_proved(void *ctx, struct peer_link *link)
+on_link_authenticated(void *ctx, struct peer_link *link)
 {
     struct peers *peers = ctx;
     const char *incarnation = peer_link_incarnation(link);
@@ -49,8 +49,8 @@
     if (older == NULL && g_hash_table_size(peers->links) >= LINKS_MAX) {
         return false;
     }
-    g_ptr_array_remove_fast(peers->unproved, link);
-    /* The end that lost track of the older connection has made this one. */
+    g_ptr_array_remove_fast(peers->unauthenticated, link);
+    /* The newer link wins: whichever end dialled it has lost the older one. */
     g_hash_table_insert(peers->links, g_strdup(incarnation), link);
     if (older != NULL) {
         peer_link_close(older);
@@ -58,13 +58,13 @@
     struct peer_target *target =
         g_hash_table_lookup(peers->targets, incarnation);
     if (target != NULL) {
-        target->backoff_ms = PEERS_BACKOFF_FIRST_MS;
+        target->backoff_ms = PEERS_BACKOFF_MIN_MS;
         target->down_since_ms = INT64_MAX;
     }
     log_line(LOG_LEVEL_INFO, "peer-linked", "peer=%s", log_quote(incarnation));
     const char *dialled = peer_link_dialled(link);
     if (dialled != NULL && strcmp(dialled, incarnation) != 0) {
-        note_replaced(peers, dialled);
+        report_replaced(peers, dialled);
     }
     if (peers->options.handler.up != NULL) {
         peers->options.handler.up(peers->options.handler.ctx, incarnation);
@@ -73,7 +73,8 @@
 }
 
 static void
-link_message(void *ctx, struct peer_link *link, const struct message *message)
+on_link_message(void *ctx, struct peer_link *link,
+                const struct message *message)
 {
     struct peers *peers = ctx;
     peers->options.handler.message(peers->options.handler.ctx,
@@ -81,12 +82,12 @@
 }
 
 static void
-link_closed(void *ctx, struct peer_link *link, bool fault)
+on_link_closed(void *ctx, struct peer_link *link, bool fault)
 {
     struct peers *peers = ctx;
     peers->rejected += fault;
-    if (!peer_link_proved(link)) {
-        g_ptr_array_remove_fast(peers->unproved, link);
+    if (!peer_link_authenticated(link)) {
+        g_ptr_array_remove_fast(peers->unauthenticated, link);
         return;
     }
     const char *incarnation = peer_link_incarnation(link);
@@ -112,22 +113,22 @@
         .name = peers->name,
         .clock = peers->options.clock,
         .traffic = &peers->traffic,
-        .handler = {.proved = link_proved,
-                    .message = link_message,
-                    .closed = link_closed,
+        .handler = {.authenticated = on_link_authenticated,
+                    .message = on_link_message,
+                    .closed = on_link_closed,
                     .ctx = peers},
     });
     if (link != NULL) {
-        g_ptr_array_add(peers->unproved, link);
+        g_ptr_array_add(peers->unauthenticated, link);
     }
 }
 
 static gboolean
-connection_came(GSocketService *service, GSocketConnection *connection,
-                GObject *source, void *ctx)
+on_connection(GSocketService *service, GSocketConnection *connection,
+              GObject *source, void *ctx)
 {
     struct peers *peers = ctx;
-    if (peers->unproved->len >= UNPROVED_MAX) {
+    if (peers->unauthenticated->len >= UNAUTHENTICATED_LINKS_MAX) {
         peers->rejected++;
         return TRUE;
     }
@@ -136,32 +137,33 @@
 }
 
 static struct peer_link *
-find_silent(const struct peers *peers, int64_t oldest_ms)
+find_idle(const struct peers *peers, int64_t oldest_ms)
 {
     GHashTableIter iter;
     void *link;
     g_hash_table_iter_init(&iter, peers->links);
     while (g_hash_table_iter_next(&iter, NULL, &link)) {
-        if (peer_link_heard_ms(link) <= oldest_ms) {
+        if (peer_link_last_frame_ms(link) <= oldest_ms) {
             return link;
         }
     }
-    for (guint i = 0; i < peers->unproved->len; i++) {
-        if (peer_link_heard_ms(peers->unproved->pdata[i]) <= oldest_ms) {
-            return peers->unproved->pdata[i];
+    for (guint i = 0; i < peers->unauthenticated->len; i++) {
+        if (peer_link_last_frame_ms(peers->unauthenticated->pdata[i]) <=
+            oldest_ms) {
+            return peers->unauthenticated->pdata[i];
         }
     }
     return NULL;
 }
 
 static void
-drop_silent(struct peers *peers, int64_t now_ms)
+close_idle_links(struct peers *peers, int64_t now_ms)
 {
     int64_t oldest_ms = now_ms - peers->options.idle_timeout_ms;
-    struct peer_link *link = find_silent(peers, oldest_ms);
+    struct peer_link *link = find_idle(peers, oldest_ms);
     while (link != NULL) {
         peer_link_close(link);
-        link = find_silent(peers, oldest_ms);
+        link = find_idle(peers, oldest_ms);
     }
 }
 
@@ -178,10 +180,10 @@
 }
 
 static gboolean
-tick(void *ctx)
+on_tick(void *ctx)
 {
     struct peers *peers = ctx;
-    drop_silent(peers, now_of(peers));
+    close_idle_links(peers, now_of(peers));
     tick_targets(peers);
     return G_SOURCE_CONTINUE;
 }
@@ -192,7 +194,8 @@
     GInetAddress *inet =
         g_inet_address_new_from_string(peers->options.address);
     if (inet == NULL) {
-        status_set(status, STATUS_INVALID, "%s is not an IP number",
+        status_set(status, STATUS_INVALID,
+                   "peer address is not an IP address: %s",
                    peers->options.address);
         return false;
     }
@@ -233,8 +236,8 @@
                                            peer_target_destroy);
     peers->links =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    peers->unproved = g_ptr_array_new();
-    g_signal_connect(peers->service, "incoming", G_CALLBACK(connection_came),
+    peers->unauthenticated = g_ptr_array_new();
+    g_signal_connect(peers->service, "incoming", G_CALLBACK(on_connection),
                      peers);
     if (!listen_on(peers, status)) {
         peers_destroy(peers);
@@ -242,7 +245,7 @@
     }
     int64_t tick_ms =
         CLAMP(options->idle_timeout_ms / 8, TICK_MIN_MS, TICK_MAX_MS);
-    peers->tick = g_timeout_add((guint)tick_ms, tick, peers);
+    peers->tick = g_timeout_add((guint)tick_ms, on_tick, peers);
     return peers;
 }
 
@@ -255,8 +258,8 @@
         peer_link_close(item->data);
     }
     g_list_free(links);
-    while (peers->unproved->len > 0) {
-        peer_link_close(peers->unproved->pdata[0]);
+    while (peers->unauthenticated->len > 0) {
+        peer_link_close(peers->unauthenticated->pdata[0]);
     }
 }
 
@@ -276,7 +279,7 @@
     close_links(peers);
     g_hash_table_unref(peers->targets);
     g_hash_table_unref(peers->links);
-    g_ptr_array_unref(peers->unproved);
+    g_ptr_array_unref(peers->unauthenticated);
     g_object_unref(peers->client);
     g_free(peers->secret);
     g_free(peers->incarnation);
@@ -291,7 +294,7 @@
 }
 
 static void
-drop_former(struct peers *peers, GHashTable *former)
+close_former_links(struct peers *peers, GHashTable *former)
 {
     GHashTableIter iter;
     void *incarnation;
@@ -328,7 +331,7 @@
         }
         g_hash_table_insert(peers->targets, target->incarnation, target);
     }
-    drop_former(peers, former);
+    close_former_links(peers, former);
     g_hash_table_unref(former);
     tick_targets(peers);
 }
@@ -341,7 +344,7 @@
     if (link == NULL) {
         return false;
     }
-    GBytes *frame = peer_link_frame(message);
+    GBytes *frame = peer_link_make_frame(message);
     bool sent = peer_link_send(link, frame);
     g_bytes_unref(frame);
     return sent;
@@ -350,7 +353,7 @@
 void
 peers_broadcast(struct peers *peers, const struct message *message)
 {
-    GBytes *frame = peer_link_frame(message);
+    GBytes *frame = peer_link_make_frame(message);
     GHashTableIter iter;
     void *link;
     g_hash_table_iter_init(&iter, peers->links);
--- a/egretd/peers_internal.h
+++ b/egretd/peers_internal.h
@@ -1,4 +1,6 @@
-/* State shared by the listening and the dialling half of the peer links. */
+/* State shared by peers.c, which accepts links, and peer_targets.c, which
+ * dials.
+ */
 #ifndef EGRETD_PEERS_INTERNAL_H
 #define EGRETD_PEERS_INTERNAL_H
 
@@ -8,14 +10,15 @@
 #include "peer_link.h"
 
 enum {
-    PEERS_BACKOFF_FIRST_MS = 50,
+    PEERS_BACKOFF_MIN_MS = 50,
 };
 
 /**
  * struct peer_target - a member to keep a link to
- * @down_since_ms: when it was first seen without a link
- * @dial_ms: not dialled again before
- * @dialling: cancels the dial under way; NULL for none
+ * @down_since_ms: when it was first seen without a link; INT64_MAX for never
+ * @next_dial_ms: not dialled again before this time
+ * @dial_started_ms: when the last dial was started
+ * @dialling: cancels the pending dial; NULL for none
  * @replaced: another incarnation answers at its address
  */
 struct peer_target {
@@ -24,9 +27,9 @@
     char *address;
     uint16_t port;
     int64_t down_since_ms;
-    int64_t dial_ms;
+    int64_t next_dial_ms;
     int64_t backoff_ms;
-    int64_t dialled_at_ms;
+    int64_t dial_started_ms;
     GCancellable *dialling;
     bool replaced;
 };
@@ -34,8 +37,9 @@
 /**
  * struct peers - see the header
  * @targets: struct peer_target by incarnation
- * @links: proved struct peer_link by incarnation
- * @unproved: links before the end of their handshake
+ * @links: authenticated struct peer_link by incarnation
+ * @unauthenticated: links whose handshake is pending
+ * @rejected: connections refused or closed because of a protocol violation
  */
 struct peers {
     struct peers_options options;
@@ -50,7 +54,7 @@
     bool closing;
     GHashTable *targets;
     GHashTable *links;
-    GPtrArray *unproved;
+    GPtrArray *unauthenticated;
     struct peer_link_traffic traffic;
     uint64_t rejected;
 };
@@ -66,7 +70,7 @@
 void
 peer_target_destroy(void *target);
 
-/** peer_target_tick() - dial if there should be a link and is none. */
+/** peer_target_tick() - dial if this gateway should and there is no link. */
 void
 peer_target_tick(struct peer_target *target, int64_t now_ms);
 
--- a/include/egretd/peers.h
+++ b/include/egretd/peers.h
@@ -16,13 +16,13 @@
 };
 
 /**
- * struct peers_handler - receives what links bring
+ * struct peers_handler - events of the links
  * @message: a message of an authenticated peer; valid during the call
- * @up: a link to a peer is up, or a new one has taken its place; may be NULL
+ * @up: a link to a peer came up, or replaced an older one; may be NULL
  * @down: the link to a peer was lost
- * @replaced: the address of member @incarnation is answered by another
- *            incarnation, so the process that ran @incarnation has ended;
- *            may be NULL
+ * @replaced: another incarnation answers at the address of member
+ *            @incarnation, so the process of @incarnation has ended; may be
+ *            NULL
  */
 struct peers_handler {
     void (*message)(void *ctx, const char *incarnation,
@@ -34,11 +34,11 @@
 };
 
 /**
- * struct peers_options - how to listen and who this is
+ * struct peers_options - how to listen, and the identity of this gateway
  * @address, @port: where to listen; port 0 lets the kernel choose
- * @secret: shared by all gateways, proved by challenge and response
- * @idle_timeout_ms: a link without a frame for this long is dropped and made
- * anew
+ * @secret: shared by all gateways; proved by challenge and response
+ * @idle_timeout_ms: a link that receives no frame for this long is closed and
+ *                   established anew
  */
 struct peers_options {
     const char *address;
@@ -53,38 +53,43 @@
 
 struct peers;
 
-/** peers_create() - listen; NULL and @status when that fails. */
+/** peers_create() - start to listen; NULL with @status if that fails. */
 struct peers *
 peers_create(const struct peers_options *options, struct status *status);
 void
 peers_destroy(struct peers *peers);
 
-/** peers_port() - port in use. */
+/** peers_port() - port that it listens on. */
 uint16_t
 peers_port(const struct peers *peers);
 
 /**
- * peers_set_members() - keep links to exactly these, drop those to former
+ * peers_set_members() - keep a link to each member; close the links to former
  * members
  *
  * Of two members the one with the lower incarnation dials; a gateway that is
- * not a member itself dials all. Links that others dialled from outside the
- * membership stay while they are not silent: that is how gateways join.
+ * not a member itself dials all members. Links from gateways that are not
+ * members stay open until they are idle: gateways join over them.
  */
 void
 peers_set_members(struct peers *peers, const struct peer_address *members,
                   size_t n_members);
 
-/** peers_send() - hand a message to a link; false when there is no link. */
+/** peers_send() - queue a message to a peer; false if there is no link or its
+ * write queue is full. */
 bool
 peers_send(struct peers *peers, const char *incarnation,
            const struct message *message);
 
-/** peers_broadcast() - send to every linked peer. */
+/** peers_broadcast() - queue a message to every linked peer. */
 void
 peers_broadcast(struct peers *peers, const struct message *message);
 
-/** struct peers_stats - for counters and capacity */
+/**
+ * struct peers_stats - traffic of all links since the start
+ * @linked: peers with a link now
+ * @rejected: connections refused or closed because of a protocol violation
+ */
 struct peers_stats {
     uint32_t linked;
     uint64_t frames_in;
