--- a/core/fleet_planner.c
+++ b/core/fleet_planner.c
@@ -3,6 +3,12 @@
 
 #include "core/fleet_pass.h"
 
+/**
+ * struct fleet_planner - history between passes
+ * @hosts: host name to struct host_history
+ * @pools: pool name to struct pool_history
+ * @pass: number of the present pass
+ */
 struct fleet_planner {
     struct fleet_timings timings;
     GHashTable *hosts;
--- a/egretfleetd/controller.c
+++ b/egretfleetd/controller.c
@@ -1,3 +1,4 @@
+/* Starts the components of the controller, and runs the planning passes. */
 #include "egretfleetd/controller.h"
 
 #include "common/log.h"
@@ -10,10 +11,12 @@
 
 enum {
     CONFIG_POLL_MS = 5000,
-    /* Changes that come together are planned for together. */
-    GATHER_MS = 50,
-    /* A pass later than this many intervals follows a pause. */
-    PAUSE_TICKS = 4,
+    /* Delay of a pass after a change, so that one pass covers changes that
+     * arrive together. */
+    COALESCE_MS = 50,
+    /* Lateness of a tick, in tick intervals, from which the process is taken
+     * to have been paused. */
+    PAUSE_MIN_TICKS = 4,
 };
 
 struct controller {
@@ -26,13 +29,13 @@
     struct store *store;
     struct config_feed *feed;
     struct fleet_view *view;
-    struct plan_executor *actor;
+    struct plan_executor *executor;
     struct fleet_planner *planner;
     struct fleet_status *status;
     struct fleet_plan *plan;
-    struct status_publisher *record;
-    guint tick;
-    guint gather;
+    struct status_publisher *publisher;
+    guint tick_source;
+    guint coalesce_source;
     int64_t last_tick_ms;
     int64_t paused_until_ms;
 };
@@ -59,14 +62,14 @@
 }
 
 static void
-plan_soon(void *ctx);
+schedule_plan(void *ctx);
 
 static void
 on_config(void *ctx, const struct config *config)
 {
     log_line(LOG_LEVEL_INFO, "config", "generation=%" G_GUINT64_FORMAT,
              config->generation);
-    plan_soon(ctx);
+    schedule_plan(ctx);
 }
 
 static bool
@@ -101,18 +104,19 @@
         .store = controller->store,
         .clock = controller->clock,
         .feed = controller->feed,
-        .changed = plan_soon,
+        .changed = schedule_plan,
         .ctx = controller,
     });
-    controller->actor = plan_executor_create(&(struct plan_executor_options){
-        .settings = controller->settings,
-        .store = controller->store,
-        .clock = controller->clock,
-        .counters = controller->counters,
-        .view = controller->view,
-    });
+    controller->executor =
+        plan_executor_create(&(struct plan_executor_options){
+            .settings = controller->settings,
+            .store = controller->store,
+            .clock = controller->clock,
+            .counters = controller->counters,
+            .view = controller->view,
+        });
     controller->planner = fleet_planner_create(&controller->settings->fleet);
-    controller->record =
+    controller->publisher =
         status_publisher_create(&(struct status_publisher_options){
             .settings = controller->settings,
             .store = controller->store,
@@ -125,22 +129,23 @@
 stop_view(void *ctx)
 {
     struct controller *controller = ctx;
-    g_clear_pointer(&controller->record, status_publisher_destroy);
+    g_clear_pointer(&controller->publisher, status_publisher_destroy);
     g_clear_pointer(&controller->plan, fleet_plan_destroy);
     g_clear_pointer(&controller->planner, fleet_planner_destroy);
-    g_clear_pointer(&controller->actor, plan_executor_destroy);
+    g_clear_pointer(&controller->executor, plan_executor_destroy);
     g_clear_pointer(&controller->view, fleet_view_destroy);
 }
 
-/* What was read before a pause of this process may be long out of date: the
- * watches get time to bring what they missed. */
+/* Data read before a pause of this process may be out of date: planning waits
+ * for store_timeout_ms after the pause, until the watches have delivered the
+ * changes that were missed. */
 static bool
-woke_from_pause(struct controller *controller)
+resumed_from_pause(struct controller *controller)
 {
     int64_t now_ms = ms_clock_now(&controller->clock);
     int64_t late_ms = now_ms - controller->last_tick_ms;
     const struct fleet_timings *timings = &controller->settings->fleet;
-    if (late_ms > timings->tick_ms * PAUSE_TICKS) {
+    if (late_ms > timings->tick_ms * PAUSE_MIN_TICKS) {
         controller->paused_until_ms =
             now_ms + controller->settings->store_timeout_ms;
         log_line(LOG_LEVEL_WARN, "paused", "late_ms=%" G_GINT64_FORMAT,
@@ -150,18 +155,19 @@
 }
 
 static void
-log_findings(const struct fleet_plan *plan, const struct fleet_plan *before)
+log_findings(const struct fleet_plan *plan, const struct fleet_plan *old_plan)
 {
     for (guint i = 0; i < plan->reports->len; i++) {
         const struct fleet_pool_report *report =
             &g_array_index(plan->reports, struct fleet_pool_report, i);
-        const char *known = "";
-        if (before != NULL && i < before->reports->len) {
-            known = g_array_index(before->reports, struct fleet_pool_report, i)
-                        .finding;
+        const char *previous = "";
+        if (old_plan != NULL && i < old_plan->reports->len) {
+            previous =
+                g_array_index(old_plan->reports, struct fleet_pool_report, i)
+                    .finding;
         }
         if (report->finding[0] != '\0' &&
-            !g_str_equal(report->finding, known)) {
+            !g_str_equal(report->finding, previous)) {
             log_line(LOG_LEVEL_WARN, "pool-finding", "pool=%s reason=%s",
                      log_quote(report->pool), log_quote(report->finding));
         }
@@ -171,7 +177,8 @@
 static void
 plan_now(struct controller *controller)
 {
-    if (!fleet_view_ready(controller->view) || woke_from_pause(controller)) {
+    if (!fleet_view_ready(controller->view) ||
+        resumed_from_pause(controller)) {
         return;
     }
     const struct fleet_snapshot *snapshot =
@@ -179,8 +186,8 @@
     struct fleet_plan *plan =
         fleet_planner_pass(controller->planner, snapshot);
     log_findings(plan, controller->plan);
-    plan_executor_run(controller->actor, plan);
-    status_publisher_update(controller->record, plan);
+    plan_executor_run(controller->executor, plan);
+    status_publisher_update(controller->publisher, plan);
     g_clear_pointer(&controller->plan, fleet_plan_destroy);
     controller->plan = plan;
     counters_set(controller->counters, "egret_fleet_pass_us", NULL,
@@ -188,25 +195,26 @@
 }
 
 static gboolean
-gathered(void *data)
+on_coalesced(void *data)
 {
     struct controller *controller = data;
-    controller->gather = 0;
+    controller->coalesce_source = 0;
     plan_now(controller);
     return G_SOURCE_REMOVE;
 }
 
 static void
-plan_soon(void *ctx)
+schedule_plan(void *ctx)
 {
     struct controller *controller = ctx;
-    if (controller->gather == 0) {
-        controller->gather = g_timeout_add(GATHER_MS, gathered, controller);
+    if (controller->coalesce_source == 0) {
+        controller->coalesce_source =
+            g_timeout_add(COALESCE_MS, on_coalesced, controller);
     }
 }
 
 static gboolean
-ticked(void *data)
+on_tick(void *data)
 {
     struct controller *controller = data;
     plan_now(controller);
@@ -305,8 +313,8 @@
     struct controller *controller = ctx;
     (void)status;
     controller->last_tick_ms = ms_clock_now(&controller->clock);
-    controller->tick = g_timeout_add(
-        (guint)controller->settings->fleet.tick_ms, ticked, controller);
+    controller->tick_source = g_timeout_add(
+        (guint)controller->settings->fleet.tick_ms, on_tick, controller);
     log_line(LOG_LEVEL_INFO, "started", "name=%s dc=%s http_port=%u",
              controller->settings->name, controller->settings->dc,
              fleet_status_port(controller->status));
@@ -317,22 +325,22 @@
 stop_ticks(void *ctx)
 {
     struct controller *controller = ctx;
-    g_clear_handle_id(&controller->tick, g_source_remove);
-    g_clear_handle_id(&controller->gather, g_source_remove);
+    g_clear_handle_id(&controller->tick_source, g_source_remove);
+    g_clear_handle_id(&controller->coalesce_source, g_source_remove);
 }
 
 static void
-add_parts(struct controller *controller)
+add_children(struct controller *controller)
 {
-    const struct supervisor_child parts[] = {
+    const struct supervisor_child children[] = {
         {"store", start_store, stop_store, controller},
         {"config", start_feed, stop_feed, controller},
         {"view", start_view, stop_view, controller},
         {"status", start_status, stop_status, controller},
         {"ticks", start_ticks, stop_ticks, controller},
     };
-    for (size_t i = 0; i < G_N_ELEMENTS(parts); i++) {
-        supervisor_add(controller->supervisor, &parts[i]);
+    for (size_t i = 0; i < G_N_ELEMENTS(children); i++) {
+        supervisor_add(controller->supervisor, &children[i]);
     }
 }
 
@@ -346,7 +354,7 @@
     controller->loop = g_main_loop_new(NULL, FALSE);
     controller->counters = counters_create();
     controller->supervisor = supervisor_create();
-    add_parts(controller);
+    add_children(controller);
     return controller;
 }
 
--- a/egretfleetd/fleet_demand.c
+++ b/egretfleetd/fleet_demand.c
@@ -1,3 +1,4 @@
+/* Polls the gateways' reports and the list of registered gateways. */
 #include "egretfleetd/fleet_demand.h"
 
 #include <json-glib/json-glib.h>
@@ -8,24 +9,37 @@
 #include "store/store_keys.h"
 
 enum {
-    SUSPECT_FAILURES = 5,
-    SUSPECT_GATEWAYS = 2,
+    /* A gateway suspects a host after this many consecutive failures. */
+    SUSPECT_MIN_FAILURES = 5,
+    SUSPECT_MIN_GATEWAYS = 2,
 };
 
-/** struct reporter - a gateway and what it last reported */
+/**
+ * struct reporter - last report of a gateway
+ * @report: NULL when it is invalid
+ * @version: store version of the report
+ * @changed_ms: time when this controller read that version
+ */
 struct reporter {
     struct gateway_report *report;
     uint64_t version;
     int64_t changed_ms;
 };
 
+/**
+ * struct fleet_demand - polled reports
+ * @reporters: gateway name to struct reporter
+ * @members: set of the incarnations of registered gateways
+ * @members_known: the last poll of @members succeeded
+ * @pending_calls: store calls of the poll in progress
+ */
 struct fleet_demand {
     struct fleet_demand_options options;
     GHashTable *reporters;
     GHashTable *members;
     bool members_known;
     guint timer;
-    unsigned calls;
+    unsigned pending_calls;
 };
 
 static void
@@ -62,7 +76,7 @@
 }
 
 static void
-take_report(struct fleet_demand *demand, const struct store_entry *entry)
+update_report(struct fleet_demand *demand, const struct store_entry *entry)
 {
     const char *name = entry->key + strlen(STORE_KEY_DEMAND);
     struct reporter *reporter = g_hash_table_lookup(demand->reporters, name);
@@ -80,17 +94,17 @@
 }
 
 static void
-got_reports(void *ctx, const struct store_result *result)
+on_reports(void *ctx, const struct store_result *result)
 {
     struct fleet_demand *demand = ctx;
-    demand->calls--;
+    demand->pending_calls--;
     for (size_t i = 0; i < result->n_entries; i++) {
-        take_report(demand, &result->entries[i]);
+        update_report(demand, &result->entries[i]);
     }
 }
 
 static void
-take_members(struct fleet_demand *demand, const struct store_entry *entry)
+update_members(struct fleet_demand *demand, const struct store_entry *entry)
 {
     struct findings *findings = findings_create();
     JsonNode *root = json_read_text(entry->value, (int64_t)entry->size_bytes,
@@ -114,13 +128,13 @@
 }
 
 static void
-got_members(void *ctx, const struct store_result *result)
+on_members(void *ctx, const struct store_result *result)
 {
     struct fleet_demand *demand = ctx;
-    demand->calls--;
+    demand->pending_calls--;
     demand->members_known = false;
     if (status_ok(&result->status) && result->n_entries > 0) {
-        take_members(demand, &result->entries[0]);
+        update_members(demand, &result->entries[0]);
     }
 }
 
@@ -128,14 +142,14 @@
 poll_reports(void *data)
 {
     struct fleet_demand *demand = data;
-    if (demand->calls > 0) {
+    if (demand->pending_calls > 0) {
         return G_SOURCE_CONTINUE;
     }
-    demand->calls = 2;
+    demand->pending_calls = 2;
     store_get(demand->options.store, STORE_KEY_DEMAND,
-              (struct store_callback){.done = got_reports, .ctx = demand});
+              (struct store_callback){.done = on_reports, .ctx = demand});
     store_get(demand->options.store, STORE_KEY_MEMBERS,
-              (struct store_callback){.done = got_members, .ctx = demand});
+              (struct store_callback){.done = on_members, .ctx = demand});
     return G_SOURCE_CONTINUE;
 }
 
@@ -180,10 +194,10 @@
         if (!is_fresh(demand, reporter)) {
             continue;
         }
-        const double *asked =
+        const double *needed_slots =
             g_hash_table_lookup(reporter->report->pools, pool);
         known = true;
-        *slots += asked != NULL ? *asked : 0;
+        *slots += needed_slots != NULL ? *needed_slots : 0;
     }
     return known;
 }
@@ -241,8 +255,8 @@
         reporting++;
         const int64_t *failed =
             g_hash_table_lookup(reporter->report->suspects, host);
-        suspecting += failed != NULL && *failed >= SUSPECT_FAILURES;
+        suspecting += failed != NULL && *failed >= SUSPECT_MIN_FAILURES;
     }
-    return suspecting >= SUSPECT_GATEWAYS ||
+    return suspecting >= SUSPECT_MIN_GATEWAYS ||
            (reporting == 1 && suspecting == 1);
 }
--- a/egretfleetd/fleet_status.c
+++ b/egretfleetd/fleet_status.c
@@ -1,3 +1,4 @@
+/* HTTP server for health checks, metrics and the status of the fleet. */
 #include "egretfleetd/fleet_status.h"
 
 #include <libsoup/soup.h>
@@ -89,7 +90,7 @@
     bool listening = soup_server_listen(self->server, address, 0, &error);
     g_object_unref(address);
     if (!listening) {
-        status_set(status, STATUS_UNAVAILABLE, "port %u: %s",
+        status_set(status, STATUS_UNAVAILABLE, "cannot listen on port %u: %s",
                    settings->http_port, error->message);
         g_error_free(error);
         return false;
--- a/egretfleetd/fleet_view.c
+++ b/egretfleetd/fleet_view.c
@@ -1,3 +1,4 @@
+/* Combines all data that a controller reads into the planner's snapshot. */
 #include "egretfleetd/fleet_view.h"
 
 #include "core/disruption_record.h"
@@ -57,7 +58,7 @@
 };
 
 static void
-list_changed(void *ctx, const struct host_list_view *list)
+on_host_list(void *ctx, const struct host_list_view *list)
 {
     (void)list;
     struct fleet_view *view = ctx;
@@ -65,7 +66,7 @@
 }
 
 static void
-shard_changed(void *ctx, uint32_t shard)
+on_shard(void *ctx, uint32_t shard)
 {
     (void)shard;
     struct fleet_view *view = ctx;
@@ -73,7 +74,7 @@
 }
 
 static struct record_table *
-follow(struct fleet_view *view, const struct record_kind *kind)
+create_table(struct fleet_view *view, const struct record_kind *kind)
 {
     return record_table_create(&(struct record_table_options){
         .store = view->options.store,
@@ -94,7 +95,7 @@
     view->wave_list = g_ptr_array_new();
     view->records = host_records_create(&(struct host_records_options){
         .store = options->store,
-        .changed = shard_changed,
+        .changed = on_shard,
         .ctx = view,
     });
     view->list = host_list_create(&(struct host_list_options){
@@ -102,11 +103,11 @@
         .timeout_ms = settings->store_timeout_ms,
         .wait_ms = settings->fleet.list_stale_ms / 4,
         .clock = options->clock,
-        .changed = list_changed,
+        .changed = on_host_list,
         .ctx = view,
     });
-    view->disruptions = follow(view, &disruption_kind);
-    view->waves = follow(view, &wave_kind);
+    view->disruptions = create_table(view, &disruption_kind);
+    view->waves = create_table(view, &wave_kind);
     view->demand = fleet_demand_create(&(struct fleet_demand_options){
         .store = options->store,
         .timings = settings->fleet,
@@ -146,9 +147,9 @@
 {
     struct fleet_host host = *base;
     uint32_t shard = host_shard_index(host.name);
-    const struct host_shard *held = host_records_shard(view->records, shard);
-    host.record = g_hash_table_lookup(held->hosts, host.name);
-    host.damaged = g_hash_table_contains(held->damaged, host.name);
+    const struct host_shard *stored = host_records_shard(view->records, shard);
+    host.record = g_hash_table_lookup(stored->hosts, host.name);
+    host.damaged = g_hash_table_contains(stored->damaged, host.name);
     if (host.record != NULL && host.record->state == HOST_DRAINING) {
         host.drained = fleet_demand_drained(view->demand, host.name);
     }
@@ -182,7 +183,8 @@
     return g_strcmp0(left->name, right->name);
 }
 
-/* The list is sorted already; only hosts off the list disturb that. */
+/* Adds hosts that have a record but are not in the host list. The list is
+ * sorted by name; only these hosts make another sort necessary. */
 static void
 add_unlisted(struct fleet_view *view, const struct host_list_view *list)
 {
@@ -204,8 +206,8 @@
 }
 
 static bool
-is_current(const struct fleet_view *view,
-           const struct disruption_record *record)
+host_records_are_current(const struct fleet_view *view,
+                         const struct disruption_record *record)
 {
     for (uint32_t shard = 0; record != NULL && shard < HOST_SHARDS; shard++) {
         if (host_records_version(view->records, shard) <
@@ -228,8 +230,8 @@
         .name = name,
         .disruptions = item != NULL ? item->record : NULL,
         .host_records_current =
-            item == NULL ||
-            (item->record != NULL && is_current(view, item->record)),
+            item == NULL || (item->record != NULL &&
+                             host_records_are_current(view, item->record)),
     };
     pool.demand_known =
         fleet_demand_pool_slots(view->demand, name, &pool.demand_slots);
--- a/egretfleetd/gateway_report.c
+++ b/egretfleetd/gateway_report.c
@@ -1,3 +1,4 @@
+/* Parses the report of a gateway under STORE_KEY_DEMAND. */
 #include "egretfleetd/gateway_report.h"
 
 #include <string.h>
@@ -33,19 +34,20 @@
     return value;
 }
 
-/* Slots that serve what runs, and start what waits by its deadline. */
+/* Slots needed for the running tasks, and for the queued ones to start before
+ * their deadline: a slot runs deadline_ms / run_ms queued tasks in turn. */
 static double
-slots_asked(const struct json_place *place)
+slots_needed(const struct json_place *place)
 {
     double busy = read_number(place, "busy_slots");
     double waiting = read_number(place, "queued");
     double run_ms = read_number(place, "run_ms");
     double deadline_ms = read_number(place, "deadline_ms");
-    double per_task = 1;
+    double slots_per_task = 1;
     if (run_ms > 0 && deadline_ms > run_ms) {
-        per_task = run_ms / deadline_ms;
+        slots_per_task = run_ms / deadline_ms;
     }
-    return busy + waiting * per_task;
+    return busy + waiting * slots_per_task;
 }
 
 static void
@@ -56,14 +58,14 @@
     for (GList *link = names; link != NULL; link = link->next) {
         struct json_place place = *root;
         char *path = g_strdup_printf("$.pools.%s", (char *)link->data);
-        struct json_place above = *root;
-        above.object = pools;
-        above.path = "$.pools";
-        place.object = json_read_object(&above, link->data, true);
+        struct json_place parent = *root;
+        parent.object = pools;
+        parent.path = "$.pools";
+        place.object = json_read_object(&parent, link->data, true);
         place.path = path;
         if (place.object != NULL) {
             double *slots = g_new(double, 1);
-            *slots = slots_asked(&place);
+            *slots = slots_needed(&place);
             g_hash_table_insert(report->pools, g_strdup(link->data), slots);
         }
         g_free(path);
--- a/egretfleetd/main.c
+++ b/egretfleetd/main.c
@@ -1,3 +1,4 @@
+/* egretfleetd: the fleet controller. */
 #include <glib-unix.h>
 #include <signal.h>
 
--- a/egretfleetd/plan_executor.c
+++ b/egretfleetd/plan_executor.c
@@ -1,3 +1,4 @@
+/* Carries out planned actions, by compare-and-swap on the stored records. */
 #include "egretfleetd/plan_executor.h"
 
 #include "common/log.h"
@@ -6,28 +7,41 @@
 #include "store/store_keys.h"
 
 enum {
-    /* How long a controller goes on in a pool without waiting again. */
-    TURN_KEPT_MS = 30000,
+    /* Time after an action in a pool in which this controller carries out
+     * further ones there without a delay. */
+    STAGGER_EXEMPT_MS = 30000,
 };
 
-/** struct wanted - a step that stays planned, and since when */
-struct wanted {
+/**
+ * struct planned_action - action that recent passes have planned
+ * @since_ms: time of the first pass of those in a row that planned it
+ * @pass: number of the last pass that planned it
+ */
+struct planned_action {
     int64_t since_ms;
     uint64_t pass;
 };
 
+/**
+ * struct plan_executor - state of the executor
+ * @planned_actions: identity of an action to struct planned_action
+ * @last_action_ms: pool name to time of the last action there, int64_t
+ * @busy_keys: set of keys with a write in progress
+ * @pass: number of the present pass
+ * @writes: count of writes, for their ids
+ */
 struct plan_executor {
     struct plan_executor_options options;
-    GHashTable *wanted;
-    GHashTable *acted_ms;
-    GHashTable *busy;
+    GHashTable *planned_actions;
+    GHashTable *last_action_ms;
+    GHashTable *busy_keys;
     uint64_t pass;
     uint64_t writes;
 };
 
-/** struct pending_write - a write until its outcome is known */
+/** struct pending_write - write in progress; freed with its outcome */
 struct pending_write {
-    struct plan_executor *actor;
+    struct plan_executor *executor;
     char *key;
     uint32_t shard;
 };
@@ -35,51 +49,56 @@
 struct plan_executor *
 plan_executor_create(const struct plan_executor_options *options)
 {
-    struct plan_executor *actor = g_new0(struct plan_executor, 1);
-    actor->options = *options;
-    actor->wanted =
+    struct plan_executor *executor = g_new0(struct plan_executor, 1);
+    executor->options = *options;
+    executor->planned_actions =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    actor->acted_ms =
+    executor->last_action_ms =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    actor->busy = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    return actor;
+    executor->busy_keys =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    return executor;
 }
 
 void
-plan_executor_destroy(struct plan_executor *actor)
+plan_executor_destroy(struct plan_executor *executor)
 {
-    if (actor == NULL) {
+    if (executor == NULL) {
         return;
     }
-    g_hash_table_destroy(actor->wanted);
-    g_hash_table_destroy(actor->acted_ms);
-    g_hash_table_destroy(actor->busy);
-    g_free(actor);
+    g_hash_table_destroy(executor->planned_actions);
+    g_hash_table_destroy(executor->last_action_ms);
+    g_hash_table_destroy(executor->busy_keys);
+    g_free(executor);
 }
 
 static int64_t
-now_ms(const struct plan_executor *actor)
+now_ms(const struct plan_executor *executor)
 {
-    return ms_clock_now(&actor->options.clock);
+    return ms_clock_now(&executor->options.clock);
 }
 
 static int64_t
-delay_ms(const struct plan_executor *actor, const char *pool)
+delay_ms(const struct plan_executor *executor, const char *pool)
 {
-    const int64_t *acted_ms = g_hash_table_lookup(actor->acted_ms, pool);
-    if (acted_ms != NULL && now_ms(actor) - *acted_ms < TURN_KEPT_MS) {
+    const int64_t *last_action_ms =
+        g_hash_table_lookup(executor->last_action_ms, pool);
+    if (last_action_ms != NULL &&
+        now_ms(executor) - *last_action_ms < STAGGER_EXEMPT_MS) {
         return 0;
     }
-    return stagger_delay_ms(actor->options.settings->name, pool,
-                            actor->options.settings->fleet.turn_ms);
+    return stagger_delay_ms(executor->options.settings->name, pool,
+                            executor->options.settings->fleet.turn_ms);
 }
 
+/* Identity of an action across passes. */
 static char *
-step_name(const struct fleet_action *action)
+action_identity(const struct fleet_action *action)
 {
     const char *state =
         action->record == NULL ? "" : host_state_name(action->record->state);
-    /* Any admission will do: which host is chosen may vary. */
+    /* Without the host of an admission: passes may choose different hosts,
+     * and the delay must not start again for each of them. */
     const char *host = action->kind == FLEET_ADMIT || action->host == NULL
                            ? ""
                            : action->host;
@@ -88,34 +107,37 @@
 }
 
 static bool
-is_our_turn(struct plan_executor *actor, const struct fleet_action *action)
+is_due(struct plan_executor *executor, const struct fleet_action *action)
 {
-    char *name = step_name(action);
-    struct wanted *wanted = g_hash_table_lookup(actor->wanted, name);
-    if (wanted == NULL) {
-        wanted = g_new0(struct wanted, 1);
-        wanted->since_ms = now_ms(actor);
-        g_hash_table_insert(actor->wanted, g_strdup(name), wanted);
+    char *name = action_identity(action);
+    struct planned_action *planned_action =
+        g_hash_table_lookup(executor->planned_actions, name);
+    if (planned_action == NULL) {
+        planned_action = g_new0(struct planned_action, 1);
+        planned_action->since_ms = now_ms(executor);
+        g_hash_table_insert(executor->planned_actions, g_strdup(name),
+                            planned_action);
     }
-    wanted->pass = actor->pass;
+    planned_action->pass = executor->pass;
     g_free(name);
-    return now_ms(actor) - wanted->since_ms >= delay_ms(actor, action->pool);
+    return now_ms(executor) - planned_action->since_ms >=
+           delay_ms(executor, action->pool);
 }
 
 static gboolean
-is_unwanted(gpointer name, gpointer value, gpointer data)
+is_no_longer_planned(gpointer name, gpointer value, gpointer data)
 {
     (void)name;
-    const struct wanted *wanted = value;
-    const struct plan_executor *actor = data;
-    return wanted->pass != actor->pass;
+    const struct planned_action *planned_action = value;
+    const struct plan_executor *executor = data;
+    return planned_action->pass != executor->pass;
 }
 
 static void
-take_answer(struct plan_executor *actor, const struct pending_write *write,
+apply_entry(struct plan_executor *executor, const struct pending_write *write,
             const struct store_entry *entry)
 {
-    struct fleet_view *view = actor->options.view;
+    struct fleet_view *view = executor->options.view;
     if (g_str_has_prefix(write->key, STORE_KEY_HOSTS)) {
         host_records_put(fleet_view_records(view), write->shard, entry);
         return;
@@ -125,12 +147,12 @@
 }
 
 static void
-written(void *ctx, const struct store_result *result)
+on_written(void *ctx, const struct store_result *result)
 {
     struct pending_write *write = ctx;
-    struct plan_executor *actor = write->actor;
-    g_hash_table_remove(actor->busy, write->key);
-    counters_add(actor->options.counters, "egret_fleet_writes_total",
+    struct plan_executor *executor = write->executor;
+    g_hash_table_remove(executor->busy_keys, write->key);
+    counters_add(executor->options.counters, "egret_fleet_writes_total",
                  status_ok(&result->status) ? "outcome=\"written\""
                                             : "outcome=\"refused\"",
                  1);
@@ -139,36 +161,36 @@
                  log_quote(write->key), status_code_name(result->status.code));
     }
     for (size_t i = 0; i < result->n_entries; i++) {
-        take_answer(actor, write, &result->entries[i]);
+        apply_entry(executor, write, &result->entries[i]);
     }
     g_free(write->key);
     g_free(write);
 }
 
 static char *
-writer_name(struct plan_executor *actor)
+new_write_id(struct plan_executor *executor)
 {
     return g_strdup_printf("%s:%" G_GINT64_FORMAT ":%" G_GUINT64_FORMAT,
-                           actor->options.settings->name, g_get_real_time(),
-                           ++actor->writes);
+                           executor->options.settings->name, g_get_real_time(),
+                           ++executor->writes);
 }
 
 static void
-send_write(struct plan_executor *actor, char *key, uint32_t shard, char *text,
-           size_t size_bytes, uint64_t version)
+send_write(struct plan_executor *executor, char *key, uint32_t shard,
+           char *text, size_t size_bytes, uint64_t version)
 {
     struct pending_write *write = g_new0(struct pending_write, 1);
-    write->actor = actor;
+    write->executor = executor;
     write->key = key;
     write->shard = shard;
-    g_hash_table_add(actor->busy, g_strdup(key));
-    store_cas(actor->options.store, key, text, size_bytes, version,
-              (struct store_callback){.done = written, .ctx = write});
+    g_hash_table_add(executor->busy_keys, g_strdup(key));
+    store_cas(executor->options.store, key, text, size_bytes, version,
+              (struct store_callback){.done = on_written, .ctx = write});
     g_free(text);
 }
 
 static void
-log_step(const struct fleet_action *action)
+log_action(const struct fleet_action *action)
 {
     const char *state = "";
     if (action->record != NULL) {
@@ -183,50 +205,53 @@
 }
 
 static void
-note_step(struct plan_executor *actor, const struct fleet_action *action)
+record_action(struct plan_executor *executor,
+              const struct fleet_action *action)
 {
-    log_step(action);
-    int64_t *acted_ms = g_new(int64_t, 1);
-    *acted_ms = now_ms(actor);
-    g_hash_table_insert(actor->acted_ms, g_strdup(action->pool), acted_ms);
+    log_action(action);
+    int64_t *last_action_ms = g_new(int64_t, 1);
+    *last_action_ms = now_ms(executor);
+    g_hash_table_insert(executor->last_action_ms, g_strdup(action->pool),
+                        last_action_ms);
     char labels[64];
     g_snprintf(labels, sizeof(labels), "kind=\"%s\"",
                fleet_action_kind_name(action->kind));
-    counters_add(actor->options.counters, "egret_fleet_steps_total", labels,
+    counters_add(executor->options.counters, "egret_fleet_steps_total", labels,
                  1);
 }
 
 static void
-note_steps(struct plan_executor *actor, const GPtrArray *steps)
+record_actions(struct plan_executor *executor, const GPtrArray *actions)
 {
-    for (guint i = 0; i < steps->len; i++) {
-        note_step(actor, g_ptr_array_index(steps, i));
+    for (guint i = 0; i < actions->len; i++) {
+        record_action(executor, g_ptr_array_index(actions, i));
     }
 }
 
 static void
-write_shard(struct plan_executor *actor, char *key, const GPtrArray *steps)
+write_shard(struct plan_executor *executor, char *key,
+            const GPtrArray *actions)
 {
-    const struct fleet_action *first = g_ptr_array_index(steps, 0);
+    const struct fleet_action *first = g_ptr_array_index(actions, 0);
     uint32_t shard = host_shard_index(first->host);
-    struct host_records *records = fleet_view_records(actor->options.view);
+    struct host_records *records = fleet_view_records(executor->options.view);
     struct host_shard *next =
-        record_edit_shard(host_records_shard(records, shard), steps);
+        record_edit_shard(host_records_shard(records, shard), actions);
     g_free(next->write_id);
-    next->write_id = writer_name(actor);
+    next->write_id = new_write_id(executor);
     size_t size_bytes = 0;
     char *text = host_shard_serialise(next, &size_bytes);
     host_shard_destroy(next);
-    note_steps(actor, steps);
-    send_write(actor, key, shard, text, size_bytes,
+    record_actions(executor, actions);
+    send_write(executor, key, shard, text, size_bytes,
                host_records_version(records, shard));
 }
 
 static void
-write_disruptions(struct plan_executor *actor, char *key, const char *pool,
-                  const GPtrArray *steps)
+write_disruptions(struct plan_executor *executor, char *key, const char *pool,
+                  const GPtrArray *actions)
 {
-    struct fleet_view *view = actor->options.view;
+    struct fleet_view *view = executor->options.view;
     const struct record_item *item =
         record_table_find(fleet_view_disruptions(view), pool);
     if (item != NULL && item->record == NULL) {
@@ -238,41 +263,41 @@
         versions[i] = host_records_version(fleet_view_records(view), i);
     }
     struct disruption_record *next = record_edit_disruptions(
-        item != NULL ? item->record : NULL, steps, versions);
+        item != NULL ? item->record : NULL, actions, versions);
     g_free(next->write_id);
-    next->write_id = writer_name(actor);
+    next->write_id = new_write_id(executor);
     size_t size_bytes = 0;
     char *text = disruption_record_serialise(next, &size_bytes);
     disruption_record_destroy(next);
-    note_steps(actor, steps);
-    send_write(actor, key, 0, text, size_bytes,
+    record_actions(executor, actions);
+    send_write(executor, key, 0, text, size_bytes,
                item != NULL ? item->version : STORE_VERSION_ABSENT);
 }
 
 static void
-write_wave(struct plan_executor *actor, char *key, const GPtrArray *steps)
+write_wave(struct plan_executor *executor, char *key, const GPtrArray *actions)
 {
-    const struct fleet_action *action = g_ptr_array_index(steps, 0);
+    const struct fleet_action *action = g_ptr_array_index(actions, 0);
     char name[24];
     g_snprintf(name, sizeof(name), "%" G_GUINT64_FORMAT, action->wave->number);
     const struct record_item *item =
-        record_table_find(fleet_view_waves(actor->options.view), name);
+        record_table_find(fleet_view_waves(executor->options.view), name);
     if (item == NULL) {
         g_free(key);
         return;
     }
     struct wave_record *next = wave_record_copy(action->wave);
     g_free(next->write_id);
-    next->write_id = writer_name(actor);
+    next->write_id = new_write_id(executor);
     size_t size_bytes = 0;
     char *text = wave_record_serialise(next, &size_bytes);
     wave_record_destroy(next);
-    note_steps(actor, steps);
-    send_write(actor, key, 0, text, size_bytes, item->version);
+    record_actions(executor, actions);
+    send_write(executor, key, 0, text, size_bytes, item->version);
 }
 
 static char *
-key_of(const struct fleet_action *action)
+record_key(const struct fleet_action *action)
 {
     switch (action->kind) {
     case FLEET_WRITE_HOST:
@@ -289,60 +314,62 @@
 }
 
 static void
-write_record(struct plan_executor *actor, const char *key,
-             const GPtrArray *steps)
+write_record(struct plan_executor *executor, const char *key,
+             const GPtrArray *actions)
 {
-    const struct fleet_action *first = g_ptr_array_index(steps, 0);
+    const struct fleet_action *first = g_ptr_array_index(actions, 0);
     switch (first->kind) {
     case FLEET_WRITE_HOST:
     case FLEET_REMOVE_HOST:
-        write_shard(actor, g_strdup(key), steps);
+        write_shard(executor, g_strdup(key), actions);
         break;
     case FLEET_ADMIT:
     case FLEET_RELEASE:
-        write_disruptions(actor, g_strdup(key), first->pool, steps);
+        write_disruptions(executor, g_strdup(key), first->pool, actions);
         break;
     case FLEET_WRITE_WAVE:
-        write_wave(actor, g_strdup(key), steps);
+        write_wave(executor, g_strdup(key), actions);
         break;
     }
 }
 
 static void
-unref_steps(void *steps)
+unref_actions(void *actions)
 {
-    g_ptr_array_unref(steps);
+    g_ptr_array_unref(actions);
 }
 
 void
-plan_executor_run(struct plan_executor *actor, const struct fleet_plan *plan)
+plan_executor_run(struct plan_executor *executor,
+                  const struct fleet_plan *plan)
 {
     GHashTable *by_key =
-        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, unref_steps);
-    actor->pass++;
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, unref_actions);
+    executor->pass++;
     for (guint i = 0; i < plan->actions->len; i++) {
         struct fleet_action *action = g_ptr_array_index(plan->actions, i);
-        char *key = key_of(action);
-        if (!is_our_turn(actor, action) ||
-            g_hash_table_contains(actor->busy, key)) {
+        char *key = record_key(action);
+        if (!is_due(executor, action) ||
+            g_hash_table_contains(executor->busy_keys, key)) {
             g_free(key);
             continue;
         }
-        GPtrArray *steps = g_hash_table_lookup(by_key, key);
-        if (steps == NULL) {
-            steps = g_ptr_array_new();
-            g_hash_table_insert(by_key, g_strdup(key), steps);
+        GPtrArray *actions = g_hash_table_lookup(by_key, key);
+        if (actions == NULL) {
+            actions = g_ptr_array_new();
+            g_hash_table_insert(by_key, g_strdup(key), actions);
         }
-        g_ptr_array_add(steps, action);
+        g_ptr_array_add(actions, action);
         g_free(key);
     }
-    g_hash_table_foreach_remove(actor->wanted, is_unwanted, actor);
+    g_hash_table_foreach_remove(executor->planned_actions,
+                                is_no_longer_planned, executor);
     GHashTableIter iter;
     void *key = NULL;
-    void *steps = NULL;
+    void *actions = NULL;
     g_hash_table_iter_init(&iter, by_key);
-    while (g_hash_table_iter_next(&iter, &key, &steps)) {
-        write_record(actor, key, steps);
+    while (g_hash_table_iter_next(&iter, &key, &actions)) {
+        write_record(executor, key, actions);
     }
     g_hash_table_destroy(by_key);
 }
--- a/egretfleetd/record_table.c
+++ b/egretfleetd/record_table.c
@@ -1,3 +1,5 @@
+/* Parsed records below a key prefix of the store, kept up to date by a watch.
+ */
 #include "egretfleetd/record_table.h"
 
 #include <string.h>
@@ -50,7 +52,7 @@
 }
 
 static void
-take_entry(struct record_table *table, const struct store_entry *entry)
+update_item(struct record_table *table, const struct store_entry *entry)
 {
     const char *name = name_of(table, entry);
     struct record_item *item = g_hash_table_lookup(table->items, name);
@@ -70,8 +72,8 @@
 }
 
 static bool
-is_among(const struct record_table *table, const struct store_result *result,
-         const char *name)
+has_entry(const struct record_table *table, const struct store_result *result,
+          const char *name)
 {
     for (size_t i = 0; i < result->n_entries; i++) {
         if (g_str_equal(name_of(table, &result->entries[i]), name)) {
@@ -81,9 +83,10 @@
     return false;
 }
 
-/* A record that a call of ours has written after the read stays. */
+/* Removes records that are absent from @result, except those that this process
+ * has written since the read: their version is above the index of @result. */
 static void
-drop_absent(struct record_table *table, const struct store_result *result)
+remove_absent(struct record_table *table, const struct store_result *result)
 {
     GHashTableIter iter;
     void *value = NULL;
@@ -91,7 +94,7 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct record_item *item = value;
         if (item->version <= result->index &&
-            !is_among(table, result, item->name)) {
+            !has_entry(table, result, item->name)) {
             g_hash_table_iter_remove(&iter);
             item_free(table, item);
         }
@@ -99,7 +102,7 @@
 }
 
 static void
-watched(void *ctx, const struct store_result *result)
+on_watch(void *ctx, const struct store_result *result)
 {
     struct record_table *table = ctx;
     if (!status_ok(&result->status) &&
@@ -107,9 +110,9 @@
         return;
     }
     for (size_t i = 0; i < result->n_entries; i++) {
-        take_entry(table, &result->entries[i]);
+        update_item(table, &result->entries[i]);
     }
-    drop_absent(table, result);
+    remove_absent(table, result);
     table->read = true;
     table->options.changed(table->options.ctx);
 }
@@ -122,7 +125,7 @@
     table->items = g_hash_table_new(g_str_hash, g_str_equal);
     table->watch = store_watch_create(
         options->store, options->kind->prefix,
-        (struct store_callback){.done = watched, .ctx = table});
+        (struct store_callback){.done = on_watch, .ctx = table});
     return table;
 }
 
@@ -166,7 +169,7 @@
 record_table_put(struct record_table *table, const struct store_entry *entry)
 {
     if (g_str_has_prefix(entry->key, table->options.kind->prefix)) {
-        take_entry(table, entry);
+        update_item(table, entry);
         table->options.changed(table->options.ctx);
     }
 }
--- a/egretfleetd/status_publisher.c
+++ b/egretfleetd/status_publisher.c
@@ -1,3 +1,4 @@
+/* Publishes the status of the pools in the store, for operators. */
 #include "egretfleetd/status_publisher.h"
 
 #include <json-glib/json-glib.h>
@@ -8,14 +9,15 @@
 #include "store/store_keys.h"
 
 enum {
-    INTERVAL_MS = 30000,
+    PUBLISH_INTERVAL_MS = 30000,
 };
 
 /**
- * struct status_publisher - what was published last, by whomever
- * @pools: its pools as text
- * @version: its version
- * @next_ms: earliest time of the next read and write
+ * struct status_publisher - state of publishing
+ * @pools: pools as published last by this controller, NULL after a failure
+ * @version: version of the stored status, as last seen
+ * @next_ms: earliest time of the next write
+ * @busy: a write is in progress
  */
 struct status_publisher {
     struct status_publisher_options options;
@@ -29,19 +31,19 @@
 struct status_publisher *
 status_publisher_create(const struct status_publisher_options *options)
 {
-    struct status_publisher *record = g_new0(struct status_publisher, 1);
-    record->options = *options;
-    return record;
+    struct status_publisher *publisher = g_new0(struct status_publisher, 1);
+    publisher->options = *options;
+    return publisher;
 }
 
 void
-status_publisher_destroy(struct status_publisher *record)
+status_publisher_destroy(struct status_publisher *publisher)
 {
-    if (record == NULL) {
+    if (publisher == NULL) {
         return;
     }
-    g_free(record->pools);
-    g_free(record);
+    g_free(publisher->pools);
+    g_free(publisher);
 }
 
 static char *
@@ -62,54 +64,55 @@
     return json_write_finish(builder, &size_bytes);
 }
 
-/* Controllers publish at different moments; who comes second finds that the
- * version has moved on and waits for another interval. */
+/* Controllers use different intervals. When another one has published in the
+ * meantime, the compare-and-swap fails because of the newer version, and the
+ * next attempt follows after another interval. */
 static void
-wait_interval(struct status_publisher *record)
+schedule_next(struct status_publisher *publisher)
 {
-    int64_t delay_ms =
-        INTERVAL_MS + stagger_delay_ms(record->options.settings->name,
-                                       "status", INTERVAL_MS);
-    record->next_ms = ms_clock_now(&record->options.clock) + delay_ms;
+    int64_t delay_ms = PUBLISH_INTERVAL_MS +
+                       stagger_delay_ms(publisher->options.settings->name,
+                                        "status", PUBLISH_INTERVAL_MS);
+    publisher->next_ms = ms_clock_now(&publisher->options.clock) + delay_ms;
 }
 
 static void
-written(void *ctx, const struct store_result *result)
+on_written(void *ctx, const struct store_result *result)
 {
-    struct status_publisher *record = ctx;
-    record->busy = false;
+    struct status_publisher *publisher = ctx;
+    publisher->busy = false;
     if (result->n_entries > 0) {
-        record->version = result->entries[0].version;
+        publisher->version = result->entries[0].version;
     }
     if (!status_ok(&result->status)) {
-        g_clear_pointer(&record->pools, g_free);
+        g_clear_pointer(&publisher->pools, g_free);
     }
 }
 
 void
-status_publisher_update(struct status_publisher *record,
+status_publisher_update(struct status_publisher *publisher,
                         const struct fleet_plan *plan)
 {
-    int64_t now_ms = ms_clock_now(&record->options.clock);
-    if (record->busy || now_ms < record->next_ms) {
+    int64_t now_ms = ms_clock_now(&publisher->options.clock);
+    if (publisher->busy || now_ms < publisher->next_ms) {
         return;
     }
     char *pools = render_pools(plan);
-    if (g_strcmp0(pools, record->pools) == 0) {
+    if (g_strcmp0(pools, publisher->pools) == 0) {
         g_free(pools);
         return;
     }
     char *text =
         g_strdup_printf("{\"write\":\"%s:%" G_GINT64_FORMAT
                         "\",\"at_s\":%" G_GINT64_FORMAT ",\"pools\":%s}",
-                        record->options.settings->name, g_get_real_time(),
+                        publisher->options.settings->name, g_get_real_time(),
                         g_get_real_time() / G_USEC_PER_SEC, pools);
-    g_free(record->pools);
-    record->pools = pools;
-    record->busy = true;
-    wait_interval(record);
-    store_cas(record->options.store, STORE_KEY_FLEET_STATUS, text,
-              strlen(text), record->version,
-              (struct store_callback){.done = written, .ctx = record});
+    g_free(publisher->pools);
+    publisher->pools = pools;
+    publisher->busy = true;
+    schedule_next(publisher);
+    store_cas(publisher->options.store, STORE_KEY_FLEET_STATUS, text,
+              strlen(text), publisher->version,
+              (struct store_callback){.done = on_written, .ctx = publisher});
     g_free(text);
 }
--- a/include/egretfleetd/controller.h
+++ b/include/egretfleetd/controller.h
@@ -1,4 +1,4 @@
-/* The fleet controller: reads, plans and acts until it is told to stop. */
+/* The fleet controller: reads the stored records, plans and writes. */
 #ifndef EGRETFLEETD_CONTROLLER_H
 #define EGRETFLEETD_CONTROLLER_H
 
@@ -12,13 +12,13 @@
 void
 controller_destroy(struct controller *controller);
 
-/** controller_run() - serve until controller_stop(); false and @status when
- * a part didn't start. */
+/** controller_run() - run until controller_stop(). Returns false and sets
+ * @status when a component doesn't start. */
 bool
 controller_run(struct controller *controller, struct status *status);
 
-/** controller_stop() - let controller_run() return. Writes under way may
- * still take effect; each is whole by itself. */
+/** controller_stop() - make controller_run() return. Writes in progress may
+ * still take effect; each is a single compare-and-swap. */
 void
 controller_stop(struct controller *controller);
 
--- a/include/egretfleetd/fleet_view.h
+++ b/include/egretfleetd/fleet_view.h
@@ -1,4 +1,4 @@
-/* Everything a controller has read, as facts for the planner. */
+/* All data that a controller reads, combined into the planner's snapshot. */
 #ifndef EGRETFLEETD_FLEET_VIEW_H
 #define EGRETFLEETD_FLEET_VIEW_H
 
@@ -10,8 +10,8 @@
 #include "store/host_records.h"
 
 /**
- * struct fleet_view_options - sources, and whom to tell of changes
- * @changed: something that matters for planning has changed
+ * struct fleet_view_options - sources and change callback
+ * @changed: called when data that the planner uses has changed
  * @ctx: passed to @changed
  */
 struct fleet_view_options {
@@ -30,27 +30,29 @@
 void
 fleet_view_destroy(struct fleet_view *view);
 
-/** fleet_view_ready() - whether every source has been read once. */
+/** fleet_view_ready() - whether the configuration and all stored records have
+ * been read once. */
 bool
 fleet_view_ready(const struct fleet_view *view);
 
-/** fleet_view_snapshot() - facts of this moment; valid until control returns
- * to the main loop or the next call. */
+/** fleet_view_snapshot() - current snapshot; valid until control returns to
+ * the main loop or the next call. */
 const struct fleet_snapshot *
 fleet_view_snapshot(struct fleet_view *view);
 
-/** fleet_view_records() - host records, to be read and put. */
+/** fleet_view_records() - host records; the caller may put newer ones. */
 struct host_records *
 fleet_view_records(struct fleet_view *view);
 
-/** fleet_view_disruptions(), fleet_view_waves() - records by name. */
+/** fleet_view_disruptions(), fleet_view_waves() - disruption records by pool,
+ * waves by number. */
 struct record_table *
 fleet_view_disruptions(struct fleet_view *view);
 struct record_table *
 fleet_view_waves(struct fleet_view *view);
 
-/** fleet_view_list_age_ms() - age of the host list, INT64_MAX before the
- * first one. */
+/** fleet_view_list_age_ms() - time since the host list was last received,
+ * INT64_MAX before the first time. */
 int64_t
 fleet_view_list_age_ms(const struct fleet_view *view);
 
--- a/include/egretfleetd/gateway_report.h
+++ b/include/egretfleetd/gateway_report.h
@@ -1,4 +1,4 @@
-/* One gateway's record under STORE_KEY_DEMAND. */
+/* Parses the report of a gateway under STORE_KEY_DEMAND. */
 #ifndef EGRETFLEETD_GATEWAY_REPORT_H
 #define EGRETFLEETD_GATEWAY_REPORT_H
 
@@ -9,11 +9,12 @@
 #include "common/findings.h"
 
 /**
- * struct gateway_report - parsed record
- * @incarnation: gateway that wrote it
- * @pools: pool to slots asked for, double
- * @draining: host to tasks running there, int64_t
- * @suspects: host to tasks it failed in a row, int64_t
+ * struct gateway_report - parsed report
+ * @incarnation: incarnation of the gateway that wrote it, or NULL
+ * @pools: pool name to count of slots needed, double
+ * @draining: name of a draining host to count of the gateway's tasks that run
+ *            there, int64_t
+ * @suspects: host name to count of consecutive failed tasks, int64_t
  */
 struct gateway_report {
     char *incarnation;
@@ -22,8 +23,14 @@
     GHashTable *suspects;
 };
 
-/** gateway_report_parse() - damaged parts are reported and left out; NULL
- * when it is no JSON object. */
+/**
+ * gateway_report_parse() - parse the JSON text of a report
+ * @file: store key, for findings
+ *
+ * Invalid parts are reported in @findings and left out.
+ *
+ * Returns: the report, or NULL when @text is not a JSON object.
+ */
 struct gateway_report *
 gateway_report_parse(const char *text, size_t size_bytes, const char *file,
                      struct findings *findings);
--- a/include/egretfleetd/plan_executor.h
+++ b/include/egretfleetd/plan_executor.h
@@ -1,4 +1,4 @@
-/* Carries planned steps out by compare-and-swap. */
+/* Carries out planned actions, by compare-and-swap on the stored records. */
 #ifndef EGRETFLEETD_PLAN_EXECUTOR_H
 #define EGRETFLEETD_PLAN_EXECUTOR_H
 
@@ -7,7 +7,7 @@
 #include "core/fleet_planner.h"
 #include "egretfleetd/fleet_view.h"
 
-/** struct plan_executor_options - what it acts on */
+/** struct plan_executor_options - services and records that it uses */
 struct plan_executor_options {
     const struct settings *settings;
     struct store *store;
@@ -24,11 +24,12 @@
 plan_executor_destroy(struct plan_executor *actor);
 
 /**
- * plan_executor_run() - write what is this controller's turn
+ * plan_executor_run() - carry out the actions of @plan that are due
  *
- * Steps on one record go into one write. A record with a write under way is
- * left alone until the outcome is known; whatever that is, the next pass
- * plans from what then stands in the store.
+ * An action is due once it has been planned for the delay of this controller
+ * (core/stagger.h). All due actions on a record go into one write. A record
+ * whose last write has no outcome yet is skipped; whatever the outcome, the
+ * next pass plans from the record as then stored.
  */
 void
 plan_executor_run(struct plan_executor *actor, const struct fleet_plan *plan);
--- a/include/egretfleetd/record_table.h
+++ b/include/egretfleetd/record_table.h
@@ -1,4 +1,5 @@
-/* Parsed records below one prefix of the store, kept up to date. */
+/* Parsed records below a key prefix of the store, kept up to date by a watch.
+ */
 #ifndef EGRETFLEETD_RECORD_TABLE_H
 #define EGRETFLEETD_RECORD_TABLE_H
 
@@ -8,9 +9,9 @@
 #include "store/store.h"
 
 /**
- * struct record_kind - how records of a prefix are read
- * @prefix: ends in '/'
- * @parse: returns the record, or NULL and findings
+ * struct record_kind - prefix and parser of a kind of records
+ * @prefix: key prefix, ends in '/'
+ * @parse: returns the record, or NULL with findings
  * @destroy: frees a record
  */
 struct record_kind {
@@ -23,7 +24,7 @@
 /**
  * struct record_item - one record
  * @name: key without the prefix
- * @record: parsed, or NULL when it is damaged
+ * @record: parsed record, or NULL when it is invalid
  * @version: store version
  */
 struct record_item {
@@ -33,8 +34,8 @@
 };
 
 /**
- * struct record_table_options - what to follow and whom to tell
- * @changed: called after records were read anew
+ * struct record_table_options - records to watch and change callback
+ * @changed: called after records were read
  * @ctx: passed to @changed
  */
 struct record_table_options {
@@ -59,12 +60,12 @@
 const struct record_item *
 record_table_find(const struct record_table *table, const char *name);
 
-/** record_table_items() - struct record_item by name; borrowed. */
+/** record_table_items() - struct record_item by name; owned by the table. */
 GHashTable *
 record_table_items(const struct record_table *table);
 
-/** record_table_put() - take over an entry that a call of ours has read or
- * written, unless a newer version is held. */
+/** record_table_put() - update the table from an entry that this process has
+ * read or written, unless the table has a newer version. */
 void
 record_table_put(struct record_table *table, const struct store_entry *entry);
 
