--- a/egretd/claims.c
+++ b/egretd/claims.c
@@ -6,17 +6,17 @@
 #include "egretd/id_querier.h"
 
 enum {
-    KEPT_ANSWER_MAX_BYTES = 64 << 10,
-    KEPT_ANSWERS_MAX_BYTES = 8 << 20,
+    RETAINED_ANSWER_MAX_BYTES = 64 << 10,
+    RETAINED_TOTAL_MAX_BYTES = 8 << 20,
 };
 
 struct claims {
     struct claims_options options;
-    /* Shared with the kept answers, which may outlast the claims. */
-    int64_t *kept_bytes;
+    /* Size of all retained answers, which may outlive the claims. */
+    int64_t *retained_bytes;
     char *self;
     struct request_ids *ids;
-    struct id_querier *asker;
+    struct id_querier *querier;
 };
 
 static int64_t
@@ -25,7 +25,8 @@
     return ms_clock_now(&claims->options.clock);
 }
 
-/* The queue is part of what a request asks for. */
+/* Covers the queue, too: the same body for another queue is another
+ * request. */
 static char *
 hash_body(const struct request *request)
 {
@@ -41,14 +42,15 @@
 }
 
 static void
-ask(struct claims *claims, const char *team, const char *id, const char *peer)
+query_peer(struct claims *claims, const char *team, const char *id,
+           const char *peer)
 {
     struct peer_http_address address = {""};
-    /* A gateway whose address is not known is asked in vain, and the answer
-     * still comes later than this call. */
+    /* An unknown address is replaced by one that refuses connections: the
+     * query fails like one that can't reach its peer, after this call. */
     claims->options.find_peer(claims->options.ctx, peer, &address);
     id_querier_send(
-        claims->asker,
+        claims->querier,
         &(struct id_query){
             .address = address.text[0] == '\0' ? "127.0.0.1:1" : address.text,
             .peer = peer,
@@ -59,7 +61,7 @@
 }
 
 static struct answer *
-decided_answer(const struct request_decision *decision)
+decision_answer(const struct request_decision *decision)
 {
     struct answer *answer = NULL;
     if (decision->answer != NULL) {
@@ -79,7 +81,7 @@
            const uint64_t *tasks, const struct answer *own)
 {
     struct answer *answer =
-        own == NULL ? decided_answer(decision) : answer_copy(own);
+        own == NULL ? decision_answer(decision) : answer_copy(own);
     for (size_t i = 0; i < decision->n_tasks; i++) {
         claims->options.answer(claims->options.ctx, tasks[i], answer);
     }
@@ -90,7 +92,8 @@
 carry_out(struct claims *claims, const char *team, const char *id,
           const struct request_decision *decision, const struct answer *own)
 {
-    /* Callbacks may come back here, which ends the life of the decision. */
+    /* Copied, since callbacks may call claims functions, which invalidates the
+     * decision. */
     uint64_t *tasks =
         g_memdup2(decision->tasks, decision->n_tasks * sizeof(*tasks));
     char *peer = g_strdup(decision->peer);
@@ -102,7 +105,7 @@
     case REQUEST_WAIT:
         break;
     case REQUEST_ASK:
-        ask(claims, team, id, peer);
+        query_peer(claims, team, id, peer);
         break;
     case REQUEST_SEND_ON:
         for (size_t i = 0; i < n_tasks; i++) {
@@ -118,8 +121,8 @@
 }
 
 static void
-on_told(void *ctx, const char *team, const char *id, const char *peer,
-        const struct request_report *report)
+on_reported(void *ctx, const char *team, const char *id, const char *peer,
+            const struct request_report *report)
 {
     struct claims *claims = ctx;
     struct request_decision decision;
@@ -150,12 +153,13 @@
                       },
                       now_ms(claims), &decision);
     if (decision.n_tasks == 0) {
-        /* A verdict on this request alone, whatever others wait for. */
+        /* The verdict applies to this request alone, not to others that wait
+         * for the id. */
         decision.tasks = &task;
         decision.n_tasks = 1;
     }
     if (decision.reason == REASON_NO_STANDING && !request->first_attempt) {
-        /* No owner was found, so nobody vouches for earlier sendings. */
+        /* No owner was found to rule out that an earlier attempt ran. */
         decision.outcome = OUTCOME_UNKNOWN;
     }
     carry_out(claims, team, id, &decision, NULL);
@@ -164,24 +168,25 @@
     g_free(hash);
 }
 
-struct kept {
+struct retained_answer {
     GBytes *bytes;
     int64_t *total_bytes;
 };
 
 static void
-kept_destroy(void *data)
+retained_answer_destroy(void *data)
 {
-    struct kept *kept = data;
-    *kept->total_bytes -= (int64_t)g_bytes_get_size(kept->bytes);
-    g_rc_box_release(kept->total_bytes);
-    g_bytes_unref(kept->bytes);
-    g_free(kept);
+    struct retained_answer *retained = data;
+    *retained->total_bytes -= (int64_t)g_bytes_get_size(retained->bytes);
+    g_rc_box_release(retained->total_bytes);
+    g_bytes_unref(retained->bytes);
+    g_free(retained);
 }
 
-/* Bytes to give to repeated requests; NULL when there are too many. */
+/* Encoded answer for repeated requests; NULL when the size limits don't allow
+ * to retain it. */
 static GBytes *
-keep_answer(struct claims *claims, const struct answer *answer)
+retain_answer(struct claims *claims, const struct answer *answer)
 {
     GBytes *bytes = answer_encode(answer);
     if (bytes == NULL) {
@@ -189,16 +194,18 @@
     }
     gsize size_bytes;
     const void *data = g_bytes_get_data(bytes, &size_bytes);
-    if (size_bytes > KEPT_ANSWER_MAX_BYTES ||
-        *claims->kept_bytes + (int64_t)size_bytes > KEPT_ANSWERS_MAX_BYTES) {
+    if (size_bytes > RETAINED_ANSWER_MAX_BYTES ||
+        *claims->retained_bytes + (int64_t)size_bytes >
+            RETAINED_TOTAL_MAX_BYTES) {
         g_bytes_unref(bytes);
         return NULL;
     }
-    struct kept *kept = g_new0(struct kept, 1);
-    kept->bytes = bytes;
-    kept->total_bytes = g_rc_box_acquire(claims->kept_bytes);
-    *kept->total_bytes += (int64_t)size_bytes;
-    return g_bytes_new_with_free_func(data, size_bytes, kept_destroy, kept);
+    struct retained_answer *retained = g_new0(struct retained_answer, 1);
+    retained->bytes = bytes;
+    retained->total_bytes = g_rc_box_acquire(claims->retained_bytes);
+    *retained->total_bytes += (int64_t)size_bytes;
+    return g_bytes_new_with_free_func(data, size_bytes,
+                                      retained_answer_destroy, retained);
 }
 
 void
@@ -206,13 +213,13 @@
                 const struct answer *answer)
 {
     struct request_decision decision;
-    GBytes *kept = keep_answer(claims, answer);
+    GBytes *retained = retain_answer(claims, answer);
     char *team = g_strdup(request->team);
     char *id = g_strdup(request->request_id);
     request_ids_finished(claims->ids, team, id, answer->outcome,
-                         answer->reason, kept, now_ms(claims), &decision);
+                         answer->reason, retained, now_ms(claims), &decision);
     carry_out(claims, team, id, &decision, answer);
-    g_clear_pointer(&kept, g_bytes_unref);
+    g_clear_pointer(&retained, g_bytes_unref);
     g_free(id);
     g_free(team);
 }
@@ -225,10 +232,10 @@
 
 char *
 claims_answer_query(struct claims *claims, const char *team, const char *id,
-                    const char *asker)
+                    const char *querier)
 {
     struct request_report report;
-    request_ids_asked(claims->ids, team, id, asker, now_ms(claims), &report);
+    request_ids_asked(claims->ids, team, id, querier, now_ms(claims), &report);
     return id_report_format(&report);
 }
 
@@ -253,16 +260,16 @@
     struct claims *claims = g_new0(struct claims, 1);
     claims->options = *options;
     claims->self = g_strdup(options->self);
-    claims->kept_bytes = g_rc_box_new0(int64_t);
+    claims->retained_bytes = g_rc_box_new0(int64_t);
     claims->ids = request_ids_create(&(struct request_ids_options){
         .self = claims->self,
-        .max_entries = CLAIMS_MAX_ENTRIES,
+        .max_entries = CLAIMS_ENTRIES_MAX,
         .retention_ms = options->retention_ms,
     });
-    claims->asker = id_querier_create(&(struct id_querier_options){
+    claims->querier = id_querier_create(&(struct id_querier_options){
         .secret = options->secret,
         .timeout_ms = options->timeout_ms,
-        .reported = on_told,
+        .reported = on_reported,
         .ctx = claims,
     });
     return claims;
@@ -274,9 +281,9 @@
     if (claims == NULL) {
         return;
     }
-    id_querier_destroy(claims->asker);
+    id_querier_destroy(claims->querier);
     request_ids_destroy(claims->ids);
-    g_rc_box_release(claims->kept_bytes);
+    g_rc_box_release(claims->retained_bytes);
     g_free(claims->self);
     g_free(claims);
 }
--- a/egretd/id_querier.c
+++ b/egretd/id_querier.c
@@ -10,8 +10,8 @@
 };
 
 struct call {
-    /* NULL once the asker is gone. */
-    struct id_querier *asker;
+    /* NULL once the querier was destroyed. */
+    struct id_querier *querier;
     char *team;
     char *id;
     char *peer;
@@ -110,13 +110,13 @@
 }
 
 static void
-tell(struct call *call, const struct request_report *report)
+finish_call(struct call *call, const struct request_report *report)
 {
-    struct id_querier *asker = call->asker;
-    if (asker != NULL) {
-        g_hash_table_remove(asker->calls, call);
-        asker->options.reported(asker->options.ctx, call->team, call->id,
-                                call->peer, report);
+    struct id_querier *querier = call->querier;
+    if (querier != NULL) {
+        g_hash_table_remove(querier->calls, call);
+        querier->options.reported(querier->options.ctx, call->team, call->id,
+                                  call->peer, report);
     }
     call_destroy(call);
 }
@@ -139,7 +139,7 @@
                      &report)) {
         report.knowledge = REQUEST_UNREACHABLE;
     }
-    tell(call, &report);
+    finish_call(call, &report);
     g_clear_pointer(&report.answer, g_bytes_unref);
     g_object_unref(parser);
     g_clear_pointer(&body, g_bytes_unref);
@@ -155,29 +155,28 @@
 }
 
 void
-id_querier_send(struct id_querier *asker, const struct id_query *question)
+id_querier_send(struct id_querier *querier, const struct id_query *query)
 {
     struct call *call = g_new0(struct call, 1);
-    char *path =
-        g_strdup_printf("/v1/ids/%s/%s", question->team, question->id);
-    char *url = g_strdup_printf("http://%s%s", question->address, path);
-    char *auth = request_auth_sign(asker->options.secret, SOUP_METHOD_GET,
-                                   path, question->querier);
+    char *path = g_strdup_printf("/v1/ids/%s/%s", query->team, query->id);
+    char *url = g_strdup_printf("http://%s%s", query->address, path);
+    char *auth = request_auth_sign(querier->options.secret, SOUP_METHOD_GET,
+                                   path, query->querier);
     SoupMessage *message = soup_message_new(SOUP_METHOD_GET, url);
     SoupMessageHeaders *headers = soup_message_get_request_headers(message);
-    soup_message_headers_append(headers, "Egret-Asker", question->querier);
+    soup_message_headers_append(headers, "Egret-Asker", query->querier);
     soup_message_headers_append(headers, "Egret-Auth", auth);
     soup_message_headers_append(headers, "Connection", "close");
     soup_message_add_flags(message, SOUP_MESSAGE_NEW_CONNECTION);
-    call->asker = asker;
-    call->team = g_strdup(question->team);
-    call->id = g_strdup(question->id);
-    call->peer = g_strdup(question->peer);
+    call->querier = querier;
+    call->team = g_strdup(query->team);
+    call->id = g_strdup(query->id);
+    call->peer = g_strdup(query->peer);
     call->cancellable = g_cancellable_new();
     call->timer =
-        g_timeout_add((guint)asker->options.timeout_ms, on_timeout, call);
-    g_hash_table_add(asker->calls, call);
-    soup_session_send_and_read_async(asker->session, message,
+        g_timeout_add((guint)querier->options.timeout_ms, on_timeout, call);
+    g_hash_table_add(querier->calls, call);
+    soup_session_send_and_read_async(querier->session, message,
                                      G_PRIORITY_DEFAULT, call->cancellable,
                                      on_answer, call);
     g_object_unref(message);
@@ -189,30 +188,30 @@
 struct id_querier *
 id_querier_create(const struct id_querier_options *options)
 {
-    struct id_querier *asker = g_new0(struct id_querier, 1);
-    asker->options = *options;
-    asker->calls = g_hash_table_new(NULL, NULL);
-    asker->session =
+    struct id_querier *querier = g_new0(struct id_querier, 1);
+    querier->options = *options;
+    querier->calls = g_hash_table_new(NULL, NULL);
+    querier->session =
         soup_session_new_with_options("proxy-resolver", NULL, NULL);
-    return asker;
+    return querier;
 }
 
 void
-id_querier_destroy(struct id_querier *asker)
+id_querier_destroy(struct id_querier *querier)
 {
-    if (asker == NULL) {
+    if (querier == NULL) {
         return;
     }
     GHashTableIter iter;
     void *key;
-    g_hash_table_iter_init(&iter, asker->calls);
+    g_hash_table_iter_init(&iter, querier->calls);
     while (g_hash_table_iter_next(&iter, &key, NULL)) {
-        /* Its answer comes later and frees it. */
+        /* The cancelled call still ends in on_answer(), which frees it. */
         struct call *call = key;
-        call->asker = NULL;
+        call->querier = NULL;
         g_cancellable_cancel(call->cancellable);
     }
-    g_object_unref(asker->session);
-    g_hash_table_unref(asker->calls);
-    g_free(asker);
+    g_object_unref(querier->session);
+    g_hash_table_unref(querier->calls);
+    g_free(querier);
 }
--- a/include/egretd/claims.h
+++ b/include/egretd/claims.h
@@ -1,4 +1,5 @@
-/* Gives every request id one run, wherever its requests arrive. */
+/* Runs each request id at most once in the fleet, whichever gateways its
+ * requests arrive at. */
 #ifndef EGRETD_CLAIMS_H
 #define EGRETD_CLAIMS_H
 
@@ -10,7 +11,7 @@
 #include "egretd/registration.h"
 
 enum {
-    CLAIMS_MAX_ENTRIES = 100000,
+    CLAIMS_ENTRIES_MAX = 100000,
 };
 
 /** struct peer_http_address - "IP:port" of a gateway's HTTP server */
@@ -19,13 +20,14 @@
 };
 
 /**
- * struct claims_options - decisions are carried out through callbacks
+ * struct claims_options - limits, and callbacks that carry out decisions
  * @self: this incarnation
- * @retention_ms: how long an outcome is kept
+ * @retention_ms: how long the outcome of an id is retained
+ * @timeout_ms: deadline of a query to another gateway
  * @run: submit the request to the dispatcher
- * @forward: hand the request to @peer, which owns its id
+ * @forward: forward the request to @peer, which owns its id
  * @answer: answer the request
- * @find_peer: address of a gateway
+ * @find_peer: sets the address of a gateway; false if it is not known
  */
 struct claims_options {
     const char *self;
@@ -48,28 +50,29 @@
 void
 claims_destroy(struct claims *claims);
 
-/** claims_set_members() - registered gateways; @epoch of that record. */
+/** claims_set_members() - set the registered gateways as of @epoch. */
 void
 claims_set_members(struct claims *claims, const struct gateway_member *members,
                    size_t n_members, uint64_t epoch);
 
-/** claims_submit() - a request with an id arrived. */
+/** claims_submit() - claim the id of a request that arrived. */
 void
 claims_submit(struct claims *claims, const struct request *request);
 
-/** claims_finished() - the run of @request's id ended; every request that
- * waits for it is answered, @request included. */
+/** claims_finished() - the run of @request's id ended; answers every request
+ * that waits for it, @request included. */
 void
 claims_finished(struct claims *claims, const struct request *request,
                 const struct answer *answer);
 
-/** claims_owner() - gateway that owns an id now, or NULL. */
+/** claims_owner() - incarnation that owns an id now, or NULL. */
 const char *
 claims_owner(const struct claims *claims, const char *team, const char *id);
 
-/** claims_answer_query() - what is known here of an id, as JSON for @asker. */
+/** claims_answer_query() - what is known here of an id, as JSON for gateway
+ * @querier, which owns the id now. */
 char *
 claims_answer_query(struct claims *claims, const char *team, const char *id,
-                    const char *asker);
+                    const char *querier);
 
 #endif
--- a/include/egretd/id_querier.h
+++ b/include/egretd/id_querier.h
@@ -1,4 +1,4 @@
-/* Asks other gateways what they know of a request id. */
+/* Queries other gateways for what they know of a request id. */
 #ifndef EGRETD_ID_QUERIER_H
 #define EGRETD_ID_QUERIER_H
 
@@ -8,9 +8,10 @@
 #include "core/request_ids.h"
 
 /**
- * struct id_query - one question
- * @address: "IP:port" of the gateway asked, named @peer
- * @asker: this gateway's incarnation
+ * struct id_query - one query
+ * @address: "IP:port" of the queried gateway
+ * @peer: its incarnation
+ * @querier: this gateway's incarnation
  */
 struct id_query {
     const char *address;
@@ -20,7 +21,11 @@
     const char *id;
 };
 
-/** struct id_querier_options - @reported gets one report for each question */
+/**
+ * struct id_querier_options - how to send queries
+ * @timeout_ms: deadline of one query
+ * @reported: called once for each query, after id_querier_send() returned
+ */
 struct id_querier_options {
     const char *secret;
     int64_t timeout_ms;
@@ -34,14 +39,15 @@
 struct id_querier *
 id_querier_create(const struct id_querier_options *options);
 void
-id_querier_destroy(struct id_querier *asker);
+id_querier_destroy(struct id_querier *querier);
 
-/** id_querier_send() - GET /v1/ids/{team}/{id}; no answer in time is reported
- * as REQUEST_UNREACHABLE. */
+/** id_querier_send() - send GET /v1/ids/{team}/{id}; reports
+ * REQUEST_UNREACHABLE if no valid answer comes in time. */
 void
-id_querier_send(struct id_querier *asker, const struct id_query *question);
+id_querier_send(struct id_querier *querier, const struct id_query *query);
 
-/** id_report_format() - @report as the answer to a question. */
+/** id_report_format() - @report as the JSON answer to a query; free it with
+ * g_free(). */
 char *
 id_report_format(const struct request_report *report);
 
