--- a/core/jobs/election_backoff.c
+++ b/core/jobs/election_backoff.c
@@ -14,20 +14,20 @@
 static const double STRONG_HOST_MIN_CORES = 0.5;
 
 enum election_action
-election_backoff_next(struct election_backoff *turn, bool vacant, double cores,
-                      double chance, int64_t *delay_ms)
+election_backoff_next(struct election_backoff *backoff, bool vacant,
+                      double cores, double random_fraction, int64_t *delay_ms)
 {
     if (!vacant) {
-        turn->waited = false;
+        backoff->waited = false;
         return ELECTION_NONE;
     }
-    if (turn->waited) {
-        turn->waited = false;
+    if (backoff->waited) {
+        backoff->waited = false;
         return ELECTION_CAMPAIGN;
     }
-    turn->waited = true;
+    backoff->waited = true;
     double lack = 1 - MIN(cores / STRONG_HOST_MIN_CORES, 1);
-    *delay_ms =
-        (int64_t)(lack * WEAK_HOST_DELAY_MAX_MS + chance * ELECTION_SPREAD_MS);
+    *delay_ms = (int64_t)(lack * WEAK_HOST_DELAY_MAX_MS +
+                          random_fraction * ELECTION_SPREAD_MS);
     return ELECTION_WAIT;
 }
--- a/core/jobs/job.c
+++ b/core/jobs/job.c
@@ -3,19 +3,19 @@
 #include <string.h>
 
 bool
-resources_fit(const struct resources *free_room, const struct resources *need)
+resources_fit(const struct resources *available, const struct resources *need)
 {
-    return need->cpu_milli <= free_room->cpu_milli &&
-           need->mem_mb <= free_room->mem_mb && need->gpus <= free_room->gpus;
+    return need->cpu_milli <= available->cpu_milli &&
+           need->mem_mb <= available->mem_mb && need->gpus <= available->gpus;
 }
 
 void
-resources_add(struct resources *room, const struct resources *by,
+resources_add(struct resources *total, const struct resources *by,
               int64_t times)
 {
-    room->cpu_milli += by->cpu_milli * times;
-    room->mem_mb += by->mem_mb * times;
-    room->gpus += by->gpus * times;
+    total->cpu_milli += by->cpu_milli * times;
+    total->mem_mb += by->mem_mb * times;
+    total->gpus += by->gpus * times;
 }
 
 struct job *
--- a/core/jobs/throttle.c
+++ b/core/jobs/throttle.c
@@ -45,15 +45,15 @@
 
 /* Factor that would bring a tail to the aim. */
 static double
-factor_to_aim(double worst)
+factor_to_aim(double worst_ratio)
 {
-    double added = MAX(worst - OWN_LATENCY_FRACTION, 0.01);
+    double added = MAX(worst_ratio - OWN_LATENCY_FRACTION, 0.01);
     return CLAMP((LATENCY_AIM_FRACTION - OWN_LATENCY_FRACTION) / added,
                  CUT_MIN_FACTOR, RAISE_MAX_FACTOR);
 }
 
 static void
-lower_limit(struct throttle *throttle, double worst, int64_t now_ms)
+lower_limit(struct throttle *throttle, double worst_ratio, int64_t now_ms)
 {
     throttle->below_target_since_ms = 0;
     if (throttle->cpu_limit_percent == 0) {
@@ -61,7 +61,8 @@
     }
     throttle->ceiling_percent = throttle->cpu_limit_percent;
     throttle->ceiling_until_ms = now_ms + CEILING_RETENTION_MS;
-    double kept = factor_to_aim(worst) * (worst > 1 ? OVER_TARGET_FACTOR : 1);
+    double kept = factor_to_aim(worst_ratio) *
+                  (worst_ratio > 1 ? OVER_TARGET_FACTOR : 1);
     throttle->cpu_limit_percent =
         (int32_t)(throttle->cpu_limit_percent * kept);
     if (throttle->cpu_limit_percent < LIMIT_MIN_PERCENT) {
@@ -71,7 +72,7 @@
 }
 
 static void
-raise_limit(struct throttle *throttle, double worst, int64_t now_ms)
+raise_limit(struct throttle *throttle, double worst_ratio, int64_t now_ms)
 {
     if (throttle->below_target_since_ms == 0) {
         throttle->below_target_since_ms = now_ms;
@@ -83,9 +84,9 @@
     if (throttle->ceiling_percent > 0 && now_ms < throttle->ceiling_until_ms) {
         most = (int32_t)(throttle->ceiling_percent * CEILING_RETRY_FRACTION);
     }
-    int32_t next =
-        MAX((int32_t)(throttle->cpu_limit_percent * factor_to_aim(worst)),
-            throttle->cpu_limit_percent + RAISE_MIN_PERCENT);
+    int32_t next = MAX(
+        (int32_t)(throttle->cpu_limit_percent * factor_to_aim(worst_ratio)),
+        throttle->cpu_limit_percent + RAISE_MIN_PERCENT);
     next = MIN(next, most);
     if (next > throttle->cpu_limit_percent) {
         throttle->cpu_limit_percent = next;
@@ -94,7 +95,7 @@
 }
 
 int32_t
-throttle_update(struct throttle *throttle, double worst, int64_t now_ms)
+throttle_update(struct throttle *throttle, double worst_ratio, int64_t now_ms)
 {
     if (throttle->changed_ms == 0) {
         throttle->cpu_limit_percent = LIMIT_INITIAL_PERCENT;
@@ -103,15 +104,15 @@
     }
     /* The sample may still show the cpu_limit_percent before. */
     bool in_effect = now_ms - throttle->changed_ms >= EFFECT_DELAY_MS;
-    if (worst > LATENCY_HIGH_FRACTION) {
+    if (worst_ratio > LATENCY_HIGH_FRACTION) {
         if (in_effect) {
-            lower_limit(throttle, worst, now_ms);
+            lower_limit(throttle, worst_ratio, now_ms);
         }
     }
-    else if (worst < LATENCY_LOW_FRACTION && in_effect) {
-        raise_limit(throttle, worst, now_ms);
+    else if (worst_ratio < LATENCY_LOW_FRACTION && in_effect) {
+        raise_limit(throttle, worst_ratio, now_ms);
     }
-    else if (worst >= LATENCY_LOW_FRACTION) {
+    else if (worst_ratio >= LATENCY_LOW_FRACTION) {
         throttle->below_target_since_ms = 0;
     }
     return throttle->cpu_limit_percent;
--- a/include/core/jobs/backend.h
+++ b/include/core/jobs/backend.h
@@ -1,4 +1,4 @@
-/* Backend servers, the runs on them, and the lease under which they run. */
+/* Backend servers, the runs on them, and the leases under which they run. */
 #ifndef CORE_JOBS_BACKEND_H
 #define CORE_JOBS_BACKEND_H
 
@@ -10,17 +10,17 @@
 #include "core/jobs/throttle.h"
 
 /**
- * struct backend_entry - what the host list says of a backend server
+ * struct backend_entry - entry of a backend server in the host list
  * @id: its id, which names the incarnation of a host
- * @incarnation_start_ms: Unix time of its start; tells incarnations under one
- * id apart
+ * @incarnation_start_ms: Unix time of its start; tells incarnations with the
+ *                        same id apart
  * @pool: pool that it serves
  * @address: "ip:port" of its interface
- * @data_centre: where it stands
- * @host: the host whose incarnation it is, or NULL if not told
+ * @data_centre: data centre that it stands in
+ * @host: host whose incarnation it is, or NULL if unknown
  * @labels: kind and rack, NULL-terminated; the rack comes last
- * @capacity: its whole capacity
- * @draining: leaves soon and takes nothing new
+ * @capacity: resources of the whole backend server
+ * @draining: it will leave soon and takes no new work
  */
 struct backend_entry {
     char *id;
@@ -43,10 +43,10 @@
 
 /**
  * enum run_state - what is known of a run
- * @RUN_STARTING: the order was sent
- * @RUN_UNCERTAIN: the order got no answer and may still be carried out
- * @RUN_WORKING: acknowledged or listed by the backend server
- * @RUN_STOPPING: told to stop, its end is not listed yet
+ * @RUN_STARTING: the start command was sent
+ * @RUN_UNCERTAIN: the start command got no answer and may still be carried out
+ * @RUN_WORKING: acknowledged or reported as running by the backend server
+ * @RUN_STOPPING: being stopped; its completion is not reported yet
  */
 enum run_state {
     RUN_STARTING,
@@ -57,26 +57,26 @@
 
 /**
  * struct run - one attempt of a task on one backend server
- * @handle: names the run towards the I/O side
+ * @handle: identifies the run in commands and in the answers to them
  * @job: its job, referenced
  * @occurrence: occurrence of the job
  * @step: step of the job
  * @index: task of the step
  * @number: number of the run
- * @backend: where it runs
+ * @backend: backend server that it runs on
  * @state: what is known of it
- * @started_ms: when the order was sent
- * @confirmed_ms: when the backend server last confirmed it
- * @stop_sent_ms: when a stop was last sent; 0: never
- * @stop_acked_ms: when a stop was acknowledged; 0: never
- * @stop_pending: a stop order is in flight
- * @percent: progress as listed, 100 for lasting tasks at work
+ * @started_ms: when the start command was sent
+ * @confirmed_ms: when the backend server last confirmed it; 0: never
+ * @stop_sent_ms: when a stop command was last sent; 0: never
+ * @stop_acked_ms: when a stop command was acknowledged; 0: never
+ * @stop_pending: a stop command is in flight
+ * @percent: reported progress, 100 for service tasks that are ready; -1: none
+ *           yet
  * @percent_at_ms: when @percent last changed
- * @load_metric: as listed, see struct reported_run
- * @cpu_limit_percent: share of its speed that it may use, in percent; -1: not
- * known
- * @throttle_sent_ms: when that was last ordered; 0: never
- * @throttle_pending: such an order is in flight
+ * @load_metric: as reported, see struct reported_run
+ * @cpu_limit_percent: CPU limit in percent of full speed; -1: unknown
+ * @throttle_sent_ms: when a throttle command was last sent; 0: never
+ * @throttle_pending: a throttle command is in flight
  */
 struct run {
     uint64_t handle;
@@ -109,10 +109,10 @@
 run_task(const struct run *run);
 
 /**
- * struct pending_completion - an end whose effect may not be stored yet
+ * struct pending_completion - completion whose effect may not be stored yet
  * @number: number given by the backend server
  * @job: job that it changed, referenced, or NULL
- * @version: version of the job's progress that contains it
+ * @version: version of the job's progress that contains the effect
  */
 struct pending_completion {
     int64_t number;
@@ -122,34 +122,37 @@
 
 /**
  * struct backend - a backend server as the scheduler knows it
- * @entry: what the host list says
- * @used: capacity taken by runs
+ * @entry: its entry in the host list
+ * @used: resources taken by runs
  * @runs: struct run, all that may be in progress here
- * @listed: stands in the host list
+ * @listed: it is in the host list
  * @registered: stored as possibly holding runs; required before any start
- * @registering: the write of that record is under way
- * @report_received: its lists were read with the current fencing token
- * @unreconciled: registered by an earlier scheduler, whose runs and stops here
- *             are not all known yet
- * @reconcile_due_ms: when a stop sent by that scheduler has surely shown; 0:
- * its lists were not read yet
+ * @registering: the write of that record is in flight
+ * @report_received: its run report was read with the current fencing token
+ * @unreconciled: registered by a previous leader, whose runs and stops here
+ *                are not all accounted for yet
+ * @reconcile_due_ms: when a stop command of that leader must have taken
+ *                    effect; 0: no run report was read yet
  * @unresponsive: its last call got no answer
- * @leaving: its host is about to move or to be rebooted
- * @clock_ms: its clock when last told
- * @clock_sampled_ms: the scheduler's clock at that moment
- * @granted_until_ms: latest end of lease sent, on its clock
- * @leases_expire_ms: without a clock sample: when all leases are over
+ * @leaving: its host is about to be moved or rebooted
+ * @clock_ms: its clock at the last sample
+ * @clock_sampled_ms: the scheduler's clock at that sample
+ * @granted_until_ms: latest lease end sent to it, on its clock
+ * @leases_expire_ms: when all leases are over, on the scheduler's clock, for
+ *                    leases of a previous leader, of which no clock sample
+ *                    exists; 0: none
  * @completions: struct pending_completion, oldest first
- * @last_completion: highest end processed
- * @acked_completion: highest end whose effect is stored, to be acknowledged
- * @acked_sent: highest end acknowledged to the backend server
- * @report_in_flight: a list call is under way
+ * @last_completion: highest completion number processed
+ * @acked_completion: highest completion number whose effect is stored, to be
+ *                    acknowledged
+ * @acked_sent: highest completion number acknowledged to the backend server
+ * @report_in_flight: a report request is in flight
  * @report_requested_ms: when it was sent
- * @report_due_ms: earliest time of the next
- * @report_read_ms: when its lists were last read
- * @throttle: throttle of the filling tasks on it
- * @throttle_sample_ms: the lists that the throttle has taken into account
- * @failures: runs that failed in a row, over different jobs
+ * @report_due_ms: earliest time of the next one
+ * @report_read_ms: when a run report was last read
+ * @throttle: controller of the best-effort tasks on it
+ * @throttle_sample_ms: @report_read_ms of the report that @throttle last used
+ * @failures: runs of different tasks that failed in a row
  * @suspect_until_ms: takes at most one run at a time until then
  * @empty_since_ms: when its last run ended
  */
@@ -189,7 +192,9 @@
 void
 backend_destroy(struct backend *backend);
 
-/** backend_clock_sampled() - its clock read @clock_ms at @now_ms. */
+/**
+ * backend_clock_sampled() - record that its clock read @clock_ms at @now_ms.
+ */
 void
 backend_clock_sampled(struct backend *backend, int64_t clock_ms,
                       int64_t now_ms);
@@ -197,22 +202,29 @@
 /**
  * backend_clock_at_least_ms() - lower bound of its clock at @now_ms
  *
- * The clock may run CLOCK_SLOW_PERCENT slower than ours.
+ * The clock may run CLOCK_SLOW_MAX_PERCENT slower than ours.
  */
 int64_t
 backend_clock_at_least_ms(const struct backend *backend, int64_t now_ms);
 
-/** backend_leases_expired() - whether every lease granted to it is surely
- * over. */
+/**
+ * backend_leases_expired() - whether every lease granted to it is certainly
+ * over.
+ */
 bool
 backend_leases_expired(const struct backend *backend, int64_t now_ms);
 
-/** backend_grant_lease() - end of a lease of @lease_ms, noted as granted. */
+/**
+ * backend_grant_lease() - grant a lease of @lease_ms; returns the latest lease
+ * end granted so far, on its clock.
+ */
 int64_t
 backend_grant_lease(struct backend *backend, int64_t lease_ms, int64_t now_ms);
 
-/** backend_ack_completions() - acknowledge completions whose effects are
- * stored. */
+/**
+ * backend_ack_completions() - mark completions whose effects are stored as
+ * ready to be acknowledged.
+ */
 void
 backend_ack_completions(struct backend *backend);
 
--- a/include/core/jobs/election_backoff.h
+++ b/include/core/jobs/election_backoff.h
@@ -1,6 +1,7 @@
 /*
- * When a process claims a vacant duty. Answers many processes that see the
- * vacancy at once: those on strong hosts go first, equals one by one.
+ * Delay before a process claims vacant leadership, for vacancies that many
+ * processes see at once: processes on strong hosts claim first, and a random
+ * delay spreads those on equal hosts.
  */
 #ifndef CORE_JOBS_ELECTION_BACKOFF_H
 #define CORE_JOBS_ELECTION_BACKOFF_H
@@ -8,27 +9,28 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** enum election_action - what to do about the duty now */
+/** enum election_action - what to do about leadership now */
 enum election_action {
     ELECTION_NONE,
     ELECTION_WAIT,
     ELECTION_CAMPAIGN,
 };
 
-/** struct election_backoff - @waited: the wait for the present vacancy is over
+/**
+ * struct election_backoff - @waited: the delay for the current vacancy is over
  */
 struct election_backoff {
     bool waited;
 };
 
 /**
- * election_backoff_next() - step for a duty that is vacant, or not
- * @cores: processor of this host, in cores
- * @chance: random number from 0 to 1
- * @delay_ms: receives how long to wait, for ELECTION_WAIT
+ * election_backoff_next() - next action, leadership being vacant or not
+ * @cores: processor capacity of this host, in cores
+ * @random_fraction: random number from 0 to 1
+ * @delay_ms: receives the delay, for ELECTION_WAIT
  */
 enum election_action
-election_backoff_next(struct election_backoff *turn, bool vacant, double cores,
-                      double chance, int64_t *delay_ms);
+election_backoff_next(struct election_backoff *backoff, bool vacant,
+                      double cores, double random_fraction, int64_t *delay_ms);
 
 #endif
--- a/include/core/jobs/fleet_config.h
+++ b/include/core/jobs/fleet_config.h
@@ -1,4 +1,4 @@
-/* The operator's configuration as the job subsystem uses it. */
+/* The operator's configuration, as the job subsystem uses it. */
 #ifndef CORE_JOBS_FLEET_CONFIG_H
 #define CORE_JOBS_FLEET_CONFIG_H
 
@@ -12,7 +12,7 @@
  * struct team_config - a client account
  * @name: its name
  * @keys: its keys, NULL-terminated
- * @maximum: most that it may have running over all pools; 0 in a field
+ * @maximum: most resources that its tasks may use over all pools; 0 in a field
  *           means no limit
  */
 struct team_config {
@@ -27,13 +27,15 @@
  * @host: Host header that selects it, in lower case
  * @prefix: path prefix that selects it
  * @pool: pool whose backend servers run its tasks
- * @priority: 0 comes first
- * @attempts: runs of a task that may fail before its job fails
- * @deadline_factor: share of the job's chain of work that its objective allows
- * @objective_ms: added to @deadline_factor times the chain
- * @timeout_ms: bound of one request on it
+ * @priority: 0 is the highest
+ * @attempts: failed runs of a task after which its job fails
+ * @deadline_factor: a job is to finish within this factor times its critical
+ *                   path, plus @objective_ms
+ * @objective_ms: added to @deadline_factor times the critical path
+ * @timeout_ms: longest duration of one request to it
  * @open: needs no key
- * @needs_advice: a policy of its own names the backend servers of each step
+ * @needs_advice: a policy decides which backend servers may run each step, see
+ *                step_advice.h
  */
 struct queue_config {
     char *name;
@@ -52,8 +54,9 @@
 /**
  * struct pool_config - a pool of hosts
  * @name: its name
- * @enforces_capacity: its backend servers refuse what does not fit
- * @spare: its hosts are off and cost nothing
+ * @enforces_capacity: its backend servers refuse tasks that exceed their
+ *                     capacity
+ * @spare: its hosts are switched off and cost nothing
  */
 struct pool_config {
     char *name;
@@ -61,9 +64,7 @@
     bool spare;
 };
 
-/**
- * struct ingress_limits - bounds of one caller's request; 0: none set
- */
+/** struct ingress_limits - limits of one client request; 0: no limit */
 struct ingress_limits {
     int64_t header_bytes;
     int64_t body_bytes;
@@ -74,12 +75,12 @@
 /**
  * struct fleet_config - one version of the configuration
  * @version: number given by the operator
- * @revision: revision of the store that holds it; only ever rises
+ * @revision: store revision that holds it; only increases
  * @teams: struct team_config
  * @queues: struct queue_config
  * @pools: struct pool_config
- * @queues_by_name: index of @queues, made when first needed
- * @limits: bounds of requests
+ * @queues_by_name: index of @queues, built on first use
+ * @limits: limits of requests
  */
 struct fleet_config {
     int64_t version;
@@ -96,7 +97,10 @@
 void
 fleet_config_destroy(struct fleet_config *config);
 
-/** fleet_config_match() - queue of the longest prefix of @path on @host. */
+/**
+ * fleet_config_match() - queue on @host with the longest prefix of @path, or
+ * NULL.
+ */
 const struct queue_config *
 fleet_config_match(const struct fleet_config *config, const char *host,
                    const char *path);
--- a/include/core/jobs/job.h
+++ b/include/core/jobs/job.h
@@ -1,4 +1,4 @@
-/* Jobs as callers submit them, and how far each of them has got. */
+/* Jobs as clients submit them, and their progress. */
 #ifndef CORE_JOBS_JOB_H
 #define CORE_JOBS_JOB_H
 
@@ -13,7 +13,7 @@
 
 enum {
     JOB_ID_CHARS = 16,
-    /* Bounds one job's memory: 64 steps of 1,000 tasks. */
+    /* Bounds the memory of one job: 64 steps of 1,000 tasks. */
     JOB_STEPS_MAX = 64,
     JOB_STEP_TASKS_MAX = 1000,
     /* More attempts than any queue allows. */
@@ -32,36 +32,38 @@
     int64_t gpus;
 };
 
-/** resources_fit() - whether @need fits into @free_room. */
+/** resources_fit() - whether @need fits into @available. */
 bool
-resources_fit(const struct resources *free_room, const struct resources *need);
+resources_fit(const struct resources *available, const struct resources *need);
 
-/** resources_add() - add @times times @by to @room; @times may be negative. */
+/**
+ * resources_add() - add @times times @by to @total; @times may be negative.
+ */
 void
-resources_add(struct resources *room, const struct resources *by,
+resources_add(struct resources *total, const struct resources *by,
               int64_t times);
 
 /**
  * struct job_step - tasks of a job that may run side by side
  * @task_count: number of tasks
  * @need: resources of each task
- * @estimate_ms: declared run time of a task, rough
+ * @estimate_ms: run time of a task as declared by the client, approximate
  * @after: steps that must be done first
  * @n_after: length of @after
  * @required_label: label that the backend server must carry, or NULL
  * @data_rack: rack near the step's data, or NULL
- * @max_per_backend: most tasks of the step on one backend server; 0: any
+ * @max_per_backend: most tasks of the step on one backend server; 0: no limit
  * @image: name of the program that the tasks run, or NULL
- * @tail_latency_target_ms: bound of the tail of a serving task's response
- * time; 0: the task serves nobody
- * @max_unavailable: tasks that the system may make unavailable at once; 0:
- * none is counted
+ * @tail_latency_target_ms: target of the tail latency of a latency-sensitive
+ *                          task; 0: the task is not latency-sensitive
+ * @max_unavailable: tasks that the scheduler may make unavailable at once; 0:
+ *                   no limit
  * @checkpointing: tasks save their progress
- * @gang: tasks work only when all run
+ * @gang: tasks make progress only while all of them run
  * @same_rack: tasks slow down when spread over racks
  * @speculative: copies may run side by side
- * @long_running: tasks run until the job is cancelled
- * @best_effort: the tasks' processor need isn't counted against the server
+ * @long_running: service tasks: they run until the job is cancelled
+ * @best_effort: tasks use leftover processor time; none is reserved for them
  */
 struct job_step {
     uint32_t task_count;
@@ -88,11 +90,12 @@
  * @run: run that may be in progress, or NULL
  * @run_number: highest number given to a run of this task
  * @failures: runs that ended as failed
- * @failed_runs: their numbers, the first JOB_FAILED_RUNS_MAX of them; an end
- *               is listed again to a scheduler that takes over
+ * @failed_runs: numbers of the first JOB_FAILED_RUNS_MAX failed runs, so that
+ *               a completion that is reported again after a takeover counts
+ *               once
  * @done: a run ended as done
  * @saved: last checkpoint, or NULL
- * @wait_until_ms: no start before this time of the scheduler's clock
+ * @wait_until_ms: no start before this time, on the scheduler's clock
  * @avoid: id of the backend server where the last run failed, or NULL
  */
 struct job_task {
@@ -107,10 +110,10 @@
 };
 
 /**
- * struct step_progress - one step of one occurrence
+ * struct step_progress - progress of one step of one occurrence
  * @tasks: its tasks
  * @done: tasks that are done
- * @advice: which backend servers may run it; NULL: nothing was asked
+ * @advice: which backend servers may run it; NULL: not requested yet
  */
 struct step_progress {
     struct job_task *tasks;
@@ -131,9 +134,9 @@
 
 /**
  * enum job_urgency - class of a waiting job, most urgent first
- * @URGENCY_SERVICE: holds its room for good and starts once
+ * @URGENCY_SERVICE: holds its resources until it is cancelled, and starts once
  * @URGENCY_ATTAINABLE: can still meet its objective
- * @URGENCY_LATE: cannot
+ * @URGENCY_LATE: can no longer meet its objective
  */
 enum job_urgency {
     URGENCY_SERVICE,
@@ -141,7 +144,7 @@
     URGENCY_LATE,
 };
 
-/** struct job_rank - place in the order; smaller is sooner */
+/** struct job_rank - position in the job order; smaller comes first */
 struct job_rank {
     enum job_urgency urgency;
     int64_t key;
@@ -149,12 +152,12 @@
 
 /**
  * struct job - steps of tasks and their progress
- * @id: sixteen hexadecimal digits chosen by the caller
+ * @id: sixteen hexadecimal digits chosen by the client
  * @queue: name of the queue
  * @pool: pool of the queue when the job was accepted
- * @attempts: runs of a task that may fail, as at acceptance
+ * @attempts: failed runs of a task after which the job fails, as at acceptance
  * @team: name of the client account, empty on a public queue
- * @text: opaque text handed to every task
+ * @text: opaque text passed to every task
  * @accepted_unix_ms: time of acceptance
  * @first_ms: Unix time of the first occurrence; 0: at once
  * @interval_ms: time between occurrences
@@ -165,11 +168,11 @@
  * @started: whether a task is known to have started
  * @version: counts changes of the progress
  * @stored_version: newest version known to be stored
- * @revision: revision of the stored progress; 0: none
- * @storing: a write of the progress is under way
+ * @revision: store revision of the stored progress; 0: none
+ * @storing: a write of the progress is in flight
  * @inherited: accepted before the current scheduler took over
- * @rank: its place in the order at the last pass
- * @ref_count: holders of this struct
+ * @rank: its position in the job order at the last pass
+ * @ref_count: references to this struct
  */
 struct job {
     char id[JOB_ID_CHARS + 1];
@@ -196,7 +199,7 @@
     int ref_count;
 };
 
-/** job_create() - job with room for @n_steps steps and no progress. */
+/** job_create() - job with @n_steps empty steps and no progress. */
 struct job *
 job_create(uint32_t n_steps);
 
@@ -229,25 +232,28 @@
 bool
 job_is_service(const struct job *job);
 
-/** job_critical_path_ms() - declared run time of the longest chain of steps.
+/**
+ * job_critical_path_ms() - declared run time of the longest chain of steps.
  */
 int64_t
 job_critical_path_ms(const struct job *job);
 
-/** job_millicore_ms() - declared work in thousandths of a core times ms. */
+/** job_millicore_ms() - declared work, in thousandths of a core times ms. */
 int64_t
 job_millicore_ms(const struct job *job);
 
-/** job_describe() - its steps in one line for the log, into @text. */
+/** job_describe() - write its steps into @text, in one line for the log. */
 void
 job_describe(const struct job *job, char *text, size_t bytes);
 
-/** job_task_record_failure() - note a run that ended as failed; false if that
- * was noted before. */
+/**
+ * job_task_record_failure() - count a run that ended as failed; false if it
+ * was counted before.
+ */
 bool
 job_task_record_failure(struct job_task *task, uint32_t run_number);
 
-/** job_mark_changed() - note that the progress has changed. */
+/** job_mark_changed() - record that the progress has changed. */
 void
 job_mark_changed(struct job *job);
 
--- a/include/core/jobs/scheduler.h
+++ b/include/core/jobs/scheduler.h
@@ -1,7 +1,7 @@
 /*
- * Scheduler of jobs: which task runs where, what is stopped, and which host
- * serves which pool. Pure: orders leave through callbacks, answers come back
- * as events, and time is injected.
+ * Job scheduler: decides which task runs where, what is stopped, and which
+ * host serves which pool. Does no I/O: commands leave through callbacks,
+ * answers come back as events, and time is injected.
  */
 #ifndef CORE_JOBS_SCHEDULER_H
 #define CORE_JOBS_SCHEDULER_H
@@ -15,14 +15,14 @@
 #include "core/jobs/job.h"
 
 /**
- * struct sched_timings - bounds given by the platform's settings
- * @lease_max_ms: longest lease that a backend server grants
+ * struct sched_timings - limits given by the platform's settings
+ * @lease_max_ms: longest lease that a backend server accepts
  * @stop_ms: longest time that a stop takes
  * @move_ms: time that a host is unavailable while it moves
  * @reboot_ms: time that a host is unavailable for maintenance
- * @command_gap_ms: wait after a takeover before orders about hosts
+ * @command_gap_ms: delay of host commands after a takeover
  * @retention_ms: how long a finished job stays readable
- * @host_commands_per_s: orders about hosts that the platform accepts a second
+ * @host_commands_per_s: host commands that the platform accepts per second
  */
 struct sched_timings {
     int64_t lease_max_ms;
@@ -36,10 +36,10 @@
 
 /**
  * struct start_command - a task to start
- * @backend: where
- * @handle: handle of the run, to be given back with the answer
+ * @backend: backend server that is to run it
+ * @handle: handle of the run, to be passed back with the answer
  * @run: the run
- * @until_ms: end of its lease on the backend server's clock
+ * @until_ms: end of its lease, on the backend server's clock
  * @ticket: proof that the queue's policy allows it, or NULL
  */
 struct start_command {
@@ -52,7 +52,7 @@
 
 /**
  * struct stop_command - a run to stop
- * @backend: where
+ * @backend: backend server that it runs on
  * @handle: handle of the run; 0: a run that is not tracked
  * @task: name of the task, JOB.OCCURRENCE.STEP.INDEX
  * @number: number of the run
@@ -65,8 +65,8 @@
 };
 
 /**
- * struct throttle_command - how much of its speed a run may use
- * @percent: 0 to 100
+ * struct throttle_command - CPU limit to set on a run
+ * @percent: limit in percent of full speed, 0 to 100
  */
 struct throttle_command {
     struct backend *backend;
@@ -77,21 +77,22 @@
 };
 
 /**
- * struct sched_ops - how the scheduler's orders leave; all share @ctx
+ * struct sched_ops - how the scheduler's commands leave; all get @ctx
  * @start: start a task; answer through scheduler_on_start()
  * @stop: stop a run; answer through scheduler_on_stop()
- * @throttle: slow a run down or let it go; answer through
- * scheduler_on_throttle()
- * @request_report: read the lists of a backend server; @until_ms 0 renews
- * nothing; answer through scheduler_on_report()
- * @store: there is something to store, see scheduler_store.h
+ * @throttle: set the CPU limit of a run; answer through
+ *            scheduler_on_throttle()
+ * @request_report: request the run report of a backend server and renew its
+ *                  lease until @until_ms, 0: no renewal; answer through
+ *                  scheduler_on_report()
+ * @store: there is something to store, see scheduler_take_batch()
  * @move_host: move a host to a pool; answer through
- * scheduler_on_host_command()
+ *             scheduler_on_host_command()
  * @reboot_host: start a host's maintenance; answer likewise
- * @request_advice: ask which of @backend_ids, NULL-terminated, may run @step,
- * named JOB.OCCURRENCE.STEP; answer through scheduler_on_advice(). NULL:
- *          nobody can be asked
- * @log_event: one decision for the log; @fields is the inside of a JSON object
+ * @request_advice: request which of @backend_ids, NULL-terminated, may run
+ *                  @step, named JOB.OCCURRENCE.STEP; answer through
+ *                  scheduler_on_advice(). NULL: advice is not available
+ * @log_event: log one decision; @fields is the inside of a JSON object
  */
 struct sched_ops {
     void (*start)(void *ctx, const struct start_command *order);
@@ -110,16 +111,16 @@
 };
 
 /**
- * enum start_answer - what a backend server said to a start
+ * enum start_answer - a backend server's answer to a start command
  * @START_NO_ANSWER: it may be carried out, also later
  * @START_REFUSED: certainly not carried out
- * @START_NO_CAPACITY: refused for want of room
- * @START_NO_TICKET: refused for want of a valid ticket
+ * @START_NO_CAPACITY: refused for lack of free capacity
+ * @START_NO_TICKET: refused for lack of a valid ticket
  * @START_STALE_RUN_NUMBER: refused, a run with this or a higher number ended
- * here
- * @START_FENCED: a newer scheduler gives orders here
+ *                          here
+ * @START_FENCED: a newer scheduler sends commands here
  * @START_OTHER_INCARNATION: the addressed incarnation of the backend server is
- * over
+ *                           over
  */
 enum start_answer {
     START_DONE,
@@ -143,12 +144,13 @@
 };
 
 /**
- * struct reported_run - a run that a backend server lists
+ * struct reported_run - a run in a run report
  * @task: JOB.OCCURRENCE.STEP.INDEX
  * @number: number of the run
  * @saved: last checkpoint, empty if none
  * @percent: progress
- * @load_metric: rough tail in ms of a serving task, else processor in use
+ * @load_metric: approximate tail latency in ms of a latency-sensitive task,
+ *               otherwise processor use
  */
 struct reported_run {
     const char *task;
@@ -159,8 +161,8 @@
 };
 
 /**
- * struct run_completion - an end that a backend server lists
- * @number: number of the end
+ * struct run_completion - end of a run in a run report
+ * @number: number of the completion
  * @task: JOB.OCCURRENCE.STEP.INDEX
  * @run: number of the run
  * @reason: how it ended
@@ -174,7 +176,7 @@
     const char *saved;
 };
 
-/** enum report_outcome - result of reading a backend server's lists */
+/** enum report_outcome - result of a report request */
 enum report_outcome {
     REPORT_READ,
     REPORT_NO_ANSWER,
@@ -183,8 +185,8 @@
 };
 
 /**
- * struct run_report - lists of a backend server
- * @incarnation_start_ms: start of the incarnation that answered; 0: not told
+ * struct run_report - runs and completions on a backend server
+ * @incarnation_start_ms: start of the incarnation that answered; 0: unknown
  * @clock_ms: its clock
  */
 struct run_report {
@@ -201,8 +203,8 @@
 
 /**
  * scheduler_create() - scheduler without jobs or backend servers
- * @term: counts takeovers; keeps run numbers of schedulers apart
- * @clock: time that also counts while the machine is frozen
+ * @term: counts takeovers; keeps run numbers of successive leaders apart
+ * @clock: time that also passes while the machine is suspended
  * @unix_clock: Unix time in ms
  */
 struct scheduler *
@@ -212,26 +214,32 @@
 void
 scheduler_destroy(struct scheduler *sched);
 
-/** scheduler_configure() - put a configuration in force; borrowed. */
+/** scheduler_configure() - make @config the active configuration; borrowed. */
 void
 scheduler_configure(struct scheduler *sched,
                     const struct fleet_config *config);
 
-/** scheduler_set_out_of_service() - data centres that get nothing;
- * NULL-terminated. */
+/**
+ * scheduler_set_out_of_service() - data centres that get no new work;
+ * NULL-terminated.
+ */
 void
 scheduler_set_out_of_service(struct scheduler *sched, char **data_centres);
 
-/** scheduler_set_leadership_valid() - whether orders may be given at this
- * moment. */
+/** scheduler_set_leadership_valid() - whether commands may be sent now. */
 void
 scheduler_set_leadership_valid(struct scheduler *sched, bool valid);
 
-/** scheduler_set_outage() - grant the longest leases while it lasts. */
+/**
+ * scheduler_set_outage() - a store outage begins or ends; while it lasts,
+ * leases of the longest duration are granted.
+ */
 void
 scheduler_set_outage(struct scheduler *sched, bool outage);
 
-/** scheduler_backend_seen() - an entry of the host list, new or changed. */
+/**
+ * scheduler_backend_seen() - an entry of the host list is new or has changed.
+ */
 void
 scheduler_backend_seen(struct scheduler *sched,
                        const struct backend_entry *entry);
@@ -241,8 +249,8 @@
 scheduler_backend_gone(struct scheduler *sched, const char *id);
 
 /**
- * scheduler_backend_inherited() - a backend server on which the scheduler
- * before may have started runs
+ * scheduler_backend_inherited() - add a backend server on which a previous
+ * leader may have started runs
  * @lease_ms: longest lease that it may have granted
  */
 void
@@ -250,15 +258,15 @@
                             const struct backend_entry *entry,
                             int64_t lease_ms);
 
-/** scheduler_longest_lease_ms() - longest lease that may still be open. */
+/** scheduler_longest_lease_ms() - longest lease that may still be running. */
 int64_t
 scheduler_longest_lease_ms(const struct scheduler *sched);
 
-/** scheduler_backend_ids() - ids of all that are in the host list. */
+/** scheduler_backend_ids() - ids of all backend servers in the host list. */
 GPtrArray *
 scheduler_backend_ids(const struct scheduler *sched);
 
-/** scheduler_add_job() - take over a stored job; keeps a reference. */
+/** scheduler_add_job() - add a stored job; keeps a reference. */
 void
 scheduler_add_job(struct scheduler *sched, struct job *job);
 
@@ -270,7 +278,7 @@
 bool
 scheduler_cancel(struct scheduler *sched, const char *id);
 
-/** scheduler_waiting() - jobs of @queue of which no task has started. */
+/** scheduler_waiting() - number of jobs of @queue without a started task. */
 int64_t
 scheduler_waiting(const struct scheduler *sched, const char *queue);
 
@@ -293,9 +301,9 @@
 };
 
 /**
- * struct advice_answer - answer to a call about advice
- * @given: there is one; otherwise the call is made again
- * @valid_ms: how long the tickets hold
+ * struct advice_answer - answer to a request for placement advice
+ * @given: the answer holds advice; otherwise the request is repeated
+ * @valid_ms: how long the tickets are valid
  */
 struct advice_answer {
     bool given;
@@ -308,17 +316,21 @@
 scheduler_on_advice(struct scheduler *sched,
                     const struct advice_answer *answer);
 
-/** scheduler_tick() - decide; returns the time of the next tick. */
+/**
+ * scheduler_tick() - make all due decisions; returns the time of the next
+ * tick.
+ */
 int64_t
 scheduler_tick(struct scheduler *sched);
 
-/** scheduler_fenced() - whether a newer scheduler was met. */
+/**
+ * scheduler_fenced() - whether a backend server has accepted a newer
+ * scheduler.
+ */
 bool
 scheduler_fenced(const struct scheduler *sched);
 
-/**
- * struct sched_stats - figures for metrics and peers
- */
+/** struct sched_stats - statistics for metrics and peers */
 struct sched_stats {
     uint32_t jobs_active;
     uint32_t runs;
@@ -333,15 +345,15 @@
 void
 scheduler_stats(const struct scheduler *sched, struct sched_stats *figures);
 
-/* What has to be stored. */
+/* Changes to be stored. */
 
 /**
  * struct store_batch - changes that go into one transaction
- * @jobs: struct job, referenced, with a progress to store
- * @versions: version of each at the time of the batch
+ * @jobs: struct job, referenced, whose progress is to be stored
+ * @versions: version of each job when the batch was made
  * @register_ids: backend servers to register
- * @release_ids: backend servers whose record goes
- * @expire_ids: finished jobs whose records go
+ * @release_ids: backend servers whose record is to be deleted
+ * @expire_ids: finished jobs whose records are to be deleted
  */
 struct store_batch {
     GPtrArray *jobs;
@@ -355,13 +367,18 @@
 struct store_batch *
 scheduler_take_batch(struct scheduler *sched, uint32_t most);
 
-/** scheduler_take_progress() - the same with nothing but progress of jobs:
- * it depends on no other batch, so several may be under way. */
+/**
+ * scheduler_take_progress() - next changes of job progress only, at most
+ * @most; NULL if none. Such a batch depends on no other batch, so several may
+ * be in flight.
+ */
 struct store_batch *
 scheduler_take_progress(struct scheduler *sched, uint32_t most);
 
-/** scheduler_batch_stored() - a batch was stored at @revision or, with
- * @stored false, was not; frees it. */
+/**
+ * scheduler_batch_stored() - a batch was stored at @revision or, with @stored
+ * false, was not; frees it.
+ */
 void
 scheduler_batch_stored(struct scheduler *sched, struct store_batch *batch,
                        bool stored, int64_t revision);
@@ -373,12 +390,12 @@
 /* Hosts. */
 
 /**
- * struct host_wave - maintenance that the operator asked for
+ * struct host_wave - maintenance wave that the operator requested
  * @number: its number
  * @hosts: hosts, NULL-terminated
- * @most: hosts that may be unavailable for it at once
+ * @max_unavailable: hosts that may be unavailable for it at once
  * @within_ms: time in which it should be complete
- * @seen_ms: when the order was first seen, on the scheduler's clock
+ * @seen_ms: when the request was first seen, on the scheduler's clock
  */
 struct host_wave {
     int64_t number;
@@ -392,10 +409,10 @@
  * struct host_info - a host as the platform lists it
  * @host: its name
  * @pool: its pool
- * @backend_id: the backend server that is its present incarnation, may be NULL
+ * @backend_id: backend server that is its current incarnation, may be NULL
+ * @data_centre: data centre that it stands in
  * @up: it runs and is neither moving nor rebooting
- * @unavailable: it is moving or rebooting, so that its last incarnation has
- * ended
+ * @unavailable: it is moving or rebooting, so its last incarnation has ended
  */
 struct host_info {
     const char *host;
@@ -411,17 +428,21 @@
 scheduler_hosts_read(struct scheduler *sched, const struct host_info *hosts,
                      size_t n_hosts);
 
-/** scheduler_host_commanded_before() - the holder before may have given an
- * order about this host shortly before the takeover. */
+/**
+ * scheduler_host_commanded_before() - a previous leader may have sent a
+ * command about this host shortly before the takeover.
+ */
 void
 scheduler_host_commanded_before(struct scheduler *sched, const char *host);
 
-/** scheduler_wave_set() - a wave was ordered or changed; idempotent. */
+/** scheduler_wave_set() - add or change a wave; idempotent. */
 void
 scheduler_wave_set(struct scheduler *sched, const struct host_wave *wave);
 
-/** scheduler_wave_host_started() - an earlier scheduler stored that the
- * maintenance of @host in wave @number was accepted. */
+/**
+ * scheduler_wave_host_started() - a previous leader stored that the
+ * maintenance of @host in wave @number was accepted.
+ */
 void
 scheduler_wave_host_started(struct scheduler *sched, int64_t number,
                             const char *host);
@@ -431,11 +452,13 @@
 char *
 scheduler_wave_started_hosts(const struct scheduler *sched, int64_t number);
 
-/** scheduler_wave_done() - whether every host of the wave was maintained. */
+/**
+ * scheduler_wave_done() - whether every host of the wave has been maintained.
+ */
 bool
 scheduler_wave_done(const struct scheduler *sched, int64_t number);
 
-/** enum host_command_result - result of an order about a host */
+/** enum host_command_result - result of a host command */
 enum host_command_result {
     HOST_COMMAND_DONE,
     HOST_COMMAND_REFUSED,
--- a/include/core/jobs/throttle.h
+++ b/include/core/jobs/throttle.h
@@ -1,20 +1,18 @@
-/* How much of their speed filling tasks may use beside serving ones. */
+/* CPU limit of best-effort tasks that run beside latency-sensitive ones. */
 #ifndef CORE_JOBS_THROTTLE_H
 #define CORE_JOBS_THROTTLE_H
 
 #include <stdint.h>
 
 /**
- * struct pace - controller of one backend server; zero is its start
- * @cpu_limit_percent: share of their speed that filling tasks may use, in
- * percent
- * @ceiling_percent: cpu_limit_percent at which tails were last too long; 0:
- * none is known
- * @ceiling_until_ms: how long it is remembered
- * @changed_ms: when @cpu_limit_percent last changed; 0: it has no
- * cpu_limit_percent yet
- * @below_target_since_ms: since when the tails are well below their bounds; 0:
- * are not
+ * struct throttle - controller of one backend server, initially zero
+ * @cpu_limit_percent: CPU limit of best-effort tasks, in percent of full speed
+ * @ceiling_percent: limit at which tail latencies were last too long; 0:
+ *                   unknown
+ * @ceiling_until_ms: when @ceiling_percent expires
+ * @changed_ms: when @cpu_limit_percent last changed; 0: it was never set
+ * @below_target_since_ms: since when tail latencies have been well below their
+ *                         targets; 0: they are not
  */
 struct throttle {
     int32_t cpu_limit_percent;
@@ -25,13 +23,14 @@
 };
 
 /**
- * throttle_update() - next cpu_limit_percent
- * @worst: longest tail of a serving task as a share of its bound
+ * throttle_update() - compute the next CPU limit
+ * @worst_ratio: highest ratio of a latency-sensitive task's tail latency to
+ *               its target
  * @now_ms: time of the sample
  *
- * Return: the cpu_limit_percent from now on, 0 to 100.
+ * Return: CPU limit from now on, 0 to 100 percent.
  */
 int32_t
-throttle_update(struct throttle *throttle, double worst, int64_t now_ms);
+throttle_update(struct throttle *throttle, double worst_ratio, int64_t now_ms);
 
 #endif
