--- a/egretd/peer_link.c
+++ b/egretd/peer_link.c
@@ -10,7 +10,7 @@
 #include "wire/frame.h"
 
 enum {
-    READ_BYTES = 4096,
+    READ_BUFFER_BYTES = 4096,
     /* Fits a whole configuration and some heartbeats behind it. */
     WRITE_QUEUE_MAX_BYTES = FRAME_MAX_BYTES + (64 << 10),
 };
@@ -28,7 +28,7 @@
     struct message_hello own_hello;
     struct message *hello;
     int64_t last_frame_ms;
-    uint8_t input[READ_BYTES];
+    uint8_t input[READ_BUFFER_BYTES];
 };
 
 static void
@@ -280,8 +280,9 @@
     GInputStream *in =
         g_io_stream_get_input_stream(G_IO_STREAM(link->options.connection));
     g_rc_box_acquire(link);
-    g_input_stream_read_async(in, link->input, READ_BYTES, G_PRIORITY_DEFAULT,
-                              link->cancellable, on_bytes_read, link);
+    g_input_stream_read_async(in, link->input, READ_BUFFER_BYTES,
+                              G_PRIORITY_DEFAULT, link->cancellable,
+                              on_bytes_read, link);
 }
 
 struct peer_link *
--- a/egretd/peers.c
+++ b/egretd/peers.c
@@ -9,8 +9,8 @@
 enum {
     UNAUTHENTICATED_LINKS_MAX = 32,
     LINKS_MAX = 128,
-    TICK_MIN_MS = 20,
-    TICK_MAX_MS = 200,
+    TICK_INTERVAL_MIN_MS = 20,
+    TICK_INTERVAL_MAX_MS = 200,
 };
 
 static int64_t
@@ -243,8 +243,8 @@
         peers_destroy(peers);
         return NULL;
     }
-    int64_t tick_ms =
-        CLAMP(options->idle_timeout_ms / 8, TICK_MIN_MS, TICK_MAX_MS);
+    int64_t tick_ms = CLAMP(options->idle_timeout_ms / 8, TICK_INTERVAL_MIN_MS,
+                            TICK_INTERVAL_MAX_MS);
     peers->tick = g_timeout_add((guint)tick_ms, on_tick, peers);
     return peers;
 }
--- a/egretd/permit_accounts_scan.c
+++ b/egretd/permit_accounts_scan.c
@@ -6,7 +6,7 @@
 #include "store/store_keys.h"
 
 enum {
-    /* Between scans that nothing asked for. */
+    /* Interval of scans when nothing else makes one due. */
     SCAN_INTERVAL_MS = 10 * 60 * 1000,
 };
 
@@ -18,8 +18,8 @@
 }
 
 static void
-note_unknown_holders(struct permit_accounts *accounts,
-                     const struct permits_record *record)
+collect_unknown_holders(struct permit_accounts *accounts,
+                        const struct permits_record *record)
 {
     for (size_t i = 0; record != NULL && i < record->n_holdings; i++) {
         const char *holder = record->holdings[i].incarnation;
@@ -121,7 +121,8 @@
             struct permit_account *account =
                 permit_accounts_get(accounts, name);
             permit_account_take_record(account, &result->entries[i]);
-            note_unknown_holders(accounts, permits_record(account->permits));
+            collect_unknown_holders(accounts,
+                                    permits_record(account->permits));
         }
     }
     for (guint i = 0; i < accounts->teams->len; i++) {
--- a/egretd/registration.c
+++ b/egretd/registration.c
@@ -250,11 +250,11 @@
         return;
     }
     report_lease(registration);
-    bool gone = members_fenced(registration->members);
-    if (gone && registration->leaving && !registration->renewal.deleting) {
+    bool removed = members_fenced(registration->members);
+    if (removed && registration->leaving && !registration->renewal.deleting) {
         registration_renewal_delete(registration);
     }
-    if (gone || registration->fenced_reported) {
+    if (removed || registration->fenced_reported) {
         return;
     }
     registration_members_write(registration);
--- a/egretd/usage_report.c
+++ b/egretd/usage_report.c
@@ -7,9 +7,10 @@
     ACTIVE_BYTES_PER_S = 16 << 10,
     IDLE_BYTES_PER_S = 1 << 10,
     /* Peers discard reports older than 3 s (PEER_REPORT_MAX_AGE_MS). */
-    ACTIVE_LONGEST_MS = 2500,
-    IDLE_LONGEST_MS = 60000,
-    ENTRY_BYTES = 40,
+    ACTIVE_INTERVAL_MAX_MS = 2500,
+    IDLE_INTERVAL_MAX_MS = 60000,
+    /* Estimated size of one entry on the wire. */
+    USAGE_ENTRY_BYTES = 40,
 };
 
 struct usage_report {
@@ -61,13 +62,13 @@
 interval_ms(const struct usage_report *report, size_t n_entries, bool active)
 {
     int64_t n_peers = peers_get_stats(report->options.peers).linked;
-    int64_t size_bytes = (int64_t)n_entries * ENTRY_BYTES * n_peers;
+    int64_t size_bytes = (int64_t)n_entries * USAGE_ENTRY_BYTES * n_peers;
     if (active) {
         return CLAMP(size_bytes * 1000 / ACTIVE_BYTES_PER_S,
-                     ACTIVE_INTERVAL_MS, ACTIVE_LONGEST_MS);
+                     ACTIVE_INTERVAL_MS, ACTIVE_INTERVAL_MAX_MS);
     }
     return CLAMP(size_bytes * 1000 / IDLE_BYTES_PER_S, IDLE_INTERVAL_MS,
-                 IDLE_LONGEST_MS);
+                 IDLE_INTERVAL_MAX_MS);
 }
 
 static gboolean
--- a/include/egretd/peers.h
+++ b/include/egretd/peers.h
@@ -8,7 +8,7 @@
 #include "common/status.h"
 #include "wire/message.h"
 
-/** struct peer_address - a gateway to keep a link to */
+/** struct peer_address - where a member listens for peer links */
 struct peer_address {
     const char *incarnation;
     const char *address;
