--- a/core/jobs/advice.c
+++ b/core/jobs/advice.c
@@ -1,9 +1,9 @@
 /*
- * Asking which backend servers may run a step. Answers queues whose policy
- * allows only some of them: one call at a time is answered to a host, in a
- * time that grows with the backend servers it names, so each call names as
- * few as the step is likely to need, and steps are asked for in the order in
- * which their jobs are placed.
+ * Requests placement advice: which backend servers may run a step of a queue
+ * whose policy allows only some of them. The platform answers one request at a
+ * time per host, in a time that grows with the number of backend servers in
+ * it. So a request names only as many as the step is likely to need, and steps
+ * are taken in the order in which their jobs are placed.
  */
 #include "core/jobs/scheduler.h"
 
@@ -12,19 +12,21 @@
 #include "scheduler_state.h"
 
 enum {
-    /* The users' pages: at most 100 fit one call; a latency objective counts
-     * on 30. */
+    /* The platform accepts up to 100 per request; latency objectives assume at
+     * most 30. */
     ADVICE_BACKENDS_MAX = 30,
     ADVICE_RETRY_MS = 150,
-    /* A start is on its way while its ticket ends. */
+    /* A ticket must still be valid when the start command arrives. */
     TICKET_MARGIN_MS = 150,
 };
 
-/* Share of backend servers that are taken to be allowed before any answer. */
+/* Assumed fraction of backend servers that may run a step, before any
+ * answer. */
 static const double INITIAL_ALLOWED_FRACTION = 0.5;
-/* Weight of the last answer in the allowed_fraction. */
+/* Weight of the latest answer in the moving average of the allowed
+ * fraction. */
 static const double ALLOWED_FRACTION_WEIGHT = 0.2;
-/* Some more than needed: others may be full by the time of the answer. */
+/* More candidates than needed: some may be full by the time of the answer. */
 static const double CANDIDATE_SURPLUS_FACTOR = 1.25;
 
 struct advice_request {
@@ -78,8 +80,8 @@
     return strcmp(x->entry.id, y->entry.id);
 }
 
-/* Backend servers to name: those that were allowed before come first, since
- * only their tickets have ended. */
+/* Backend servers to ask about. Those that were allowed before come first:
+ * only their tickets have expired. */
 static GPtrArray *
 choose_candidates(const struct advice_request *request, const char *pool)
 {
@@ -112,7 +114,7 @@
                             backend);
         }
     }
-    /* Names in order, so that the same load gives the same calls. */
+    /* Sorted by id, so that the same load gives the same requests. */
     g_ptr_array_sort(expired, compare_ids);
     g_ptr_array_sort(unasked, compare_ids);
     GPtrArray *asked = g_ptr_array_new();
--- a/core/jobs/backend.c
+++ b/core/jobs/backend.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 enum {
-    /* The users' pages: a backend server's clock may be 2 % slow. */
+    /* A backend server's clock may run up to 2 % slow. */
     CLOCK_SLOW_MAX_PERCENT = 2,
     /* Covers rounding and the delay between sampling and sending. */
     LEASE_EXPIRY_MARGIN_MS = 60,
--- a/core/jobs/command_budget.c
+++ b/core/jobs/command_budget.c
@@ -1,15 +1,15 @@
 /*
- * Orders about hosts within the rate that the platform accepts. Answers many
- * idle hosts that are given back just as a peak asks for others: orders that
- * wait in a line would hold up the urgent ones, and keep hosts that still
- * serve out of use.
+ * Limits host commands to the rate that the platform accepts. Many idle hosts
+ * may be returned just as another pool needs hosts for a peak: queued commands
+ * would delay the urgent ones, and would keep hosts that are still usable out
+ * of service.
  */
 #include "scheduler_state.h"
 
-/* Share of the rate that may be given at once, the rest as time goes on: no
- * second sees more than the whole. */
+/* Fraction of the rate that may be sent at once; the rest is refilled over
+ * time, so that no second exceeds the whole rate. */
 static const double BURST_FRACTION = 0.25;
-/* Share of the burst that is kept for what can't wait. */
+/* Fraction of the burst that is reserved for commands that can't wait. */
 static const double RESERVED_BURST_FRACTION = 0.5;
 
 void
--- a/core/jobs/drain.c
+++ b/core/jobs/drain.c
@@ -1,7 +1,7 @@
 /*
- * Backend servers that leave by themselves. Answers a scale-in: what lasts on
- * them is moved while they still serve, one task of a step after the other,
- * in place of ending all at once when they go.
+ * Moves service tasks off backend servers that are draining, such as in a
+ * scale-in: one task of a step after the other while the others still serve,
+ * instead of all ending at once when the backend server goes.
  */
 #include "core/jobs/scheduler.h"
 
--- a/core/jobs/election_backoff.c
+++ b/core/jobs/election_backoff.c
@@ -3,14 +3,13 @@
 #include <glib.h>
 
 enum {
-    /* Claims of equal hosts spread over this time. */
+    /* Claims of equal hosts are spread over this time. */
     ELECTION_SPREAD_MS = 100,
-    /* Hosts with little processor leave the duty to the others for up to
-     * this long. */
+    /* Longest extra delay of a host with little processor capacity. */
     WEAK_HOST_DELAY_MAX_MS = 500,
 };
 
-/* A host with this many cores carries the scheduler of the grown fleet. */
+/* Enough to run the scheduler of a fleet of full size. */
 static const double STRONG_HOST_MIN_CORES = 0.5;
 
 enum election_action
--- a/core/jobs/fleet_config.c
+++ b/core/jobs/fleet_config.c
@@ -76,7 +76,7 @@
 }
 
 /* A configuration may hold thousands of queues, and every pass over the
- * waiting jobs looks theirs up. */
+ * waiting jobs looks up theirs. */
 static void
 index_queues(struct fleet_config *config)
 {
--- a/core/jobs/host_plan.c
+++ b/core/jobs/host_plan.c
@@ -1,7 +1,8 @@
 /*
- * Which host serves which pool. Answers demand whose peak moves from pool to
- * pool within seconds: hosts come from the spare pool or from pools between
- * their peaks when a pool's demand passes its room, and idle ones go back.
+ * Decides which host serves which pool, for demand whose peak moves from pool
+ * to pool within seconds. When a pool's demand exceeds its capacity, hosts
+ * come from the spare pool or from pools between their peaks; idle hosts go
+ * back to the spare pool.
  */
 #include "core/jobs/scheduler.h"
 
@@ -11,20 +12,23 @@
 
 enum {
     PLAN_PERIOD_MS = 100,
-    /* A holder before may have given orders until its lease ended. */
+    /* The previous leader may have sent host commands until its lease
+     * ended. */
     TAKEOVER_MARGIN_MS = 300,
-    /* An order that was on its way at the takeover shows by then. */
+    /* A command that was in flight at the takeover shows in the host list by
+     * then. */
     TAKEOVER_VISIBLE_MS = 800,
-    /* Times of day may differ between hosts by this much. */
+    /* Wall clocks of hosts may differ by this much. */
     CLOCK_DIFFERENCE_MAX_MS = 500,
-    /* A host that can't be emptied in this time stays where it is. */
+    /* A host that can't be emptied for a move in this time stays where it
+     * is. */
     INTENT_TIMEOUT_MS = 6000,
-    /* A move pays for itself when its host is off this long; shorter lulls
-     * than this are waited out. */
+    /* A move only pays off if its host stays off at least this long, so a
+     * surplus has to last this long before hosts are returned. */
     SURPLUS_MIN_MS = 1500,
 };
 
-/* A pool keeps this many hosts for what arrives without notice. */
+/* Idle hosts that a pool keeps for sudden demand. */
 static const int64_t RESERVE_HOST_COUNT = 1;
 
 static bool
@@ -50,7 +54,7 @@
     }
 }
 
-/* Stops tasks that last, as far as their availability allows. */
+/* Stops service tasks, as far as their availability limits allow. */
 static void
 empty_host(struct scheduler *sched, const struct host *host)
 {
@@ -64,7 +68,7 @@
     }
 }
 
-/* Whether an order of the holder before may be this recent. */
+/* Whether a command of the previous leader may still take effect. */
 static bool
 in_takeover_gap(const struct scheduler *sched)
 {
@@ -73,8 +77,8 @@
                                   TAKEOVER_MARGIN_MS;
 }
 
-/* Whether an earlier holder's last order for this host is long enough ago:
- * its backend server was started by that order, or after it. */
+/* Whether a previous leader's last command for this host is long enough ago,
+ * because its backend server was started by that command or after it. */
 static bool
 command_allowed(const struct scheduler *sched, const struct host *host)
 {
@@ -130,13 +134,13 @@
         }
         else if (host->present && !host->up && host->commanded_before &&
                  in_takeover_gap(sched)) {
-            /* On its way by an order of the holder before. */
+            /* Incoming by a command of the previous leader. */
             sched_pool_load(sched, host->pool)->incoming_hosts++;
         }
     }
 }
 
-/* Hosts beyond what the pool wants and its reserve. */
+/* Hosts beyond what the pool needs, including its reserve. */
 static int64_t
 surplus_hosts(const struct pool_load *load, int64_t now_ms)
 {
@@ -154,8 +158,8 @@
            sched_host_empty(sched, host) && command_allowed(sched, host);
 }
 
-/* The best host to bring to @pool: a spare one, else an idle one of a pool
- * that has more than it needs. */
+/* Best host to move to @pool: a spare one, otherwise an idle one of a pool
+ * with a surplus. */
 static struct host *
 find_source(struct scheduler *sched, const char *pool, int64_t now_ms)
 {
@@ -210,7 +214,7 @@
 shrink_pool(struct scheduler *sched, struct pool_load *load, int64_t now_ms)
 {
     const struct pool_config *spare = fleet_config_spare(sched->config);
-    /* A new holder does not know yet what arrives. */
+    /* A new leader does not know the arrival rate yet. */
     bool settling = now_ms < sched->takeover_ms + TAKEOVER_VISIBLE_MS;
     if (spare == NULL || settling || surplus_hosts(load, now_ms) <= 0) {
         load->surplus_since_ms = 0;
@@ -238,7 +242,7 @@
     }
 }
 
-/* Orders that are due for longest: maintenance, and what got no answer. */
+/* Commands that have been due longest: maintenance, and unanswered ones. */
 static void
 advance_hosts(struct scheduler *sched)
 {
--- a/core/jobs/hosts.c
+++ b/core/jobs/hosts.c
@@ -1,4 +1,4 @@
-/* Hosts: their present incarnation, and the answers to orders about them. */
+/* Hosts: their current incarnations, and the results of host commands. */
 #include "core/jobs/scheduler.h"
 
 #include <string.h>
@@ -7,10 +7,11 @@
 
 enum {
     COMMAND_RETRY_MS = 500,
-    /* An accepted order shows in the list after the host is back; a list
-     * that was asked for before the order may still show the old state. */
+    /* An accepted command shows in the host list once the host is back; a list
+     * that was requested before the command may still show the old state. */
     COMMAND_VISIBLE_MS = 2000,
-    /* An incarnation this young may have begun after the list was made. */
+    /* An incarnation younger than this may have started after the list was
+     * made. */
     HOST_LIST_AGE_MAX_MS = 4000,
 };
 
@@ -22,7 +23,7 @@
                : scheduler_find_backend(sched, host->backend_id);
 }
 
-/* Whether nothing runs on the host; without its lists that isn't known. */
+/* Whether nothing runs on the host; unknown without its run report. */
 bool
 sched_host_empty(const struct scheduler *sched, const struct host *host)
 {
@@ -43,7 +44,7 @@
 {
     host->intent = intent;
     host->intent_ms = sched_now(sched);
-    /* The pool may be the host's own present target. */
+    /* @pool may be the host's own target_pool. */
     char *target = g_strdup(pool);
     g_free(host->target_pool);
     host->target_pool = target;
@@ -53,7 +54,7 @@
     }
 }
 
-/* Nothing runs any more on an earlier incarnation of a host. */
+/* An earlier incarnation of a host has ended, and all its runs with it. */
 static void
 end_incarnation(struct scheduler *sched, struct backend *backend)
 {
@@ -68,7 +69,7 @@
     scheduler_backend_gone(sched, backend->entry.id);
 }
 
-/* The host is back after an order, or has restarted by itself. */
+/* The host is back after a command, or has restarted by itself. */
 static void
 new_incarnation(struct scheduler *sched, struct host *host,
                 const char *backend_id)
@@ -112,8 +113,8 @@
     sched_host_find_or_add(sched, name)->commanded_before = true;
 }
 
-/* Entries of incarnations that are over may linger; the latest born is the
- * present one, and the others have ended. */
+/* Entries of ended incarnations may stay in the list for a while; the one that
+ * started last is the current one, and the others have ended. */
 void
 sched_host_incarnation(struct scheduler *sched, struct backend *backend)
 {
@@ -133,7 +134,7 @@
     }
     new_incarnation(sched, host, backend->entry.id);
     set_text(&host->pool, backend->entry.pool);
-    /* The entry of an incarnation that has ended lingers while its host is
+    /* The entry of an ended incarnation may stay in the list while its host is
      * unavailable. */
     if (host->down_unix_ms == 0 ||
         backend->entry.incarnation_start_ms >= host->down_unix_ms) {
@@ -165,7 +166,7 @@
         new_incarnation(sched, host, info->backend_id);
     }
     else if (info->up && host->command_accepted && !host->command_in_flight) {
-        /* The order was not carried out after all. */
+        /* The command was not carried out after all. */
         host->command_accepted = false;
         sched_host_set_intent(sched, host, HOST_STAYS, NULL);
     }
@@ -200,7 +201,9 @@
 {
     host->command_accepted = true;
     host->up = false;
-    /* Half of the way: times of day differ a little between hosts. */
+    /* Halfway through the move, because wall clocks differ slightly between
+     * hosts: the old incarnation started before this time, the new one after
+     * it. */
     host->down_unix_ms =
         ms_clock_now(&sched->unix_clock) + sched->timings.move_ms / 2;
     host->intent_ms = sched_now(sched);
@@ -240,7 +243,7 @@
         sched_host_set_intent(sched, host, HOST_STAYS, NULL);
         break;
     case HOST_COMMAND_UNKNOWN:
-        /* Given again until it is answered: the same order twice is one. */
+        /* Sent again until it is answered; the command is idempotent. */
         host->retry_ms = sched_now(sched) + COMMAND_RETRY_MS;
         break;
     case HOST_COMMAND_REFUSED:
--- a/core/jobs/order.c
+++ b/core/jobs/order.c
@@ -1,8 +1,8 @@
 /*
- * Order of waiting jobs. Answers the load in which each queue at its peak
- * asks several times what its pool holds: jobs that can still meet their
- * objective come first, least slack first, so that the pool is not spent on
- * jobs that are late already.
+ * Order of waiting jobs, for queues that at their peak request several times
+ * the capacity of their pool. Jobs that can still meet their objective come
+ * first, so that the pool isn't spent on late ones; within each class the job
+ * with the least remaining work comes first.
  */
 #include "core/jobs/scheduler.h"
 
@@ -28,7 +28,7 @@
     return longest_ms;
 }
 
-/* Declared work of a job that is left, in thousandths of a core times ms. */
+/* Declared work that remains, in thousandths of a core times ms. */
 static int64_t
 remaining_core_ms(const struct job *job)
 {
--- a/core/jobs/place.c
+++ b/core/jobs/place.c
@@ -1,7 +1,7 @@
 /*
- * Placement of waiting tasks. Packs tasks onto the fullest backend server
- * that has capacity, so that the others run empty and their hosts can move or
- * be rebooted without stopping anything.
+ * Placement of waiting tasks. Packs tasks onto the fullest backend server with
+ * enough free capacity, so that the others become empty and their hosts can be
+ * moved or rebooted without stopping anything.
  */
 #include "core/jobs/scheduler.h"
 
@@ -9,9 +9,9 @@
 
 #include "scheduler_state.h"
 
-/* Tasks of one step that last are moved one after the other when a host has
- * to be emptied: two on one server weigh as much as a fifth of its capacity.
- */
+/* Service tasks of one step are moved one after the other when a host is
+ * emptied, so they are spread: each other one on a backend server costs as
+ * much as a fifth of its capacity. */
 static const double SPREAD_WEIGHT = 0.2;
 
 struct placer {
@@ -48,7 +48,7 @@
     return count;
 }
 
-/* Whether tasks that fill and tasks that serve would share the server. */
+/* Whether best-effort and latency-sensitive tasks would share the server. */
 static bool
 would_mix_workloads(const struct backend *backend, const struct job_step *step)
 {
--- a/core/jobs/pool_load.c
+++ b/core/jobs/pool_load.c
@@ -1,7 +1,7 @@
 /*
- * Demand on pools. Answers queues that ask several times their mean for some
- * seconds, one after the other: demand is taken from work that arrives now and
- * from work that is left, never from long averages.
+ * Demand on pools, for queues that in turn request several times their average
+ * for a few seconds: it is computed from recent arrivals and remaining work,
+ * never from long averages.
  */
 #include "core/jobs/scheduler.h"
 
@@ -10,21 +10,23 @@
 #include "scheduler_state.h"
 
 enum {
-    /* Arrivals of the last two seconds count: a peak lasts some seconds. */
+    /* Time constants of the arrival averages; peaks last only some seconds. */
     ARRIVAL_TAU_MS = 2000,
     RECENT_TAU_MS = 600,
-    /* A host that is asked for now takes work about this much later. */
+    /* Delay until a host that is requested now takes work. */
     LOOK_AHEAD_MS = 1500,
-    /* Ready tasks are to be done in this time, or run all at once. */
+    /* Ready tasks are to be done within this time, or all run at once if they
+     * take longer. */
     READY_HORIZON_MS = 500,
 };
 
-/* Part of a host that tasks of uneven sizes fill. */
+/* Fraction of a host that tasks of uneven sizes fill. */
 static const double HOST_FILL_FRACTION = 0.85;
-/* Part of the deviation by chance that a rise has to exceed: a host too many
- * costs less than callers that wait. */
+/* Fraction of the random variation of the recent rate that a rise has to
+ * exceed: a host too many costs less than waiting clients. */
 static const double RISE_NOISE_FACTOR = 0.65;
-/* A policy that allows fewer backend servers than this takes no more hosts. */
+/* Lower bound of the allowed fraction, so that a policy that allows very few
+ * backend servers doesn't take more hosts than that. */
 static const double ALLOWED_FRACTION_MIN = 0.2;
 
 static double
@@ -35,9 +37,10 @@
 }
 
 /*
- * Cores that arriving work will ask for when a host that is asked for now
- * takes work: the recent rate, and its rise carried on as far as it is beyond
- * chance. Rates lag behind a steady rise by their time constants.
+ * Expected arrival rate by the time a host that is requested now takes work:
+ * the slow average plus the extrapolated rise of the recent one, as far as it
+ * exceeds random variation. Both averages lag behind a steady rise by their
+ * time constants.
  */
 static double
 expected_milli(const struct pool_load *load, int64_t now_ms)
@@ -76,7 +79,7 @@
     load->arrival_at_ms = now_ms;
 }
 
-/* @allowed_fraction: part of the backend servers that may run the step. */
+/* @allowed_fraction: fraction of the backend servers that may run the step. */
 static void
 measure_step(struct pool_load *load, const struct job *job,
              uint32_t occurrence, uint32_t index, double allowed_fraction)
--- a/core/jobs/relay_peer.c
+++ b/core/jobs/relay_peer.c
@@ -1,6 +1,6 @@
 /*
- * Choice of the peer that passes calls on. Answers a cut that takes some of
- * the peers as well, while many calls are under way at once.
+ * Choice of the peer that relays store calls, for network cuts that affect
+ * some of the peers as well while many calls are in flight.
  */
 #include "core/jobs/relay_peer.h"
 
--- a/core/jobs/scheduler_backends.c
+++ b/core/jobs/scheduler_backends.c
@@ -1,4 +1,4 @@
-/* Backend servers as they come, change, and are forgotten. */
+/* Adds, updates and removes backend servers. */
 #include "core/jobs/scheduler.h"
 
 #include <string.h>
@@ -27,7 +27,7 @@
     return ids;
 }
 
-/* An entry of another incarnation under the same id: the old incarnation has
+/* The host list has another incarnation under the same id, so the old one has
  * ended. */
 static void
 renew_incarnation(struct scheduler *sched, struct backend *backend)
@@ -122,7 +122,8 @@
     backend->registered = true;
     sched->inherited_long_lease =
         sched->inherited_long_lease || lease_ms > LEASE_MS;
-    /* The scheduler before granted its last lease before this one began. */
+    /* The previous leader granted its last lease before this term began. A
+     * clock may run 2 % slow. */
     int64_t open_ms = MIN(lease_ms, sched->timings.lease_max_ms);
     backend->leases_expire_ms = sched->takeover_ms + open_ms * 102 / 100 + 100;
     sched_host_incarnation(sched, backend);
@@ -136,7 +137,7 @@
     bool outage_lately =
         sched->outage || (sched->outage_changed_ms != 0 &&
                           now_ms - sched->outage_changed_ms < open_ms);
-    /* Leases of the holder before may be open just as long. */
+    /* Leases of the previous leader may last just as long. */
     bool inherited =
         sched->inherited_long_lease && now_ms - sched->takeover_ms < open_ms;
     return outage_lately || inherited ? sched->timings.lease_max_ms
@@ -152,7 +153,7 @@
            !sched_is_out_of_service(sched, backend->entry.data_centre);
 }
 
-/* Forgets backend servers that can hold nothing of ours any more. */
+/* Removes backend servers that can no longer hold any of our runs. */
 void
 sched_expire_backends(struct scheduler *sched)
 {
@@ -180,7 +181,8 @@
     }
 }
 
-/* A backend server is stored as holding runs before its first one. */
+/* Registers backend servers: each is stored as possibly holding runs before
+ * its first run starts. */
 void
 sched_register_backends(struct scheduler *sched)
 {
--- a/core/jobs/scheduler_reports.c
+++ b/core/jobs/scheduler_reports.c
@@ -1,5 +1,5 @@
-/* Reads the lists of backend servers: leases, completions, and runs taken
- * over. */
+/* Requests and processes run reports: renews leases, handles completions, and
+ * adopts runs of a previous leader. */
 #include "core/jobs/scheduler.h"
 
 #include <stdio.h>
@@ -9,9 +9,11 @@
 #include "scheduler_state.h"
 
 enum {
-    /* The users' pages: completions come 500 at a time. */
+    /* Most completions in one report; a report with this many may be
+     * incomplete. */
     COMPLETIONS_PER_REPORT_MAX = 500,
-    /* A backend server's clock may be 2 % slow; a stop is on its way. */
+    /* For a backend server's clock that is 2 % slow, and for the transit time
+     * of the stop command. */
     STOP_MARGIN_MS = 100,
 };
 
@@ -46,7 +48,7 @@
     return *dot == '\0';
 }
 
-/* The job that a listed task belongs to, if the task can be one of it. */
+/* Job of a reported task, or NULL if no known job has such a task. */
 static struct job *
 find_task(struct scheduler *sched, const char *text, struct task_name *name)
 {
@@ -128,7 +130,7 @@
     struct run *run = sched_run_create(sched, job, name.occurrence, name.step,
                                        name.index, reported->number, backend);
     run->state = RUN_WORKING;
-    /* The holder before may have slowed it down. */
+    /* The previous leader may have throttled it. */
     run->cpu_limit_percent = -1;
     update_run(sched, run, reported);
     sched_log_event(sched, "run_adopted", "\"task\":\"%s\",\"backend\":\"%s\"",
@@ -179,15 +181,15 @@
     queue_completion(backend, completion->number, job);
 }
 
-/* Time after which a stop has surely ended its run. */
+/* Time after which a stop command has certainly ended its run. */
 static int64_t
 stop_visible_after_ms(const struct scheduler *sched)
 {
     return sched->timings.stop_ms + STOP_MARGIN_MS;
 }
 
-/* A run that was confirmed, or barred by a stop, before the report was asked
- * for and stands in neither list of the report is not there. */
+/* A run is gone if it is missing from a report that was requested after the
+ * run was confirmed, or after its stop took effect. */
 static void
 drop_absent(struct scheduler *sched, struct backend *backend,
             const struct run_report *report)
@@ -201,12 +203,14 @@
         bool reported_now = run->confirmed_ms == now_ms;
         bool confirmed = run->confirmed_ms != 0 &&
                          run->confirmed_ms < backend->report_requested_ms;
-        /* A run that is being stopped may be in neither list of the report. */
-        bool barred = run->stop_acked_ms != 0 &&
-                      run->stop_acked_ms + stop_visible_after_ms(sched) <
-                          backend->report_requested_ms;
+        /* A run that is being stopped may be missing from both the runs and
+         * the completions of a report. */
+        bool stop_took_effect =
+            run->stop_acked_ms != 0 &&
+            run->stop_acked_ms + stop_visible_after_ms(sched) <
+                backend->report_requested_ms;
         if (reported_now || (run->state != RUN_STOPPING && !confirmed) ||
-            (run->state == RUN_STOPPING && !barred)) {
+            (run->state == RUN_STOPPING && !stop_took_effect)) {
             continue;
         }
         sched_log_event(
@@ -227,8 +231,10 @@
     backend->report_due_ms = sched_now(sched) + REPORT_RETRY_MS;
 }
 
-/* A run that an earlier scheduler is stopping stands in neither list of the
- * report; until that has shown, nothing it may be is started again. */
+/* A run that a previous leader is stopping may be missing from both the runs
+ * and the completions of a report. Until its stop must have taken effect, the
+ * backend server stays unreconciled and no inherited job of its pool gets new
+ * runs. */
 static void
 update_reconciliation(struct scheduler *sched, struct backend *backend)
 {
@@ -279,8 +285,8 @@
     if (report->incarnation_start_ms != 0 &&
         backend->entry.incarnation_start_ms != 0 &&
         report->incarnation_start_ms != backend->entry.incarnation_start_ms) {
-        /* The answer is of an incarnation that the host list doesn't show yet.
-         */
+        /* An older incarnation is ignored; a newer one isn't in the host list
+         * yet. */
         if (report->incarnation_start_ms <
             backend->entry.incarnation_start_ms) {
             return;
--- a/core/jobs/scheduler_runs.c
+++ b/core/jobs/scheduler_runs.c
@@ -1,4 +1,5 @@
-/* Runs: created by a start or found on a list, gone only with proof. */
+/* Life cycle of runs. A run is created by a start command or found in a
+ * report, and is removed only with proof that it has ended. */
 #include "core/jobs/scheduler.h"
 
 #include <stdio.h>
@@ -18,7 +19,8 @@
     return &use->used;
 }
 
-/* Room of a task on its backend server: filling tasks use what is left. */
+/* Resources that a task takes on its backend server; best-effort tasks reserve
+ * no processor time. */
 static struct resources
 backend_need(const struct job_step *step)
 {
@@ -119,12 +121,13 @@
     run->stop_pending = false;
     if (acked) {
         run->stop_acked_ms = sched_now(sched);
-        /* The list that shows the end, or its absence, comes at once. */
+        /* Request the report that shows the completion, or its absence, at
+         * once. */
         run->backend->report_due_ms = 0;
     }
 }
 
-/* A run that ended as failed counts against its job and its server. */
+/* Counts a failed run against its task and its backend server. */
 static void
 record_failure(struct scheduler *sched, struct run *run)
 {
@@ -204,7 +207,7 @@
     }
 }
 
-/* One end as done stands for all members of a gang. */
+/* One gang member that is done means that all members are done. */
 static void
 complete_gang(struct scheduler *sched, struct run *run)
 {
@@ -276,8 +279,8 @@
     }
 }
 
-/* Whether its progress stands still for a reason of its backend server; what
- * is slowed down stands still by our order. */
+/* Whether progress has stopped because of the backend server; a throttled run
+ * may stop because of our own command. */
 static bool
 run_stalled(const struct run *run, int64_t now_ms)
 {
@@ -287,7 +290,7 @@
            now_ms - run->percent_at_ms > STALL_TIMEOUT_MS;
 }
 
-/* An order whose answer never came is one without an answer. */
+/* Treats commands whose answer never came as unanswered. */
 static void
 expire_overdue_calls(struct run *run, int64_t now_ms)
 {
@@ -304,7 +307,8 @@
     }
 }
 
-/* Sends stops again, and settles orders that got no answer. */
+/* Repeats unanswered stop commands, and stops stalled runs and runs whose
+ * start command got no answer. */
 void
 sched_watch_runs(struct scheduler *sched)
 {
--- a/core/jobs/scheduler_state.h
+++ b/core/jobs/scheduler_state.h
@@ -1,42 +1,46 @@
-/* State shared by the files of the scheduler. */
+/* State shared by the source files of the scheduler. */
 #ifndef CORE_JOBS_SCHEDULER_STATE_H
 #define CORE_JOBS_SCHEDULER_STATE_H
 
 #include "core/jobs/scheduler.h"
 
 enum {
-    /* Bounds how long a crash delays the restart of its tasks; three lists
-     * may fail before a lease lapses. */
+    /* Bounds how long a crash delays the restart of its tasks; three report
+     * requests may fail before a lease expires. */
     LEASE_MS = 3000,
-    /* Longest lease asked for, in an outage of the store. A holder after us
-     * waits it out for a silent backend server; the users' pages bound that
-     * wait by about 10 s after the fault. */
+    /* Longest lease requested, used during a store outage. The next leader
+     * waits for its end before it restarts the runs of an unresponsive backend
+     * server, and that wait has to end within about 10 s of the fault. */
     LEASE_MAX_MS = 8500,
-    /* Part of a lease after which it is renewed at the latest. */
+    /* A report request waits at most this long for news. It also renews the
+     * lease, so this bounds the time between renewals. */
     REPORT_WAIT_MS = 800,
-    /* Smallest time between two lists of one backend server: ends that come
-     * together are read together. */
+    /* Least time between two report requests to a backend server, so that
+     * completions that come together are read together. */
     REPORT_GAP_MIN_MS = 15,
     REPORT_RETRY_MS = 250,
-    /* Tails beside filling tasks are looked at this often. */
+    /* Same where best-effort tasks run beside latency-sensitive ones: each
+     * report is a sample of the tail latencies. */
     REPORT_WAIT_MIXED_MS = 300,
-    /* Calls end by their own timeouts well before; an answer that is overdue
-     * by then never comes. */
+    /* Calls time out well before this, so an answer that is still missing will
+     * never come. */
     ANSWER_TIMEOUT_MS = 5000,
-    /* A stop without an answer is sent again after this time. */
+    /* Time after which an unanswered stop command is sent again. */
     STOP_RETRY_MS = 400,
-    /* A task that lasts and whose start got no answer shows on a list by
-     * then; stopping it sooner could end one that is at work. */
+    /* A service task whose start command got no answer shows in a run report
+     * by then; stopping it sooner could end one that works. */
     SERVICE_START_VISIBLE_MS = 2500,
-    /* A start that found no room or was refused waits this long. */
+    /* Delay before a start that was refused or found no capacity is
+     * retried. */
     START_RETRY_MS = 120,
-    /* A run whose progress stands still this long is moved elsewhere; a
-     * list is read at least every REPORT_WAIT_MS. */
+    /* A run without progress for this long is stopped and started elsewhere; a
+     * report is read at least every REPORT_WAIT_MS. */
     STALL_TIMEOUT_MS = 2500,
-    /* Runs that fail in a row before a backend server is set aside. */
+    /* Failed runs in a row after which a backend server is suspect. */
     SUSPECT_FAILURE_COUNT = 3,
     SUSPECT_DURATION_MS = 4000,
-    /* Run numbers of one term; no task is started that often by one. */
+    /* Run numbers that one term may use; no leader starts a task this
+     * often. */
     TERM_RUN_NUMBERS_MAX = 1000,
 };
 
@@ -48,21 +52,21 @@
 };
 
 /**
- * struct host - a host and what was ordered about it
- * @backend_id: backend server that is its present incarnation, or NULL
- * @present: stands in the last list of hosts
+ * struct host - a host and the commands about it
+ * @backend_id: backend server that is its current incarnation, or NULL
+ * @present: it is in the last host list of the platform
  * @up: it runs and is neither moving nor rebooting
- * @down_unix_ms: Unix time since when it is known to be away; 0: it is up.
- *                Only an incarnation born later is a new one
- * @intent: what is planned; its backend server takes nothing new meanwhile
+ * @down_unix_ms: Unix time since when it is known to be unavailable; 0: it is
+ *                up. Only an incarnation that started later is a new one
+ * @intent: what is planned; its backend server takes no new work meanwhile
  * @intent_ms: when that was decided
  * @target_pool: pool it is to move to, or NULL
- * @wave: maintenance it still owes; 0: none
- * @command_in_flight: an order is in flight
- * @command_accepted: the order was accepted, or may have been
- * @commanded_incarnation: backend server at the time of the order
- * @retry_ms: no order before this time
- * @commanded_before: the holder before may have given an order lately
+ * @wave: wave in which it still has to be maintained; 0: none
+ * @command_in_flight: a command about it is in flight
+ * @command_accepted: the command was accepted, or may have been
+ * @commanded_incarnation: its backend server at the time of the command
+ * @retry_ms: no command before this time
+ * @commanded_before: a previous leader may have sent a command recently
  */
 struct host {
     char *name;
@@ -84,10 +88,10 @@
 };
 
 /**
- * struct wave - maintenance under way
+ * struct wave - maintenance in progress
  * @hosts: names of its hosts
  * @started: names of those whose maintenance was accepted
- * @most: hosts that may be away for it at once
+ * @max_unavailable: hosts that may be unavailable for it at once
  * @complete_by_ms: when it should be complete
  */
 struct wave {
@@ -104,20 +108,24 @@
 };
 
 /**
- * struct pool_load - demand on one pool and what it has
- * @arrival_milli: cores that newly arriving work asks for, decaying
+ * struct pool_load - demand on one pool and its capacity
+ * @arrival_milli: rate of newly arriving work, decaying average; unit:
+ *                 thousandths of a core
  * @recent_milli: the same over a shorter time
- * @recent_jobs: jobs that arrived in that time, decaying
- * @arrival_at_ms: when these were last brought up to date
- * @service_need: room of tasks that last, running or waiting
- * @ready: room of short tasks that run or could run now
- * @ready_milli: cores that would finish these in time
- * @spread_hosts: hosts over which some step has to be spread
- * @host: room of its largest host
+ * @recent_jobs: number of jobs that arrived in that shorter time, decaying
+ * @arrival_at_ms: when these averages were last updated
+ * @service_need: resources of service tasks, running or waiting
+ * @ready: resources of short tasks that run or could run now
+ * @ready_milli: thousandths of a core that would finish these in
+ *               READY_HORIZON_MS
+ * @spread_hosts: least hosts needed because some step limits its tasks per
+ *                backend server
+ * @largest_host: capacity of its largest host
  * @hosts: hosts that take work
- * @incoming_hosts: hosts on their way into the pool
- * @used_milli: cores in use on those that take work
- * @surplus_since_ms: since when it has had more than it needs; 0: has not
+ * @incoming_hosts: hosts that are being moved or rebooted into the pool
+ * @used_milli: thousandths of a core in use on the hosts that take work
+ * @surplus_since_ms: since when it has had more hosts than it needs; 0: it has
+ *                    not
  */
 struct pool_load {
     char *pool;
@@ -137,8 +145,8 @@
 };
 
 /**
- * struct command_budget - orders about hosts that may be given now
- * @left: orders, refilled up to the burst
+ * struct command_budget - host commands that may be sent now
+ * @left: number of commands, refilled up to the burst size
  * @refilled_ms: when it was last refilled
  */
 struct command_budget {
@@ -147,11 +155,11 @@
 };
 
 /**
- * struct advice_call - the call about advice that is under way
- * @job: whose step is asked about, referenced; NULL: none is
- * @asked: ids of the backend servers named, NULL-terminated
- * @retry_ms: no call before this time
- * @share: share of backend servers that turn out to be allowed
+ * struct advice_call - the request for placement advice that is in flight
+ * @job: job of the step in question, referenced; NULL: no request
+ * @asked: ids of the backend servers in question, NULL-terminated
+ * @retry_ms: no request before this time
+ * @allowed_fraction: estimated fraction of backend servers that may run a step
  */
 struct advice_call {
     struct job *job;
@@ -241,7 +249,7 @@
 void
 sched_task_done(struct scheduler *sched, struct job *job, uint32_t occurrence,
                 uint32_t step, uint32_t index);
-/* A failed end of a run that is not tracked any more. */
+/* Handle a failed completion of a run that is no longer tracked. */
 void
 sched_untracked_failure(struct scheduler *sched, struct job *job,
                         uint32_t occurrence, uint32_t step, uint32_t index,
@@ -265,7 +273,8 @@
 bool
 sched_fits_elsewhere(struct scheduler *sched, const struct run *run);
 
-/* Whether @backend has room for a task and may hold it, ticket or not. */
+/* Whether @backend has free capacity for a task and satisfies its constraints,
+ * regardless of tickets. */
 bool
 sched_backend_can_run(struct scheduler *sched, const struct backend *backend,
                       const struct job *job, uint32_t occurrence,
@@ -274,7 +283,7 @@
 /* throttle_runs.c */
 void
 sched_throttle(struct scheduler *sched);
-/* Whether filling tasks run beside serving ones. */
+/* Whether best-effort tasks run beside latency-sensitive ones. */
 bool
 sched_backend_mixed(const struct backend *backend);
 
@@ -307,7 +316,8 @@
 void
 command_budget_refill(struct command_budget *budget, double per_s,
                       int64_t now_ms);
-/* Whether orders that can wait may be given: a part is kept for others. */
+/* Whether commands that can wait may be sent; a part of the budget is reserved
+ * for the others. */
 bool
 command_budget_allows_deferrable(const struct command_budget *budget,
                                  double per_s);
--- a/core/jobs/scheduler_store.c
+++ b/core/jobs/scheduler_store.c
@@ -1,4 +1,4 @@
-/* What the scheduler wants stored, in batches of one transaction each. */
+/* Collects changes to be stored, in batches of one transaction each. */
 #include "core/jobs/scheduler.h"
 
 #include <string.h>
@@ -13,7 +13,7 @@
     }
 }
 
-/* Finished jobs leave the store when nobody may ask for them any more. */
+/* Removes finished jobs from the store after their retention time. */
 static void
 take_expired(struct scheduler *sched, struct store_batch *batch, uint32_t most)
 {
--- a/core/jobs/step_advice.c
+++ b/core/jobs/step_advice.c
@@ -3,9 +3,10 @@
 #include <glib.h>
 
 /**
- * struct verdict - what was said of one backend server
+ * struct verdict - advice on one backend server
+ * @incarnation_start_ms: incarnation that the ticket is for
  * @ticket: NULL if it may not run the step
- * @until_ms: end of the ticket on the scheduler's clock
+ * @until_ms: end of the ticket, on the scheduler's clock
  */
 struct verdict {
     int64_t incarnation_start_ms;
@@ -78,7 +79,8 @@
     if (verdict == NULL) {
         return ADVICE_UNASKED;
     }
-    /* Who may run a step doesn't change; a ticket is for one incarnation. */
+    /* Permission to run a step doesn't change; a ticket is for one
+     * incarnation. */
     if (verdict->ticket == NULL) {
         return ADVICE_REFUSED;
     }
--- a/core/jobs/throttle.c
+++ b/core/jobs/throttle.c
@@ -1,9 +1,9 @@
 /*
- * Pace of filling tasks beside serving ones. Answers tails that change within
- * seconds, by an amount that differs by program and is not known before: what
- * a tail is above a serving task's own share is taken to come from the
- * filling ones, in proportion to their cpu_limit_percent, and the
- * cpu_limit_percent follows at once down and after a calm time up.
+ * CPU limit of best-effort tasks beside latency-sensitive ones, whose tail
+ * latencies change within seconds, by an amount that differs by program and
+ * isn't known in advance. The latency above a task's own fraction is
+ * attributed to the best-effort tasks, in proportion to their CPU limit. The
+ * limit is lowered at once, and raised after a time of low latencies.
  */
 #include "core/jobs/throttle.h"
 
@@ -13,37 +13,38 @@
 enum {
     LIMIT_INITIAL_PERCENT = 30,
     RAISE_MIN_PERCENT = 10,
-    /* A change takes some 100 ms, and a tail is that of the last 500 ms. */
+    /* A new limit takes about 100 ms to apply, and the reported tail latency
+     * covers the last 500 ms. */
     EFFECT_DELAY_MS = 650,
     RAISE_DELAY_MS = 300,
-    /* Tails change within seconds, so what was too much is soon tried again.
-     */
+    /* Latencies change within seconds, so a limit that was too high is soon
+     * tried again. */
     CEILING_RETENTION_MS = 3000,
 };
 
-/* Tails above this share of their bound are too long, in view of noise. */
+/* Tail latencies above this fraction of their target are too long; it leaves a
+ * margin for noise. */
 static const double LATENCY_HIGH_FRACTION = 0.85;
-/* Below this share there is room for more. */
+/* Below this fraction the limit may rise. */
 static const double LATENCY_LOW_FRACTION = 0.7;
-/* What a new cpu_limit_percent aims at. */
+/* Fraction that a new limit aims at. */
 static const double LATENCY_AIM_FRACTION = 0.75;
-/* Share of the bound that a serving task takes up by its own load: what is
- * above it is laid to the filling tasks, in proportion to their
- * cpu_limit_percent. */
+/* Fraction of the target that a latency-sensitive task is assumed to cause by
+ * itself. Latency above it is attributed to the best-effort tasks, in
+ * proportion to their limit. */
 static const double OWN_LATENCY_FRACTION = 0.4;
-/* A cpu_limit_percent is cut to no less than this at once, and raised to no
- * more. */
+/* Bounds of one change of the limit. */
 static const double CUT_MIN_FACTOR = 0.25;
 static const double RAISE_MAX_FACTOR = 2;
-/* Further cut while a tail is over its bound: its own share may be larger
- * than taken. */
+/* Further reduction while a tail latency exceeds its target: the task's own
+ * fraction may be larger than assumed. */
 static const double OVER_TARGET_FACTOR = 0.6;
-/* Levels below this do not get on; they only disturb. */
+/* Below this limit best-effort tasks make no progress and only disturb. */
 static const int32_t LIMIT_MIN_PERCENT = 5;
-/* Share of the ceiling_percent that is tried while it is remembered. */
+/* Fraction of the ceiling that may be used until the ceiling expires. */
 static const double CEILING_RETRY_FRACTION = 0.8;
 
-/* Factor that would bring a tail to the aim. */
+/* Factor on the limit that would bring the worst latency to the aim. */
 static double
 factor_to_aim(double worst_ratio)
 {
@@ -102,7 +103,7 @@
         throttle->changed_ms = now_ms;
         return throttle->cpu_limit_percent;
     }
-    /* The sample may still show the cpu_limit_percent before. */
+    /* The sample may still show the effect of the previous limit. */
     bool in_effect = now_ms - throttle->changed_ms >= EFFECT_DELAY_MS;
     if (worst_ratio > LATENCY_HIGH_FRACTION) {
         if (in_effect) {
--- a/core/jobs/throttle_runs.c
+++ b/core/jobs/throttle_runs.c
@@ -1,4 +1,5 @@
-/* Carries the throttle to the filling tasks that run beside serving ones. */
+/* Applies the CPU limit to the best-effort tasks that run beside
+ * latency-sensitive ones. */
 #include "core/jobs/scheduler.h"
 
 #include <stdio.h>
@@ -70,7 +71,7 @@
     int32_t level = 100;
     if (sched_backend_mixed(backend)) {
         level = backend->throttle.cpu_limit_percent;
-        /* Each list is one sample of the tails. */
+        /* Each run report is one sample of the tail latencies. */
         if (backend->throttle.changed_ms == 0 ||
             backend->report_read_ms > backend->throttle_sample_ms) {
             level = throttle_update(&backend->throttle,
@@ -117,7 +118,7 @@
     run->throttle_pending = false;
     if (acked) {
         run->cpu_limit_percent = percent;
-        /* Its progress stands or moves anew from here. */
+        /* The limit changes its progress, so a stall is measured from here. */
         run->percent_at_ms = sched_now(sched);
     }
 }
--- a/core/jobs/wave_plan.c
+++ b/core/jobs/wave_plan.c
@@ -1,6 +1,6 @@
 /*
- * Maintenance waves: every host in its time, never more than allowed at once,
- * and hosts whose pool is between its peaks first.
+ * Plans maintenance waves: every host within the time of its wave, never more
+ * than allowed at once, and hosts of pools between their peaks first.
  */
 #include "core/jobs/scheduler.h"
 
@@ -9,14 +9,16 @@
 #include "scheduler_state.h"
 
 enum {
-    /* Time to empty a host: short tasks end within about this time. */
+    /* Time to empty a host: short tasks end in about this time. */
     EMPTY_HOST_MS = 2000,
-    /* Before this much is left, hosts of busy pools wait for a quiet time. */
+    /* While more slack than this is left, hosts of busy pools wait for a
+     * quieter time. */
     WAVE_SLACK_MS = 12000,
     WAVE_DEFAULT_DURATION_MS = 20000,
 };
 
-/* Above this use of its pool a host is rebooted only if time runs out. */
+/* Above this utilisation of its pool a host is rebooted only if time runs
+ * out. */
 static const double BUSY_POOL_FRACTION = 0.6;
 
 struct wave *
@@ -83,8 +85,8 @@
     return g_string_free(text, FALSE);
 }
 
-/* Hosts that still owe their maintenance; one that left the fleet owes
- * nothing. */
+/* Number of hosts still to be maintained; one that left the fleet doesn't
+ * count. */
 static uint32_t
 hosts_left(const struct scheduler *sched, const struct wave *wave)
 {
@@ -104,11 +106,12 @@
 scheduler_wave_done(const struct scheduler *sched, int64_t number)
 {
     const struct wave *wave = sched_find_wave(sched, number);
-    /* Before the list of hosts is read none of them counts as present. */
+    /* Before the host list is read no host counts as present. */
     return wave != NULL && sched->hosts_read && hosts_left(sched, wave) == 0;
 }
 
-/* Whether so few others of its step are away that this run may be stopped. */
+/* Whether so few other tasks of the step are unavailable that this run may be
+ * stopped. */
 bool
 sched_run_may_stop(const struct run *run)
 {
