--- a/core/host_transitions.c
+++ b/core/host_transitions.c
@@ -106,6 +106,8 @@
     }
 }
 
+/* Gateways may start tasks on the host until drain_margin_ms after it was
+ * recorded as draining; a task runs at most longest_run_ms. */
 static bool
 is_drained(const struct fleet_pass *pass, const struct pass_host *host)
 {
--- a/include/core/wave_record.h
+++ b/include/core/wave_record.h
@@ -25,7 +25,7 @@
 /**
  * struct wave_record - a maintenance wave: reboots the selected hosts
  * @number: number, also the key; where two waves select hosts of one pool,
- *          the lower number is worked off first
+ *          the lower number is processed first
  * @write_id: unique id of the last write, starts with the name of its writer,
  *            or NULL
  * @pools, @dcs: NULL-terminated names selected; NULL or empty for all
--- a/include/egretfleetd/fleet_status.h
+++ b/include/egretfleetd/fleet_status.h
@@ -9,7 +9,7 @@
 
 /**
  * struct fleet_status_options - sources of the responses
- * @secret: key that requests for /v1/fleet are signed with
+ * @secret: secret that requests for /v1/fleet are authenticated with
  * @ready: whether the first plan exists, for /healthz
  * @build: adds the members of the JSON object at /v1/fleet
  * @refresh: called to update @counters before they are rendered
