--- a/egretd/attempts.c
+++ b/egretd/attempts.c
@@ -82,12 +82,13 @@
     struct attempts *attempts = attempt->attempts;
     uint64_t number = attempt->number;
     if (result == ATTEMPT_LOST) {
-        stopper_stop(attempts->stopper, &(struct stop_order){
-                                            .number = number,
-                                            .task_name = attempt->task_name,
-                                            .address = attempt->address,
-                                            .until_ms = attempt->lease_end_ms,
-                                        });
+        stopper_stop(attempts->stopper,
+                     &(struct stop_params){
+                         .number = number,
+                         .task_name = attempt->task_name,
+                         .address = attempt->address,
+                         .deadline_ms = attempt->lease_end_ms,
+                     });
     }
     g_hash_table_remove(attempts->by_number, &number);
     attempts->options.handler.ended(attempts->options.handler.ctx, number,
@@ -143,7 +144,8 @@
 }
 
 static void
-explain_error(struct attempt *attempt, enum fetch_end end, const GError *error)
+explain_error(struct attempt *attempt, enum fetch_result result,
+              const GError *error)
 {
     log_line(LOG_LEVEL_DEBUG, "attempt-error",
              "task=%s host=%s sent=%d reason=%s", attempt->task_name,
@@ -160,7 +162,7 @@
     if (attempt->timed_out) {
         reason = REASON_TIMEOUT;
     }
-    else if (end == FETCH_TRUNCATED || end == FETCH_TOO_LARGE) {
+    else if (result == FETCH_TRUNCATED || result == FETCH_TOO_LARGE) {
         reason = REASON_ANSWER_TRUNCATED;
     }
     end_attempt(attempt, ATTEMPT_LOST, reason, NULL);
@@ -173,19 +175,20 @@
 }
 
 static void
-on_end(void *ctx, enum fetch_end end, GBytes *body, const GError *error)
+on_ended(void *ctx, enum fetch_result result, GBytes *body,
+         const GError *error)
 {
     struct attempt *attempt = ctx;
     attempt->fetch = NULL;
-    switch (end) {
-    case FETCH_WHOLE:
+    switch (result) {
+    case FETCH_COMPLETE:
         read_answer(attempt, body);
         return;
     case FETCH_STREAMED:
         end_attempt(attempt, ATTEMPT_DONE, REASON_NONE, NULL);
         return;
     default:
-        explain_error(attempt, end, error);
+        explain_error(attempt, result, error);
         return;
     }
 }
@@ -291,21 +294,21 @@
 static void
 probe(struct attempt *attempt)
 {
-    struct stop_order order = {
+    struct stop_params params = {
         .number = attempt->number,
         .task_name = attempt->task_name,
         .address = attempt->address,
-        .until_ms = attempt->deadline_ms,
+        .deadline_ms = attempt->deadline_ms,
     };
     if (attempt->probing) {
         return;
     }
     attempt->probing = true;
     if (attempt->cancelling) {
-        stopper_stop(attempt->attempts->stopper, &order);
+        stopper_stop(attempt->attempts->stopper, &params);
     }
     else {
-        stopper_probe(attempt->attempts->stopper, &order);
+        stopper_probe(attempt->attempts->stopper, &params);
     }
 }
 
@@ -340,28 +343,28 @@
     if (state == STOP_STATE_RUNNING || state == STOP_STATE_EXPIRED) {
         return;
     }
-    attempts->options.handler.settled(attempts->options.handler.ctx, number);
+    attempts->options.handler.resolved(attempts->options.handler.ctx, number);
 }
 
 static SoupMessage *
-make_message(const struct attempt_order *order)
+make_message(const struct attempt_params *params)
 {
-    char *url = g_strdup_printf("http://%s/v1/tasks/%s", order->address,
-                                order->task_name);
+    char *url = g_strdup_printf("http://%s/v1/tasks/%s", params->address,
+                                params->task_name);
     SoupMessage *message = soup_message_new(SOUP_METHOD_POST, url);
     g_free(url);
     SoupMessageHeaders *headers = soup_message_get_request_headers(message);
     char lease[24];
-    g_snprintf(lease, sizeof(lease), "%" G_GINT64_FORMAT, order->lease_ms);
-    soup_message_headers_append(headers, "Egret-Team", order->team);
-    soup_message_headers_append(headers, "Egret-Queue", order->queue);
+    g_snprintf(lease, sizeof(lease), "%" G_GINT64_FORMAT, params->lease_ms);
+    soup_message_headers_append(headers, "Egret-Team", params->team);
+    soup_message_headers_append(headers, "Egret-Queue", params->queue);
     soup_message_headers_append(headers, "Egret-Lease-Ms", lease);
-    if (order->request_id != NULL) {
+    if (params->request_id != NULL) {
         soup_message_headers_append(headers, "Egret-Request-Id",
-                                    order->request_id);
+                                    params->request_id);
     }
     soup_message_add_flags(message, SOUP_MESSAGE_NO_REDIRECT);
-    if (!order->idempotent) {
+    if (!params->idempotent) {
         /* A reused connection that closes would be sent again silently, and
          * a kept one would pile up idle behind every single use. */
         soup_message_add_flags(message, SOUP_MESSAGE_NEW_CONNECTION);
@@ -371,8 +374,8 @@
         /* Without it the library opens a connection for every POST. */
         soup_message_add_flags(message, SOUP_MESSAGE_IDEMPOTENT);
     }
-    soup_message_set_request_body_from_bytes(message, order->content_type,
-                                             order->body);
+    soup_message_set_request_body_from_bytes(message, params->content_type,
+                                             params->body);
     return message;
 }
 
@@ -400,29 +403,29 @@
 }
 
 void
-attempts_start(struct attempts *attempts, const struct attempt_order *order)
+attempts_start(struct attempts *attempts, const struct attempt_params *params)
 {
     struct attempt *attempt = g_new0(struct attempt, 1);
     attempt->attempts = attempts;
-    attempt->number = order->number;
-    attempt->task_name = g_strdup(order->task_name);
-    attempt->host = g_strdup(order->host);
-    attempt->address = g_strdup(order->address);
-    attempt->message = make_message(order);
+    attempt->number = params->number;
+    attempt->task_name = g_strdup(params->task_name);
+    attempt->host = g_strdup(params->host);
+    attempt->address = g_strdup(params->address);
+    attempt->message = make_message(params);
     attempt->probe_ms = FIRST_PROBE_MS;
-    attempt->lease_end_ms = order->lease_ms;
+    attempt->lease_end_ms = params->lease_ms;
     attempt->deadline_ms =
-        now_ms(attempts) + order->lease_ms + ANSWER_GRACE_MS;
+        now_ms(attempts) + params->lease_ms + ANSWER_GRACE_MS;
     g_hash_table_insert(attempts->by_number, &attempt->number, attempt);
     g_signal_connect(attempt->message, "starting", G_CALLBACK(on_starting),
                      attempt);
     arm_timer(attempt, attempts->options.connect_timeout_ms);
     attempt->fetch =
-        fetch_start(find_session(attempts, order->address), attempt->message,
+        fetch_start(find_session(attempts, params->address), attempt->message,
                     &(struct fetch_handler){
                         .stream = on_stream,
                         .data = on_data,
-                        .end = on_end,
+                        .ended = on_ended,
                         .ctx = attempt,
                     });
 }
--- a/egretd/connections.c
+++ b/egretd/connections.c
@@ -107,8 +107,8 @@
 }
 
 void
-connection_set_handler(SoupServerMessage *message, void (*hang_up)(void *ctx),
-                       void *ctx)
+connection_set_hang_up_handler(SoupServerMessage *message,
+                               void (*hang_up)(void *ctx), void *ctx)
 {
     GSocket *socket = soup_server_message_get_socket(message);
     struct connection *connection =
--- a/egretd/engine.c
+++ b/egretd/engine.c
@@ -82,7 +82,7 @@
         /* The caller may have lost its connection and ask again. */
         return;
     }
-    if (request->role == ROLE_SENT_ON) {
+    if (request->role == ROLE_FORWARD) {
         forwards_abort(engine->forwards, request->task);
         return;
     }
@@ -97,7 +97,7 @@
     else {
         forwards_abort(engine->forwards, request->task);
     }
-    engine_pump(engine);
+    engine_run_actions(engine);
 }
 
 void
@@ -111,7 +111,7 @@
         .key_id = request->key_id,
         .key_hash_hex = request->key_id == NULL ? NULL : request->key_hash_hex,
         .idempotent = request->idempotent,
-        .forwarded = request->forwarded && !request->keep,
+        .forwarded = request->forwarded && !request->to_owner,
     };
     enum reason reason = dispatch_submit(
         engine->dispatch, &task, engine_now_ms(engine), &retry_after_ms);
@@ -119,7 +119,7 @@
         engine_refuse(engine, request, reason, retry_after_ms);
         return;
     }
-    engine_pump(engine);
+    engine_run_actions(engine);
 }
 
 static enum reason
@@ -133,7 +133,7 @@
         return REASON_OVERLOAD;
     }
     if (engine_needs_claim(request) &&
-        !engine->options.standing(engine->options.ctx)) {
+        !engine->options.has_quorum_lease(engine->options.ctx)) {
         return REASON_NO_STANDING;
     }
     return REASON_NONE;
@@ -147,7 +147,7 @@
         "%s.%" G_GUINT64_FORMAT, engine->options.incarnation, request->task);
     request->arrived_ms = engine_now_ms(engine);
     request->abandoned = on_abandoned;
-    request->abandoned_ctx = engine;
+    request->callback_ctx = engine;
     g_hash_table_insert(engine->requests, &request->task, request);
     enum reason reason = admit(engine, request);
     if (reason != REASON_NONE) {
@@ -190,7 +190,7 @@
     if (dispatch_cancel(engine->dispatch, request->task, &attempt,
                         engine_now_ms(engine))) {
         engine_refuse(engine, request, REASON_CANCELLED, 0);
-        engine_pump(engine);
+        engine_run_actions(engine);
         return "cancelled";
     }
     if (attempt != 0) {
@@ -200,7 +200,7 @@
         /* The other gateway sees its caller go and cancels there. */
         forwards_abort(engine->forwards, request->task);
     }
-    engine_pump(engine);
+    engine_run_actions(engine);
     return "running";
 }
 
@@ -215,7 +215,7 @@
 {
     engine->draining = true;
     dispatch_drain(engine->dispatch);
-    engine_pump(engine);
+    engine_run_actions(engine);
 }
 
 uint32_t
--- a/egretd/engine_actions.c
+++ b/egretd/engine_actions.c
@@ -24,7 +24,7 @@
              "lease_ms=%" G_GINT64_FORMAT,
              request->task_name, name, log_quote(request->request_id),
              request->team, request->queue, action->host, action->lease_ms);
-    attempts_start(engine->attempts, &(struct attempt_order){
+    attempts_start(engine->attempts, &(struct attempt_params){
                                          .number = action->attempt,
                                          .task_name = name,
                                          .host = action->host,
@@ -55,7 +55,7 @@
              log_quote(request->request_id), request->team, request->queue,
              action->peer);
     forwards_start(engine->forwards,
-                   &(struct forward_order){
+                   &(struct forward_params){
                        .request = request,
                        .address = target.address,
                        .timeout_ms = action->lease_ms + FORWARD_GRACE_MS,
@@ -67,10 +67,11 @@
        const struct dispatch_action *action)
 {
     struct answer *answer;
-    if (request->kept != NULL && (action->outcome == OUTCOME_DONE ||
-                                  action->reason == REASON_NEVER_RUNS)) {
+    if (request->last_failure != NULL &&
+        (action->outcome == OUTCOME_DONE ||
+         action->reason == REASON_NEVER_RUNS)) {
         /* It ran and failed wherever it was tried: its answer says how. */
-        answer = answer_copy(request->kept);
+        answer = answer_copy(request->last_failure);
         answer->reason = action->reason;
     }
     else {
@@ -106,7 +107,7 @@
 {
     struct engine *engine = data;
     engine->wake = 0;
-    engine_pump(engine);
+    engine_run_actions(engine);
     return G_SOURCE_REMOVE;
 }
 
@@ -133,7 +134,7 @@
 }
 
 void
-engine_pump(struct engine *engine)
+engine_run_actions(struct engine *engine)
 {
     struct dispatch_action action;
     if (engine->pumping) {
--- a/egretd/engine_claims.c
+++ b/egretd/engine_claims.c
@@ -23,7 +23,7 @@
     if (request == NULL) {
         return;
     }
-    request->role = ROLE_SENT_ON;
+    request->role = ROLE_FORWARD;
     if (!engine->options.find_peer(engine->options.ctx, peer, &target)) {
         engine_forward_ended(engine, task, ATTEMPT_NOT_SENT, NULL);
         return;
@@ -38,10 +38,10 @@
              "task=%s request=%s team=%s queue=%s peer=%s", request->task_name,
              log_quote(request->request_id), request->team, request->queue,
              peer);
-    forwards_start(engine->forwards, &(struct forward_order){
+    forwards_start(engine->forwards, &(struct forward_params){
                                          .request = request,
                                          .address = target.address,
-                                         .keep = true,
+                                         .to_owner = true,
                                          .timeout_ms = timeout_ms,
                                      });
 }
@@ -90,7 +90,7 @@
 engine_needs_claim(const struct request *request)
 {
     return request->request_id != NULL && !request->idempotent &&
-           (!request->forwarded || request->keep);
+           (!request->forwarded || request->to_owner);
 }
 
 void
@@ -129,10 +129,10 @@
 }
 
 char *
-engine_asked(struct engine *engine, const char *team, const char *id,
-             const char *asker)
+engine_answer_query(struct engine *engine, const char *team, const char *id,
+                    const char *querier)
 {
-    return claims_answer_query(engine->claims, team, id, asker);
+    return claims_answer_query(engine->claims, team, id, querier);
 }
 
 bool
--- a/egretd/engine_events.c
+++ b/egretd/engine_events.c
@@ -37,7 +37,7 @@
 {
     struct engine *engine = ctx;
     dispatch_attempt_settled(engine->dispatch, number, engine_now_ms(engine));
-    engine_pump(engine);
+    engine_run_actions(engine);
 }
 
 static void
@@ -132,7 +132,7 @@
                                        engine_now_ms(engine));
     if (request == NULL) {
         answer_destroy(answer);
-        engine_pump(engine);
+        engine_run_actions(engine);
         return;
     }
     if (request->streaming != NULL ||
@@ -148,10 +148,10 @@
         log_line(LOG_LEVEL_INFO, "retry",
                  "task=%s host=%s result=%d reason=%s", request->task_name,
                  log_quote(request->host), result, reason_name(reason));
-        answer_destroy(request->kept);
-        request->kept = answer;
+        answer_destroy(request->last_failure);
+        request->last_failure = answer;
     }
-    engine_pump(engine);
+    engine_run_actions(engine);
 }
 
 static bool
@@ -224,7 +224,7 @@
                      enum attempt_result result, struct answer *answer)
 {
     struct request *request = engine_find(engine, task);
-    if (request != NULL && request->role == ROLE_SENT_ON) {
+    if (request != NULL && request->role == ROLE_FORWARD) {
         sent_on_ended(engine, request, result, answer);
         return;
     }
@@ -236,7 +236,7 @@
     else {
         answer_destroy(answer);
     }
-    engine_pump(engine);
+    engine_run_actions(engine);
 }
 
 static void
@@ -261,7 +261,7 @@
                 .ended = on_ended,
                 .stream = on_stream,
                 .data = on_data,
-                .settled = on_settled,
+                .resolved = on_settled,
                 .load = on_load,
                 .ctx = engine,
             },
--- a/egretd/fetch.c
+++ b/egretd/fetch.c
@@ -26,17 +26,17 @@
 }
 
 static void
-finish(struct fetch *fetch, enum fetch_end end, const GError *error)
+finish(struct fetch *fetch, enum fetch_result result, const GError *error)
 {
     GBytes *body = NULL;
     if (fetch->abandoned) {
         fetch_destroy(fetch);
         return;
     }
-    if (end == FETCH_WHOLE) {
+    if (result == FETCH_COMPLETE) {
         body = g_bytes_new(fetch->held->data, fetch->held->len);
     }
-    fetch->handler.end(fetch->handler.ctx, end, body, error);
+    fetch->handler.ended(fetch->handler.ctx, result, body, error);
     g_clear_pointer(&body, g_bytes_unref);
     fetch_destroy(fetch);
 }
@@ -80,7 +80,7 @@
         finish(fetch, FETCH_TRUNCATED, NULL);
         return;
     }
-    finish(fetch, fetch->streaming ? FETCH_STREAMED : FETCH_WHOLE, NULL);
+    finish(fetch, fetch->streaming ? FETCH_STREAMED : FETCH_COMPLETE, NULL);
 }
 
 static void
@@ -112,11 +112,12 @@
     gsize size_bytes;
     const void *data = g_bytes_get_data(piece, &size_bytes);
     g_byte_array_append(fetch->held, data, (guint)size_bytes);
-    if (fetch->held->len > FETCH_HELD_MAX_BYTES) {
+    if (fetch->held->len > FETCH_BUFFER_MAX_BYTES) {
         finish(fetch, FETCH_TOO_LARGE, NULL);
         return;
     }
-    if (fetch->held->len > FETCH_WHOLE_MAX_BYTES && !fetch->keep_whole) {
+    if (fetch->held->len > FETCH_STREAM_THRESHOLD_BYTES &&
+        !fetch->keep_whole) {
         start_streaming(fetch);
         return;
     }
--- a/egretd/forwards.c
+++ b/egretd/forwards.c
@@ -44,7 +44,7 @@
 }
 
 char *
-forward_header_value(const struct request *request, bool keep)
+forward_header_format(const struct request *request, bool to_owner)
 {
     /* No field may hold ';': names are checked, ids have their own set. */
     return g_strdup_printf(
@@ -53,12 +53,12 @@
         request->key_id == NULL ? "-" : request->key_hash_hex,
         request->idempotent ? "idempotent" : "once",
         request->request_id == NULL ? "-" : request->request_id,
-        keep ? "keep" : "any", request->first_attempt ? "first" : "again",
+        to_owner ? "keep" : "any", request->first_attempt ? "first" : "again",
         request->hops + 1);
 }
 
 bool
-forward_header_apply(const char *value, struct request *request)
+forward_header_parse(const char *value, struct request *request)
 {
     char **fields = g_strsplit(value, ";", FORWARD_FIELDS + 1);
     uint64_t hops = 0;
@@ -77,7 +77,7 @@
         if (!g_str_equal(fields[4], "-")) {
             request->request_id = g_strdup(fields[4]);
         }
-        request->keep = g_str_equal(fields[5], "keep");
+        request->to_owner = g_str_equal(fields[5], "keep");
         request->first_attempt = g_str_equal(fields[6], "first");
         request->hops = (uint32_t)hops;
     }
@@ -140,16 +140,17 @@
 }
 
 static void
-on_end(void *ctx, enum fetch_end end, GBytes *body, const GError *error)
+on_ended(void *ctx, enum fetch_result result, GBytes *body,
+         const GError *error)
 {
     struct call *call = ctx;
     (void)error;
     call->fetch = NULL;
-    if (end == FETCH_WHOLE) {
+    if (result == FETCH_COMPLETE) {
         read_answer(call, body);
         return;
     }
-    if (end == FETCH_STREAMED) {
+    if (result == FETCH_STREAMED) {
         end_call(call, ATTEMPT_DONE, NULL);
         return;
     }
@@ -210,12 +211,12 @@
 }
 
 static SoupMessage *
-make_message(struct forwards *forwards, const struct forward_order *order)
+make_message(struct forwards *forwards, const struct forward_params *params)
 {
-    const struct request *request = order->request;
+    const struct request *request = params->request;
     char *path = g_strdup_printf("/v1/forward/%s", request->queue);
-    char *url = g_strdup_printf("http://%s%s", order->address, path);
-    char *value = forward_header_value(request, order->keep);
+    char *url = g_strdup_printf("http://%s%s", params->address, path);
+    char *value = forward_header_format(request, params->to_owner);
     char *auth = request_auth_sign(forwards->options.secret, SOUP_METHOD_POST,
                                    path, value);
     SoupMessage *message = soup_message_new(SOUP_METHOD_POST, url);
@@ -235,13 +236,13 @@
 }
 
 void
-forwards_start(struct forwards *forwards, const struct forward_order *order)
+forwards_start(struct forwards *forwards, const struct forward_params *params)
 {
     struct call *call = g_new0(struct call, 1);
     call->forwards = forwards;
-    call->task = order->request->task;
-    call->timeout_ms = order->timeout_ms;
-    call->message = make_message(forwards, order);
+    call->task = params->request->task;
+    call->timeout_ms = params->timeout_ms;
+    call->message = make_message(forwards, params);
     call->timer = g_timeout_add((guint)forwards->options.connect_timeout_ms,
                                 on_timeout, call);
     g_signal_connect(call->message, "starting", G_CALLBACK(on_starting), call);
@@ -250,7 +251,7 @@
                               &(struct fetch_handler){
                                   .stream = on_stream,
                                   .data = on_data,
-                                  .end = on_end,
+                                  .ended = on_ended,
                                   .ctx = call,
                               });
 }
--- a/egretd/front.c
+++ b/egretd/frontend.c
@@ -1,4 +1,4 @@
-#include "egretd/front.h"
+#include "egretd/frontend.h"
 
 #include <libsoup/soup.h>
 #include <string.h>
@@ -12,8 +12,8 @@
     LISTEN_BACKLOG = 1024,
 };
 
-struct front {
-    struct front_options options;
+struct frontend {
+    struct frontend_options options;
     SoupServer *server;
     struct connections *connections;
     uint16_t port;
@@ -48,24 +48,25 @@
 on_head(SoupServer *server, SoupServerMessage *message, const char *path,
         GHashTable *query, void *data)
 {
-    struct front *front = data;
+    struct frontend *frontend = data;
     (void)server;
     (void)query;
-    submit_check_head(&front->options, message, path);
+    submit_check_head(&frontend->options, message, path);
 }
 
 static bool
-route_post(struct front *front, SoupServerMessage *message, const char *path)
+route_post(struct frontend *frontend, SoupServerMessage *message,
+           const char *path)
 {
     char *queue = path_middle(path, "/v1/queues/", "/tasks");
     if (queue != NULL) {
-        submit_task(&front->options, message, queue);
+        submit_task(&frontend->options, message, queue);
         g_free(queue);
         return true;
     }
     queue = path_middle(path, "/v1/forward/", "");
     if (queue != NULL) {
-        submit_forwarded(&front->options, message, path, queue);
+        submit_forwarded(&frontend->options, message, path, queue);
         g_free(queue);
         return true;
     }
@@ -73,27 +74,28 @@
 }
 
 static bool
-route_get(struct front *front, SoupServerMessage *message, const char *path)
+route_get(struct frontend *frontend, SoupServerMessage *message,
+          const char *path)
 {
     if (g_str_equal(path, "/healthz")) {
-        operator_health(&front->options, message);
+        operator_health(&frontend->options, message);
         return true;
     }
     if (g_str_equal(path, "/metrics")) {
-        operator_metrics(&front->options, message);
+        operator_metrics(&frontend->options, message);
         return true;
     }
     if (g_str_equal(path, "/v1/status")) {
-        operator_status(&front->options, message, path);
+        operator_status(&frontend->options, message, path);
         return true;
     }
     if (g_str_has_prefix(path, "/v1/ids/")) {
-        operator_asked(&front->options, message, path);
+        operator_id_query(&frontend->options, message, path);
         return true;
     }
     char *queue = path_middle(path, "/v1/explain/", "");
     if (queue != NULL) {
-        operator_explain(&front->options, message, path, queue);
+        operator_explain(&frontend->options, message, path, queue);
         g_free(queue);
         return true;
     }
@@ -101,13 +103,14 @@
 }
 
 static bool
-route_delete(struct front *front, SoupServerMessage *message, const char *path)
+route_delete(struct frontend *frontend, SoupServerMessage *message,
+             const char *path)
 {
     char *id = path_middle(path, "/v1/requests/", "");
     if (id == NULL) {
         return false;
     }
-    submit_cancel(&front->options, message, id);
+    submit_cancel(&frontend->options, message, id);
     g_free(id);
     return true;
 }
@@ -116,19 +119,19 @@
 on_request(SoupServer *server, SoupServerMessage *message, const char *path,
            GHashTable *query, void *data)
 {
-    struct front *front = data;
+    struct frontend *frontend = data;
     const char *method = soup_server_message_get_method(message);
     bool routed = false;
     (void)server;
     (void)query;
     if (method == SOUP_METHOD_POST) {
-        routed = route_post(front, message, path);
+        routed = route_post(frontend, message, path);
     }
     else if (method == SOUP_METHOD_GET) {
-        routed = route_get(front, message, path);
+        routed = route_get(frontend, message, path);
     }
     else if (method == SOUP_METHOD_DELETE) {
-        routed = route_delete(front, message, path);
+        routed = route_delete(frontend, message, path);
     }
     if (!routed) {
         reply_plain(message, SOUP_STATUS_NOT_FOUND);
@@ -155,13 +158,13 @@
 }
 
 static bool
-listen_on(struct front *front, struct status *status)
+listen_on(struct frontend *frontend, struct status *status)
 {
-    const struct settings *settings = front->options.settings;
+    const struct settings *settings = frontend->options.settings;
     GError *error = NULL;
     GSocket *socket = open_socket(settings, &error);
     if (socket == NULL ||
-        !soup_server_listen_socket(front->server, socket, 0, &error)) {
+        !soup_server_listen_socket(frontend->server, socket, 0, &error)) {
         status_set(status, STATUS_UNAVAILABLE, "cannot listen on %s:%u: %s",
                    settings->address, settings->http_port, error->message);
         g_error_free(error);
@@ -169,37 +172,40 @@
         return false;
     }
     GSocketAddress *bound = g_socket_get_local_address(socket, NULL);
-    front->port = g_inet_socket_address_get_port(G_INET_SOCKET_ADDRESS(bound));
+    frontend->port =
+        g_inet_socket_address_get_port(G_INET_SOCKET_ADDRESS(bound));
     g_object_unref(bound);
     g_object_unref(socket);
     return true;
 }
 
-struct front *
-front_create(const struct front_options *options, struct status *status)
+struct frontend *
+frontend_create(const struct frontend_options *options, struct status *status)
 {
-    struct front *front = g_new0(struct front, 1);
-    front->options = *options;
-    front->server = soup_server_new("server-header", "egretd", NULL);
-    front->connections = connections_create(front->server);
-    soup_server_add_early_handler(front->server, NULL, on_head, front, NULL);
-    soup_server_add_handler(front->server, NULL, on_request, front, NULL);
-    if (front->connections == NULL) {
+    struct frontend *frontend = g_new0(struct frontend, 1);
+    frontend->options = *options;
+    frontend->server = soup_server_new("server-header", "egretd", NULL);
+    frontend->connections = connections_create(frontend->server);
+    soup_server_add_early_handler(frontend->server, NULL, on_head, frontend,
+                                  NULL);
+    soup_server_add_handler(frontend->server, NULL, on_request, frontend,
+                            NULL);
+    if (frontend->connections == NULL) {
         status_set(status, STATUS_INTERNAL, "cannot make an epoll set");
-        front_destroy(front);
+        frontend_destroy(frontend);
         return NULL;
     }
-    if (!listen_on(front, status)) {
-        front_destroy(front);
+    if (!listen_on(frontend, status)) {
+        frontend_destroy(frontend);
         return NULL;
     }
-    return front;
+    return frontend;
 }
 
 void
-front_stop_listening(struct front *front)
+frontend_stop_listening(struct frontend *frontend)
 {
-    GSList *listeners = soup_server_get_listeners(front->server);
+    GSList *listeners = soup_server_get_listeners(frontend->server);
     for (GSList *link = listeners; link != NULL; link = link->next) {
         g_socket_close(link->data, NULL);
     }
@@ -207,19 +213,19 @@
 }
 
 void
-front_destroy(struct front *front)
+frontend_destroy(struct frontend *frontend)
 {
-    if (front == NULL) {
+    if (frontend == NULL) {
         return;
     }
-    soup_server_disconnect(front->server);
-    g_object_unref(front->server);
-    connections_destroy(front->connections);
-    g_free(front);
+    soup_server_disconnect(frontend->server);
+    g_object_unref(frontend->server);
+    connections_destroy(frontend->connections);
+    g_free(frontend);
 }
 
 uint16_t
-front_port(const struct front *front)
+frontend_port(const struct frontend *frontend)
 {
-    return front->port;
+    return frontend->port;
 }
--- a/egretd/gateway.c
+++ b/egretd/gateway.c
@@ -7,7 +7,7 @@
 #include "egretd/config_feed.h"
 #include "egretd/demand.h"
 #include "egretd/engine.h"
-#include "egretd/front.h"
+#include "egretd/frontend.h"
 #include "egretd/gateway_status.h"
 #include "egretd/host_view.h"
 #include "egretd/membership.h"
@@ -32,8 +32,8 @@
     struct config_feed *feed;
     struct host_view *hosts;
     struct demand *demand;
-    struct cancel_relay *cancels;
-    struct front *front;
+    struct cancel_relay *cancel_relay;
+    struct frontend *frontend;
     struct membership *membership;
     char *incarnation;
     guint restart;
@@ -86,7 +86,7 @@
 }
 
 static bool
-has_standing(void *ctx)
+has_quorum_lease(void *ctx)
 {
     struct gateway *gateway = ctx;
     return gateway->membership != NULL &&
@@ -106,7 +106,7 @@
         .secret = gateway->secret,
         .find_peer = find_peer,
         .find_queue = find_queue,
-        .standing = has_standing,
+        .has_quorum_lease = has_quorum_lease,
         .ctx = gateway,
     });
     return true;
@@ -129,7 +129,7 @@
     }
     log_line(LOG_LEVEL_INFO, "config", "generation=%" G_GUINT64_FORMAT,
              config->generation);
-    engine_pump(gateway->engine);
+    engine_run_actions(gateway->engine);
 }
 
 static bool
@@ -159,7 +159,7 @@
 {
     struct gateway *gateway = ctx;
     dispatch_set_hosts(engine_dispatch(gateway->engine), hosts, n_hosts);
-    engine_pump(gateway->engine);
+    engine_run_actions(gateway->engine);
 }
 
 static bool
@@ -218,18 +218,19 @@
 {
     struct gateway *gateway = ctx;
     return gateway->shutdown_at_ms == 0 &&
-           config_feed_current(gateway->feed) != NULL && has_standing(gateway);
+           config_feed_current(gateway->feed) != NULL &&
+           has_quorum_lease(gateway);
 }
 
 static void
-collect_facts(struct gateway *gateway, struct gateway_facts *facts)
+collect_snapshot(struct gateway *gateway, struct gateway_snapshot *snapshot)
 {
-    *facts = (struct gateway_facts){
+    *snapshot = (struct gateway_snapshot){
         .settings = gateway->settings,
         .generation = config_feed_generation(gateway->feed),
         .config_id = config_feed_id(gateway->feed),
         .now_ms = now_ms(gateway),
-        .until_ms = INT64_MIN,
+        .lease_until_ms = INT64_MIN,
         .inflight = engine_inflight(gateway->engine),
         .draining = gateway->shutdown_at_ms != 0,
         .store = store_stats_get(gateway->store),
@@ -237,44 +238,44 @@
     if (gateway->membership == NULL) {
         return;
     }
-    facts->incarnation = membership_incarnation(gateway->membership);
-    facts->until_ms = membership_lease_until_ms(gateway->membership);
-    facts->peers = membership_peers_stats(gateway->membership);
-    facts->members = membership_members(gateway->membership, &facts->n_members,
-                                        &facts->epoch);
+    snapshot->incarnation = membership_incarnation(gateway->membership);
+    snapshot->lease_until_ms = membership_lease_until_ms(gateway->membership);
+    snapshot->peers = membership_peers_stats(gateway->membership);
+    snapshot->members = membership_members(
+        gateway->membership, &snapshot->n_members, &snapshot->epoch);
 }
 
 static void
 on_status(void *ctx, JsonBuilder *builder)
 {
     struct gateway *gateway = ctx;
-    struct gateway_facts facts;
-    collect_facts(gateway, &facts);
-    gateway_status_build(&facts, engine_dispatch(gateway->engine), builder);
+    struct gateway_snapshot snapshot;
+    collect_snapshot(gateway, &snapshot);
+    gateway_status_build(&snapshot, engine_dispatch(gateway->engine), builder);
 }
 
 static void
 on_refresh(void *ctx)
 {
     struct gateway *gateway = ctx;
-    struct gateway_facts facts;
-    collect_facts(gateway, &facts);
-    gateway_status_count(&facts, gateway->counters);
+    struct gateway_snapshot snapshot;
+    collect_snapshot(gateway, &snapshot);
+    gateway_status_set_metrics(&snapshot, gateway->counters);
 }
 
 static bool
-start_front(void *ctx, struct status *status)
+start_frontend(void *ctx, struct status *status)
 {
     struct gateway *gateway = ctx;
-    gateway->cancels =
+    gateway->cancel_relay =
         cancel_relay_create(gateway->settings->connect_timeout_ms);
-    gateway->front = front_create(
-        &(struct front_options){
+    gateway->frontend = frontend_create(
+        &(struct frontend_options){
             .settings = gateway->settings,
             .secret = gateway->secret,
             .counters = gateway->counters,
             .engine = gateway->engine,
-            .cancels = gateway->cancels,
+            .cancel_relay = gateway->cancel_relay,
             .config = current_config,
             .healthy = is_healthy,
             .status = on_status,
@@ -282,15 +283,15 @@
             .ctx = gateway,
         },
         status);
-    return gateway->front != NULL;
+    return gateway->frontend != NULL;
 }
 
 static void
-stop_front(void *ctx)
+stop_frontend(void *ctx)
 {
     struct gateway *gateway = ctx;
-    g_clear_pointer(&gateway->front, front_destroy);
-    g_clear_pointer(&gateway->cancels, cancel_relay_destroy);
+    g_clear_pointer(&gateway->frontend, frontend_destroy);
+    g_clear_pointer(&gateway->cancel_relay, cancel_relay_destroy);
 }
 
 /* Never used before, not even by a clone of this host. */
@@ -341,7 +342,7 @@
             .clock = gateway->clock,
             .feed = gateway->feed,
             .engine = gateway->engine,
-            .http_port = front_port(gateway->front),
+            .http_port = frontend_port(gateway->frontend),
             .incarnation = gateway->incarnation,
             .fenced = on_fenced,
             .ctx = gateway,
@@ -354,7 +355,7 @@
              "name=%s dc=%s incarnation=%s http_port=%u",
              gateway->settings->name, gateway->settings->dc,
              membership_incarnation(gateway->membership),
-             front_port(gateway->front));
+             frontend_port(gateway->frontend));
     return true;
 }
 
@@ -374,7 +375,7 @@
         {"config", start_feed, stop_feed, gateway},
         {"hosts", start_hosts, stop_hosts, gateway},
         {"demand", start_demand, stop_demand, gateway},
-        {"front", start_front, stop_front, gateway},
+        {"front", start_frontend, stop_frontend, gateway},
         {"membership", start_membership, stop_membership, gateway},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(parts); i++) {
@@ -445,7 +446,7 @@
     }
     if (!gateway->left) {
         gateway->left = true;
-        front_stop_listening(gateway->front);
+        frontend_stop_listening(gateway->frontend);
         engine_drain(gateway->engine);
     }
     if (engine_inflight(gateway->engine) > 0 &&
--- a/egretd/membership.c
+++ b/egretd/membership.c
@@ -106,7 +106,7 @@
     if (lost || gained) {
         log_line(LOG_LEVEL_INFO, "standing", "until_in_ms=%" G_GINT64_FORMAT,
                  MAX(lease_until_ms, now) - now);
-        engine_pump(membership->options.engine);
+        engine_run_actions(membership->options.engine);
     }
 }
 
@@ -267,7 +267,7 @@
 {
     struct membership *membership = ctx;
     dispatch_set_permits(dispatch_of(membership), team, permits);
-    engine_pump(membership->options.engine);
+    engine_run_actions(membership->options.engine);
 }
 
 static gboolean
--- a/egretd/operator_api.c
+++ b/egretd/operator_api.c
@@ -20,8 +20,8 @@
 }
 
 static bool
-check_operator(const struct front_options *options, SoupServerMessage *message,
-               const char *path)
+check_operator(const struct frontend_options *options,
+               SoupServerMessage *message, const char *path)
 {
     const char *value = soup_message_headers_get_one(
         soup_server_message_get_request_headers(message), "Egret-Auth");
@@ -46,7 +46,7 @@
 }
 
 void
-operator_health(const struct front_options *options,
+operator_health(const struct frontend_options *options,
                 SoupServerMessage *message)
 {
     bool healthy = options->healthy(options->ctx);
@@ -55,7 +55,7 @@
 }
 
 void
-operator_metrics(const struct front_options *options,
+operator_metrics(const struct frontend_options *options,
                  SoupServerMessage *message)
 {
     GString *text = g_string_new(NULL);
@@ -66,7 +66,7 @@
 }
 
 void
-operator_status(const struct front_options *options,
+operator_status(const struct frontend_options *options,
                 SoupServerMessage *message, const char *path)
 {
     if (!check_operator(options, message, path)) {
@@ -80,7 +80,7 @@
 }
 
 void
-operator_explain(const struct front_options *options,
+operator_explain(const struct frontend_options *options,
                  SoupServerMessage *message, const char *path,
                  const char *queue)
 {
@@ -112,16 +112,17 @@
 }
 
 void
-operator_asked(const struct front_options *options, SoupServerMessage *message,
-               const char *path)
+operator_id_query(const struct frontend_options *options,
+                  SoupServerMessage *message, const char *path)
 {
     SoupMessageHeaders *headers =
         soup_server_message_get_request_headers(message);
-    const char *asker = soup_message_headers_get_one(headers, "Egret-Asker");
+    const char *querier = soup_message_headers_get_one(headers, "Egret-Asker");
     const char *auth = soup_message_headers_get_one(headers, "Egret-Auth");
     char **parts = g_strsplit(path, "/", 0);
-    if (asker == NULL || !request_auth_verify(options->secret, SOUP_METHOD_GET,
-                                              path, asker, auth)) {
+    if (querier == NULL ||
+        !request_auth_verify(options->secret, SOUP_METHOD_GET, path, querier,
+                             auth)) {
         reply(message, SOUP_STATUS_FORBIDDEN, "application/json",
               g_strdup("{\"error\":\"Egret-Auth is missing or wrong\"}"));
     }
@@ -130,8 +131,9 @@
               g_strdup("{\"error\":\"want /v1/ids/{team}/{id}\"}"));
     }
     else {
-        reply(message, SOUP_STATUS_OK, "application/json",
-              engine_asked(options->engine, parts[3], parts[4], asker));
+        reply(
+            message, SOUP_STATUS_OK, "application/json",
+            engine_answer_query(options->engine, parts[3], parts[4], querier));
     }
     g_strfreev(parts);
 }
--- a/egretd/request.c
+++ b/egretd/request.c
@@ -13,7 +13,7 @@
 waiter_destroy(void *data)
 {
     struct waiter *waiter = data;
-    connection_set_handler(waiter->message, NULL, NULL);
+    connection_set_hang_up_handler(waiter->message, NULL, NULL);
     g_signal_handler_disconnect(waiter->message, waiter->finished);
     g_object_unref(waiter->message);
     g_free(waiter);
@@ -35,7 +35,7 @@
     }
     g_ptr_array_unref(request->waiters);
     g_clear_pointer(&request->body, g_bytes_unref);
-    answer_destroy(request->kept);
+    answer_destroy(request->last_failure);
     g_free(request->task_name);
     g_free(request->team);
     g_free(request->queue);
@@ -51,12 +51,13 @@
 {
     struct request *request = waiter->request;
     if (request->streaming == waiter->message) {
-        g_signal_handler_disconnect(waiter->message, request->wrote_chunk);
+        g_signal_handler_disconnect(waiter->message,
+                                    request->wrote_chunk_handler);
         request->streaming = NULL;
     }
     g_ptr_array_remove_fast(request->waiters, waiter);
     if (request->waiters->len == 0 && request->abandoned != NULL) {
-        request->abandoned(request->abandoned_ctx, request);
+        request->abandoned(request->callback_ctx, request);
     }
 }
 
@@ -80,14 +81,14 @@
 }
 
 void
-request_wait(struct request *request, SoupServerMessage *message)
+request_add_waiter(struct request *request, SoupServerMessage *message)
 {
     struct waiter *waiter = g_new0(struct waiter, 1);
     waiter->request = request;
     waiter->message = g_object_ref(message);
     waiter->finished =
         g_signal_connect(message, "finished", G_CALLBACK(on_finished), waiter);
-    connection_set_handler(message, on_hang_up, waiter);
+    connection_set_hang_up_handler(message, on_hang_up, waiter);
     g_ptr_array_add(request->waiters, waiter);
 }
 
@@ -110,7 +111,7 @@
 {
     struct request *request = data;
     (void)message;
-    request->wrote(request->abandoned_ctx, request);
+    request->wrote(request->callback_ctx, request);
 }
 
 bool
@@ -123,7 +124,7 @@
     struct waiter *waiter = g_ptr_array_index(request->waiters, 0);
     request->streaming = waiter->message;
     request->wrote = wrote;
-    request->wrote_chunk = g_signal_connect(
+    request->wrote_chunk_handler = g_signal_connect(
         waiter->message, "wrote-chunk", G_CALLBACK(on_wrote_chunk), request);
     answer_write_head(head, waiter->message, request->task_name);
     soup_server_message_unpause(waiter->message);
@@ -149,7 +150,7 @@
         return;
     }
     g_object_ref(message);
-    g_signal_handler_disconnect(message, request->wrote_chunk);
+    g_signal_handler_disconnect(message, request->wrote_chunk_handler);
     request->streaming = NULL;
     request->abandoned = NULL;
     g_ptr_array_set_size(request->waiters, 0);
--- a/egretd/stopper.c
+++ b/egretd/stopper.c
@@ -21,7 +21,7 @@
     uint64_t number;
     char *task_name;
     char *address;
-    int64_t until_ms;
+    int64_t deadline_ms;
     bool stopping;
     int64_t retry_ms;
     GCancellable *cancellable;
@@ -104,7 +104,7 @@
         finish(job, STOP_STATE_RUNNING);
         return;
     }
-    if (ms_clock_now(&stopper->options.clock) >= job->until_ms) {
+    if (ms_clock_now(&stopper->options.clock) >= job->deadline_ms) {
         finish(job, STOP_STATE_EXPIRED);
         return;
     }
@@ -184,15 +184,15 @@
 }
 
 static void
-start_job(struct stopper *stopper, const struct stop_order *order,
+start_job(struct stopper *stopper, const struct stop_params *params,
           bool stopping)
 {
     struct job *job = g_new0(struct job, 1);
     job->stopper = stopper;
-    job->number = order->number;
-    job->task_name = g_strdup(order->task_name);
-    job->address = g_strdup(order->address);
-    job->until_ms = order->until_ms;
+    job->number = params->number;
+    job->task_name = g_strdup(params->task_name);
+    job->address = g_strdup(params->address);
+    job->deadline_ms = params->deadline_ms;
     job->stopping = stopping;
     job->retry_ms = FIRST_RETRY_MS;
     g_hash_table_add(stopper->jobs, job);
@@ -200,15 +200,15 @@
 }
 
 void
-stopper_stop(struct stopper *stopper, const struct stop_order *order)
+stopper_stop(struct stopper *stopper, const struct stop_params *params)
 {
-    start_job(stopper, order, true);
+    start_job(stopper, params, true);
 }
 
 void
-stopper_probe(struct stopper *stopper, const struct stop_order *order)
+stopper_probe(struct stopper *stopper, const struct stop_params *params)
 {
-    start_job(stopper, order, false);
+    start_job(stopper, params, false);
 }
 
 struct stopper *
--- a/egretd/submit.c
+++ b/egretd/submit.c
@@ -18,7 +18,7 @@
 #define BEARER "Bearer "
 
 static void
-answer_now(const struct front_options *options, SoupServerMessage *message,
+answer_now(const struct frontend_options *options, SoupServerMessage *message,
            enum reason reason)
 {
     char labels[64];
@@ -129,7 +129,8 @@
 }
 
 static enum reason
-check_framing(const struct front_options *options, SoupServerMessage *message)
+check_framing(const struct frontend_options *options,
+              SoupServerMessage *message)
 {
     SoupMessageHeaders *headers =
         soup_server_message_get_request_headers(message);
@@ -157,7 +158,7 @@
 }
 
 static enum reason
-check_size(const struct front_options *options, SoupServerMessage *message,
+check_size(const struct frontend_options *options, SoupServerMessage *message,
            const struct config_queue *queue)
 {
     SoupMessageHeaders *headers =
@@ -176,7 +177,7 @@
 }
 
 static enum reason
-check_queue_head(const struct front_options *options,
+check_queue_head(const struct frontend_options *options,
                  SoupServerMessage *message, const char *path)
 {
     const struct config *config = options->config(options->ctx);
@@ -223,7 +224,7 @@
 }
 
 bool
-submit_check_head(const struct front_options *options,
+submit_check_head(const struct frontend_options *options,
                   SoupServerMessage *message, const char *path)
 {
     enum reason reason = check_framing(options, message);
@@ -265,17 +266,17 @@
 }
 
 static void
-take_request(const struct front_options *options, SoupServerMessage *message,
-             struct request *request)
+take_request(const struct frontend_options *options,
+             SoupServerMessage *message, struct request *request)
 {
     request->content_type = g_strdup(find_header(message, "Content-Type"));
     soup_server_message_pause(message);
-    request_wait(request, message);
+    request_add_waiter(request, message);
     engine_submit(options->engine, request);
 }
 
 void
-submit_task(const struct front_options *options, SoupServerMessage *message,
+submit_task(const struct frontend_options *options, SoupServerMessage *message,
             const char *queue_name)
 {
     const struct config *config = options->config(options->ctx);
@@ -318,7 +319,7 @@
 }
 
 void
-submit_forwarded(const struct front_options *options,
+submit_forwarded(const struct frontend_options *options,
                  SoupServerMessage *message, const char *path,
                  const char *queue)
 {
@@ -330,7 +331,7 @@
         return;
     }
     struct request *request = request_create();
-    if (!forward_header_apply(value, request)) {
+    if (!forward_header_parse(value, request)) {
         request_destroy(request);
         answer_now(options, message, REASON_BAD_REQUEST);
         return;
@@ -347,8 +348,8 @@
 }
 
 void
-submit_cancel(const struct front_options *options, SoupServerMessage *message,
-              const char *request_id)
+submit_cancel(const struct frontend_options *options,
+              SoupServerMessage *message, const char *request_id)
 {
     const struct config *config = options->config(options->ctx);
     const struct config_team *team = NULL;
@@ -363,6 +364,6 @@
         answer_now(options, message, reason);
         return;
     }
-    cancel_request(options->cancels, options->engine, message, team->name,
+    cancel_request(options->cancel_relay, options->engine, message, team->name,
                    request_id);
 }
--- a/egretd/usage_report.c
+++ b/egretd/usage_report.c
@@ -115,7 +115,7 @@
                         usage->n_entries,
                         ms_clock_now(&report->options.clock));
     g_free(entries);
-    engine_pump(report->options.engine);
+    engine_run_actions(report->options.engine);
 }
 
 struct usage_report *
--- a/include/egretd/attempts.h
+++ b/include/egretd/attempts.h
@@ -12,7 +12,7 @@
 #include "egretd/answer.h"
 
 /**
- * struct attempt_order - one attempt to make
+ * struct attempt_params - one attempt to make
  * @number: unique number of the attempt
  * @task_name: id the backend server knows it by, unique for ever
  * @host, @address: the backend server
@@ -22,7 +22,7 @@
  * @idempotent: may use a connection that was used before
  * @lease_ms: time after which the backend server ends the attempt
  */
-struct attempt_order {
+struct attempt_params {
     uint64_t number;
     const char *task_name;
     const char *host;
@@ -45,7 +45,7 @@
  * @stream: the answer is long: true to pass it on piece by piece
  * @data: next piece of it; the next comes after attempts_continue(). The end
  *        comes through @ended, with ATTEMPT_DONE and no answer when whole.
- * @settled: a lost attempt is known not to run any more
+ * @resolved: a lost attempt is known not to run any more
  * @load: a backend server told how many tasks it runs
  */
 struct attempts_handler {
@@ -55,7 +55,7 @@
                   enum reason reason, struct answer *answer);
     bool (*stream)(void *ctx, uint64_t number, const struct answer_head *head);
     void (*data)(void *ctx, uint64_t number, GBytes *piece);
-    void (*settled)(void *ctx, uint64_t number);
+    void (*resolved)(void *ctx, uint64_t number);
     void (*load)(void *ctx, const char *host, uint32_t running);
     void *ctx;
 };
@@ -82,7 +82,7 @@
 
 /** attempts_start() - connect, check once more and send. */
 void
-attempts_start(struct attempts *attempts, const struct attempt_order *order);
+attempts_start(struct attempts *attempts, const struct attempt_params *params);
 
 /** attempts_cancel() - ask the backend server to stop an attempt; @ended
  * follows with ATTEMPT_STOPPED, or with its answer if that came first. */
--- a/include/egretd/connections.h
+++ b/include/egretd/connections.h
@@ -22,10 +22,10 @@
 void
 connections_destroy(struct connections *connections);
 
-/** connection_set_handler() - call @hang_up when the connection of @message
- * is closed by the caller; NULL to stop. */
+/** connection_set_hang_up_handler() - call @hang_up when the connection of
+ * @message is closed by the caller; NULL to stop. */
 void
-connection_set_handler(SoupServerMessage *message, void (*hang_up)(void *ctx),
-                       void *ctx);
+connection_set_hang_up_handler(SoupServerMessage *message,
+                               void (*hang_up)(void *ctx), void *ctx);
 
 #endif
--- a/include/egretd/engine.h
+++ b/include/egretd/engine.h
@@ -23,7 +23,7 @@
  * @secret: signs forwarded requests
  * @find_peer: HTTP address of a gateway; false when it is not known
  * @find_queue: a queue in the configuration in force, or NULL
- * @standing: whether this gateway may start work now
+ * @has_quorum_lease: whether this gateway may start work now
  */
 struct engine_options {
     const struct settings *settings;
@@ -34,7 +34,7 @@
     bool (*find_peer)(void *ctx, const char *peer,
                       struct forward_target *target);
     const struct config_queue *(*find_queue)(void *ctx, const char *queue);
-    bool (*standing)(void *ctx);
+    bool (*has_quorum_lease)(void *ctx);
     void *ctx;
 };
 
@@ -46,13 +46,13 @@
 engine_destroy(struct engine *engine);
 
 /** engine_dispatch() - the dispatcher, to be fed with facts; call
- * engine_pump() after that. */
+ * engine_run_actions() after that. */
 struct dispatch *
 engine_dispatch(struct engine *engine);
 
-/** engine_pump() - carry out every decision that is due. */
+/** engine_run_actions() - carry out every decision that is due. */
 void
-engine_pump(struct engine *engine);
+engine_run_actions(struct engine *engine);
 
 /**
  * engine_submit() - take a request
@@ -84,10 +84,10 @@
 engine_find_owner(struct engine *engine, const char *team,
                   const char *request_id, struct forward_target *target);
 
-/** engine_asked() - what is known here of a request id, as JSON. */
+/** engine_answer_query() - what is known here of a request id, as JSON. */
 char *
-engine_asked(struct engine *engine, const char *team, const char *id,
-             const char *asker);
+engine_answer_query(struct engine *engine, const char *team, const char *id,
+                    const char *querier);
 
 /** engine_drain() - take no more; refuse what can't start any more. */
 void
--- a/include/egretd/forwards.h
+++ b/include/egretd/forwards.h
@@ -7,15 +7,15 @@
 #include "egretd/request.h"
 
 /**
- * struct forward_order - one request to hand over
+ * struct forward_params - one request to hand over
  * @address: "IP:port" of the other gateway's HTTP server
- * @keep: the other gateway must run it itself: it owns the request id
+ * @to_owner: the other gateway must run it itself: it owns the request id
  * @timeout_ms: time after which the outcome counts as lost
  */
-struct forward_order {
+struct forward_params {
     const struct request *request;
     const char *address;
-    bool keep;
+    bool to_owner;
     int64_t timeout_ms;
 };
 
@@ -44,9 +44,9 @@
 void
 forwards_destroy(struct forwards *forwards);
 
-/** forwards_start() - send @order; @ended follows once. */
+/** forwards_start() - send @params; @ended follows once. */
 void
-forwards_start(struct forwards *forwards, const struct forward_order *order);
+forwards_start(struct forwards *forwards, const struct forward_params *params);
 
 /** forwards_continue() - ready for the next piece of a long answer. */
 void
@@ -56,13 +56,13 @@
 void
 forwards_abort(struct forwards *forwards, uint64_t task);
 
-/** forward_header_value() - what the "Egret-Forward" header carries. */
+/** forward_header_format() - what the "Egret-Forward" header carries. */
 char *
-forward_header_value(const struct request *request, bool keep);
+forward_header_format(const struct request *request, bool to_owner);
 
-/** forward_header_apply() - fill @request from a header value; false when it
+/** forward_header_parse() - fill @request from a header value; false when it
  * is malformed. */
 bool
-forward_header_apply(const char *value, struct request *request);
+forward_header_parse(const char *value, struct request *request);
 
 #endif
--- a/include/egretd/front.h
+++ b/include/egretd/frontend.h
@@ -1,6 +1,6 @@
 /* HTTP server of a gateway: callers, other gateways and operators. */
-#ifndef EGRETD_FRONT_H
-#define EGRETD_FRONT_H
+#ifndef EGRETD_FRONTEND_H
+#define EGRETD_FRONTEND_H
 
 #include <glib.h>
 #include <json-glib/json-glib.h>
@@ -14,17 +14,17 @@
 #include "egretd/engine.h"
 
 /**
- * struct front_options - what the server works with
+ * struct frontend_options - what the server works with
  * @config: configuration in force, or NULL
  * @healthy: whether the balancer may send work here
  * @status: fills the object that operators see
  */
-struct front_options {
+struct frontend_options {
     const struct settings *settings;
     const char *secret;
     struct counters *counters;
     struct engine *engine;
-    struct cancel_relay *cancels;
+    struct cancel_relay *cancel_relay;
     const struct config *(*config)(void *ctx);
     bool (*healthy)(void *ctx);
     void (*status)(void *ctx, JsonBuilder *builder);
@@ -33,20 +33,20 @@
     void *ctx;
 };
 
-struct front;
+struct frontend;
 
-/** front_create() - listen; NULL and @status when that fails. */
-struct front *
-front_create(const struct front_options *options, struct status *status);
+/** frontend_create() - listen; NULL and @status when that fails. */
+struct frontend *
+frontend_create(const struct frontend_options *options, struct status *status);
 void
-front_destroy(struct front *front);
+frontend_destroy(struct frontend *frontend);
 
-/** front_port() - port in use. */
+/** frontend_port() - port in use. */
 uint16_t
-front_port(const struct front *front);
+frontend_port(const struct frontend *frontend);
 
-/** front_stop_listening() - take no new connections. */
+/** frontend_stop_listening() - take no new connections. */
 void
-front_stop_listening(struct front *front);
+frontend_stop_listening(struct frontend *frontend);
 
 #endif
--- a/include/egretd/gateway_status.h
+++ b/include/egretd/gateway_status.h
@@ -14,8 +14,8 @@
 #include "egretd/registration.h"
 #include "store/store.h"
 
-/** struct gateway_facts - state of the process at one moment */
-struct gateway_facts {
+/** struct gateway_snapshot - state of the process at one moment */
+struct gateway_snapshot {
     const struct settings *settings;
     const char *incarnation;
     uint64_t generation;
@@ -24,7 +24,7 @@
     const struct gateway_member *members;
     size_t n_members;
     int64_t now_ms;
-    int64_t until_ms;
+    int64_t lease_until_ms;
     uint32_t inflight;
     bool draining;
     struct store_stats store;
@@ -33,12 +33,12 @@
 
 /** gateway_status_build() - members of the JSON object at /v1/status. */
 void
-gateway_status_build(const struct gateway_facts *facts,
+gateway_status_build(const struct gateway_snapshot *snapshot,
                      struct dispatch *dispatch, JsonBuilder *builder);
 
-/** gateway_status_count() - set the gauges shown at /metrics. */
+/** gateway_status_set_metrics() - set the gauges shown at /metrics. */
 void
-gateway_status_count(const struct gateway_facts *facts,
-                     struct counters *counters);
+gateway_status_set_metrics(const struct gateway_snapshot *snapshot,
+                           struct counters *counters);
 
 #endif
--- a/include/egretd/operator_api.h
+++ b/include/egretd/operator_api.h
@@ -4,32 +4,32 @@
 
 #include <libsoup/soup.h>
 
-#include "egretd/front.h"
+#include "egretd/frontend.h"
 
 /** operator_health() - GET /healthz. */
 void
-operator_health(const struct front_options *options,
+operator_health(const struct frontend_options *options,
                 SoupServerMessage *message);
 
 /** operator_metrics() - GET /metrics. */
 void
-operator_metrics(const struct front_options *options,
+operator_metrics(const struct frontend_options *options,
                  SoupServerMessage *message);
 
 /** operator_status() - GET /v1/status, with proof of the secret. */
 void
-operator_status(const struct front_options *options,
+operator_status(const struct frontend_options *options,
                 SoupServerMessage *message, const char *path);
 
 /** operator_explain() - GET /v1/explain/{queue}, with proof of the secret. */
 void
-operator_explain(const struct front_options *options,
+operator_explain(const struct frontend_options *options,
                  SoupServerMessage *message, const char *path,
                  const char *queue);
 
-/** operator_asked() - GET /v1/ids/{team}/{id} of another gateway. */
+/** operator_id_query() - GET /v1/ids/{team}/{id} of another gateway. */
 void
-operator_asked(const struct front_options *options, SoupServerMessage *message,
-               const char *path);
+operator_id_query(const struct frontend_options *options,
+                  SoupServerMessage *message, const char *path);
 
 #endif
--- a/include/egretd/request.h
+++ b/include/egretd/request.h
@@ -14,12 +14,12 @@
  * enum request_role - how a request gets its answer
  * @ROLE_RUN: its task runs through the dispatcher here
  * @ROLE_WAIT: it waits for a run of its id, or for what a gateway knows
- * @ROLE_SENT_ON: the gateway that owns its id answers it
+ * @ROLE_FORWARD: the gateway that owns its id answers it
  */
 enum request_role {
     ROLE_RUN,
     ROLE_WAIT,
-    ROLE_SENT_ON,
+    ROLE_FORWARD,
 };
 
 /**
@@ -31,7 +31,7 @@
  * @request_id: the caller's id, or NULL
  * @idempotent: may run more than once
  * @forwarded: came from another gateway
- * @keep: came from another gateway because this one owns its id
+ * @to_owner: came from another gateway because this one owns its id
  * @first_attempt: the caller vouches that it never sent the id before
  * @hops: how often gateways have sent it on
  * @role: how it gets its answer
@@ -40,7 +40,7 @@
  * @arrived_ms: when it arrived
  * @attempt: attempt that is out, or 0
  * @host: backend server of the last attempt, for logs
- * @kept: answer of the last attempt that ran and failed, or NULL
+ * @last_failure: answer of the last attempt that ran and failed, or NULL
  * @waiters: connections that wait for the answer
  */
 struct request {
@@ -53,7 +53,7 @@
     char *request_id;
     bool idempotent;
     bool forwarded;
-    bool keep;
+    bool to_owner;
     bool first_attempt;
     uint32_t hops;
     enum request_role role;
@@ -63,15 +63,15 @@
     int64_t arrived_ms;
     uint64_t attempt;
     char *host;
-    struct answer *kept;
+    struct answer *last_failure;
     GPtrArray *waiters;
     /* Set while a long answer is passed on. */
     SoupServerMessage *streaming;
-    gulong wrote_chunk;
+    gulong wrote_chunk_handler;
     void (*wrote)(void *ctx, struct request *request);
     /* Told when no caller waits any more. */
     void (*abandoned)(void *ctx, struct request *request);
-    void *abandoned_ctx;
+    void *callback_ctx;
 };
 
 struct request *
@@ -81,9 +81,9 @@
 void
 request_destroy(struct request *request);
 
-/** request_wait() - let a paused message wait for the answer. */
+/** request_add_waiter() - let a paused message wait for the answer. */
 void
-request_wait(struct request *request, SoupServerMessage *message);
+request_add_waiter(struct request *request, SoupServerMessage *message);
 
 /** request_answer() - answer every caller; @answer stays the caller's. */
 void
--- a/include/egretd/stopper.h
+++ b/include/egretd/stopper.h
@@ -23,16 +23,16 @@
 };
 
 /**
- * struct stop_order - an attempt to ask about
+ * struct stop_params - an attempt to ask about
  * @number: given back with the state
  * @task_name, @address: how the backend server knows it, and "IP:port"
- * @until_ms: clock time after which there is no point in asking
+ * @deadline_ms: clock time after which there is no point in asking
  */
-struct stop_order {
+struct stop_params {
     uint64_t number;
     const char *task_name;
     const char *address;
-    int64_t until_ms;
+    int64_t deadline_ms;
 };
 
 /** struct stopper_options - @done gets one state for each order */
@@ -52,11 +52,11 @@
 
 /** stopper_stop() - stop an attempt, asking again until it is known. */
 void
-stopper_stop(struct stopper *stopper, const struct stop_order *order);
+stopper_stop(struct stopper *stopper, const struct stop_params *params);
 
 /** stopper_probe() - ask once on a new connection; an attempt that never
  * arrived is fenced at the backend server. */
 void
-stopper_probe(struct stopper *stopper, const struct stop_order *order);
+stopper_probe(struct stopper *stopper, const struct stop_params *params);
 
 #endif
--- a/include/egretd/submit.h
+++ b/include/egretd/submit.h
@@ -4,7 +4,7 @@
 
 #include <libsoup/soup.h>
 
-#include "egretd/front.h"
+#include "egretd/frontend.h"
 
 enum {
     REQUEST_ID_MAX_BYTES = 64,
@@ -13,23 +13,23 @@
 /** submit_check_head() - refuse what the head alone shows to be wrong,
  * before the body is read; true when an answer was written. */
 bool
-submit_check_head(const struct front_options *options,
+submit_check_head(const struct frontend_options *options,
                   SoupServerMessage *message, const char *path);
 
 /** submit_task() - POST /v1/queues/{queue}/tasks. */
 void
-submit_task(const struct front_options *options, SoupServerMessage *message,
+submit_task(const struct frontend_options *options, SoupServerMessage *message,
             const char *queue);
 
 /** submit_forwarded() - POST /v1/forward/{queue} of another gateway. */
 void
-submit_forwarded(const struct front_options *options,
+submit_forwarded(const struct frontend_options *options,
                  SoupServerMessage *message, const char *path,
                  const char *queue);
 
 /** submit_cancel() - DELETE /v1/requests/{id}. */
 void
-submit_cancel(const struct front_options *options, SoupServerMessage *message,
-              const char *request_id);
+submit_cancel(const struct frontend_options *options,
+              SoupServerMessage *message, const char *request_id);
 
 #endif
