--- a/core/jobs/advice.c
+++ b/core/jobs/advice.c
@@ -60,12 +60,12 @@
 static int64_t
 tasks_waiting(const struct advice_request *request)
 {
-    const struct step_progress *part =
+    const struct step_progress *progress =
         job_step_progress(request->job, request->occurrence, request->step);
     int64_t waiting = 0;
     for (uint32_t t = 0; t < request->job->steps[request->step].task_count;
          t++) {
-        const struct job_task *task = &part->tasks[t];
+        const struct job_task *task = &progress->tasks[t];
         waiting += task->run == NULL && !task->done &&
                    task->wait_until_ms <= request->now_ms;
     }
@@ -92,7 +92,8 @@
             ->advice;
     GPtrArray *expired = g_ptr_array_new();
     GPtrArray *unasked = g_ptr_array_new();
-    double left = (double)tasks_waiting(request) * CANDIDATE_SURPLUS_FACTOR;
+    double tasks_left =
+        (double)tasks_waiting(request) * CANDIDATE_SURPLUS_FACTOR;
     GHashTableIter iter;
     void *value;
     g_hash_table_iter_init(&iter, sched->backends);
@@ -103,59 +104,60 @@
                                    request->occurrence, request->step)) {
             continue;
         }
-        enum advice_status known = step_advice_status(
+        enum advice_status status = step_advice_status(
             advice, backend->entry.id, backend->entry.incarnation_start_ms,
             request->now_ms);
-        if (known == ADVICE_GRANTED) {
-            left -= (double)tasks_that_fit(backend, step);
+        if (status == ADVICE_GRANTED) {
+            tasks_left -= (double)tasks_that_fit(backend, step);
         }
-        else if (known != ADVICE_REFUSED) {
-            g_ptr_array_add(known == ADVICE_EXPIRED ? expired : unasked,
+        else if (status != ADVICE_REFUSED) {
+            g_ptr_array_add(status == ADVICE_EXPIRED ? expired : unasked,
                             backend);
         }
     }
     /* Sorted by id, so that the same load gives the same requests. */
     g_ptr_array_sort(expired, compare_ids);
     g_ptr_array_sort(unasked, compare_ids);
-    GPtrArray *asked = g_ptr_array_new();
-    for (guint i = 0; left > 0 && asked->len < ADVICE_BACKENDS_MAX &&
-                      i < expired->len + unasked->len;
+    GPtrArray *candidates = g_ptr_array_new();
+    for (guint i = 0;
+         tasks_left > 0 && candidates->len < ADVICE_BACKENDS_MAX &&
+         i < expired->len + unasked->len;
          i++) {
-        bool again = i < expired->len;
+        bool was_allowed = i < expired->len;
         struct backend *backend =
-            again ? g_ptr_array_index(expired, i)
-                  : g_ptr_array_index(unasked, i - expired->len);
-        left -= (double)tasks_that_fit(backend, step) *
-                (again ? 1 : sched->advice.allowed_fraction);
-        g_ptr_array_add(asked, backend);
+            was_allowed ? g_ptr_array_index(expired, i)
+                        : g_ptr_array_index(unasked, i - expired->len);
+        tasks_left -= (double)tasks_that_fit(backend, step) *
+                      (was_allowed ? 1 : sched->advice.allowed_fraction);
+        g_ptr_array_add(candidates, backend);
     }
     g_ptr_array_unref(expired);
     g_ptr_array_unref(unasked);
-    return asked;
+    return candidates;
 }
 
 static void
 send_advice_call(const struct advice_request *request, GPtrArray *backends)
 {
     struct scheduler *sched = request->sched;
-    struct advice_call *open = &sched->advice;
-    open->job = job_ref(request->job);
-    open->occurrence = request->occurrence;
-    open->step = request->step;
-    open->sent_ms = request->now_ms;
-    open->asked = g_ptr_array_new_with_free_func(g_free);
+    struct advice_call *call = &sched->advice;
+    call->job = job_ref(request->job);
+    call->occurrence = request->occurrence;
+    call->step = request->step;
+    call->sent_ms = request->now_ms;
+    call->asked = g_ptr_array_new_with_free_func(g_free);
     for (guint i = 0; i < backends->len; i++) {
         const struct backend *backend = g_ptr_array_index(backends, i);
-        g_ptr_array_add(open->asked, g_strdup(backend->entry.id));
+        g_ptr_array_add(call->asked, g_strdup(backend->entry.id));
     }
     char step[JOB_ID_CHARS + 32];
     g_snprintf(step, sizeof(step), "%s.%u.%u", request->job->id,
                request->occurrence, request->step);
     sched_log_event(sched, "advice_asked", "\"step\":\"%s\",\"backends\":%u",
                     step, backends->len);
-    g_ptr_array_add(open->asked, NULL);
+    g_ptr_array_add(call->asked, NULL);
     sched->ops.request_advice(sched->ops.ctx, step,
-                              (const char *const *)open->asked->pdata);
+                              (const char *const *)call->asked->pdata);
 }
 
 static bool
@@ -208,7 +210,7 @@
 }
 
 static void
-close_call(struct scheduler *sched)
+finish_advice_call(struct scheduler *sched)
 {
     g_ptr_array_unref(sched->advice.asked);
     job_unref(sched->advice.job);
@@ -231,41 +233,41 @@
 scheduler_on_advice(struct scheduler *sched,
                     const struct advice_answer *answer)
 {
-    struct advice_call *open = &sched->advice;
-    if (open->job == NULL) {
+    struct advice_call *call = &sched->advice;
+    if (call->job == NULL) {
         return;
     }
     if (!answer->given) {
-        open->retry_ms = sched_now(sched) + ADVICE_RETRY_MS;
+        call->retry_ms = sched_now(sched) + ADVICE_RETRY_MS;
         sched_log_event(sched, "advice_missing", "\"job\":\"%s\"",
-                        open->job->id);
-        close_call(sched);
+                        call->job->id);
+        finish_advice_call(sched);
         return;
     }
-    struct step_progress *part =
-        job_step_progress(open->job, open->occurrence, open->step);
-    if (part->advice == NULL) {
-        part->advice = step_advice_create();
+    struct step_progress *progress =
+        job_step_progress(call->job, call->occurrence, call->step);
+    if (progress->advice == NULL) {
+        progress->advice = step_advice_create();
     }
-    for (guint i = 0; i + 1 < open->asked->len; i++) {
-        const char *id = g_ptr_array_index(open->asked, i);
+    for (guint i = 0; i + 1 < call->asked->len; i++) {
+        const char *id = g_ptr_array_index(call->asked, i);
         const struct backend *backend = scheduler_find_backend(sched, id);
         const struct advice_row *row = find_row(answer, id);
-        int64_t born_ms =
+        int64_t incarnation_start_ms =
             backend == NULL ? 0 : backend->entry.incarnation_start_ms;
         if (row == NULL) {
-            step_advice_refuse(part->advice, id, born_ms);
+            step_advice_refuse(progress->advice, id, incarnation_start_ms);
         }
         else {
-            step_advice_grant(part->advice, id, born_ms, row->ticket,
-                              open->sent_ms + answer->valid_ms -
-                                  TICKET_MARGIN_MS);
+            step_advice_grant(
+                progress->advice, id, incarnation_start_ms, row->ticket,
+                call->sent_ms + answer->valid_ms - TICKET_MARGIN_MS);
         }
-        open->allowed_fraction +=
+        call->allowed_fraction +=
             ALLOWED_FRACTION_WEIGHT *
-            ((row == NULL ? 0 : 1) - open->allowed_fraction);
+            ((row == NULL ? 0 : 1) - call->allowed_fraction);
     }
-    close_call(sched);
+    finish_advice_call(sched);
 }
 
 void
@@ -278,6 +280,6 @@
 sched_advice_clear(struct scheduler *sched)
 {
     if (sched->advice.job != NULL) {
-        close_call(sched);
+        finish_advice_call(sched);
     }
 }
--- a/core/jobs/backend.c
+++ b/core/jobs/backend.c
@@ -73,9 +73,9 @@
 static void
 pending_completion_free(void *data)
 {
-    struct pending_completion *end = data;
-    job_unref(end->job);
-    g_free(end);
+    struct pending_completion *completion = data;
+    job_unref(completion->job);
+    g_free(completion);
 }
 
 void
@@ -138,13 +138,14 @@
 backend_ack_completions(struct backend *backend)
 {
     for (;;) {
-        struct pending_completion *end =
+        struct pending_completion *completion =
             g_queue_peek_head(&backend->completions);
-        if (end == NULL ||
-            (end->job != NULL && end->job->stored_version < end->version)) {
+        if (completion == NULL ||
+            (completion->job != NULL &&
+             completion->job->stored_version < completion->version)) {
             return;
         }
-        backend->acked_completion = end->number;
+        backend->acked_completion = completion->number;
         pending_completion_free(g_queue_pop_head(&backend->completions));
     }
 }
--- a/core/jobs/command_budget.c
+++ b/core/jobs/command_budget.c
@@ -18,13 +18,13 @@
 {
     double burst = MAX(per_s * BURST_FRACTION, 1);
     if (budget->refilled_ms == 0) {
-        budget->left = burst;
+        budget->available = burst;
     }
     else {
         double passed_s = (double)(now_ms - budget->refilled_ms) / 1000;
-        budget->left += passed_s * per_s * (1 - BURST_FRACTION);
+        budget->available += passed_s * per_s * (1 - BURST_FRACTION);
     }
-    budget->left = MIN(budget->left, burst);
+    budget->available = MIN(budget->available, burst);
     budget->refilled_ms = now_ms;
 }
 
@@ -32,6 +32,6 @@
 command_budget_allows_deferrable(const struct command_budget *budget,
                                  double per_s)
 {
-    return budget->left >=
+    return budget->available >=
            1 + per_s * BURST_FRACTION * RESERVED_BURST_FRACTION;
 }
--- a/core/jobs/election_backoff.c
+++ b/core/jobs/election_backoff.c
@@ -25,8 +25,8 @@
         return ELECTION_CAMPAIGN;
     }
     backoff->waited = true;
-    double lack = 1 - MIN(cores / STRONG_HOST_MIN_CORES, 1);
-    *delay_ms = (int64_t)(lack * WEAK_HOST_DELAY_MAX_MS +
+    double shortfall = 1 - MIN(cores / STRONG_HOST_MIN_CORES, 1);
+    *delay_ms = (int64_t)(shortfall * WEAK_HOST_DELAY_MAX_MS +
                           random_fraction * ELECTION_SPREAD_MS);
     return ELECTION_WAIT;
 }
--- a/core/jobs/host_plan.c
+++ b/core/jobs/host_plan.c
@@ -43,7 +43,7 @@
 {
     host->command_in_flight = true;
     host->intent_ms = sched_now(sched);
-    sched->command_budget.left--;
+    sched->command_budget.available--;
     g_free(host->commanded_incarnation);
     host->commanded_incarnation = g_strdup(host->backend_id);
     if (host->intent == HOST_REBOOTS) {
@@ -105,7 +105,7 @@
         return;
     }
     if (sched_host_empty(sched, host)) {
-        if (sched->command_budget.left >= 1) {
+        if (sched->command_budget.available >= 1) {
             send_host_command(sched, host);
         }
         return;
@@ -149,7 +149,7 @@
 }
 
 static bool
-movable(const struct scheduler *sched, const struct host *host)
+host_is_movable(const struct scheduler *sched, const struct host *host)
 {
     const struct backend *backend = sched_host_backend(sched, host);
     return host->present && host->up && host->intent == HOST_STAYS &&
@@ -169,7 +169,7 @@
     g_hash_table_iter_init(&iter, sched->hosts);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct host *host = value;
-        if (!movable(sched, host) || strcmp(host->pool, pool) == 0 ||
+        if (!host_is_movable(sched, host) || strcmp(host->pool, pool) == 0 ||
             (host->data_centre != NULL &&
              sched_is_out_of_service(sched, host->data_centre))) {
             continue;
@@ -199,7 +199,7 @@
 static void
 grow_pool(struct scheduler *sched, struct pool_load *load, int64_t now_ms)
 {
-    while (sched->command_budget.left >= 1 &&
+    while (sched->command_budget.available >= 1 &&
            pool_load_wanted_hosts(load, now_ms) >
                load->hosts + load->incoming_hosts) {
         struct host *host = find_source(sched, load->pool, now_ms);
@@ -236,7 +236,8 @@
                 &sched->command_budget, sched->timings.host_commands_per_s)) {
             return;
         }
-        if (movable(sched, host) && strcmp(host->pool, load->pool) == 0) {
+        if (host_is_movable(sched, host) &&
+            strcmp(host->pool, load->pool) == 0) {
             plan_move(sched, host, spare->name);
         }
     }
--- a/core/jobs/job.c
+++ b/core/jobs/job.c
@@ -32,11 +32,11 @@
 void
 job_prepare(struct job *job)
 {
-    size_t n_parts = (size_t)job->n_occurrences * job->n_steps;
-    job->parts = g_new0(struct step_progress, n_parts);
-    for (size_t i = 0; i < n_parts; i++) {
+    size_t n_progress = (size_t)job->n_occurrences * job->n_steps;
+    job->progress = g_new0(struct step_progress, n_progress);
+    for (size_t i = 0; i < n_progress; i++) {
         uint32_t n_tasks = job->steps[i % job->n_steps].task_count;
-        job->parts[i].tasks = g_new0(struct job_task, n_tasks);
+        job->progress[i].tasks = g_new0(struct job_task, n_tasks);
     }
 }
 
@@ -48,19 +48,19 @@
 }
 
 static void
-parts_free(struct job *job)
+progress_free(struct job *job)
 {
-    size_t n_parts = (size_t)job->n_occurrences * job->n_steps;
-    for (size_t i = 0; job->parts != NULL && i < n_parts; i++) {
+    size_t n_progress = (size_t)job->n_occurrences * job->n_steps;
+    for (size_t i = 0; job->progress != NULL && i < n_progress; i++) {
         uint32_t n_tasks = job->steps[i % job->n_steps].task_count;
         for (uint32_t t = 0; t < n_tasks; t++) {
-            g_free(job->parts[i].tasks[t].saved);
-            g_free(job->parts[i].tasks[t].avoid);
+            g_free(job->progress[i].tasks[t].saved);
+            g_free(job->progress[i].tasks[t].avoid);
         }
-        g_free(job->parts[i].tasks);
-        step_advice_destroy(job->parts[i].advice);
+        g_free(job->progress[i].tasks);
+        step_advice_destroy(job->progress[i].advice);
     }
-    g_free(job->parts);
+    g_free(job->progress);
 }
 
 void
@@ -69,7 +69,7 @@
     if (job == NULL || --job->ref_count > 0) {
         return;
     }
-    parts_free(job);
+    progress_free(job);
     for (uint32_t i = 0; i < job->n_steps; i++) {
         g_free(job->steps[i].after);
         g_free(job->steps[i].required_label);
@@ -87,7 +87,7 @@
 struct step_progress *
 job_step_progress(const struct job *job, uint32_t occurrence, uint32_t step)
 {
-    return &job->parts[(size_t)occurrence * job->n_steps + step];
+    return &job->progress[(size_t)occurrence * job->n_steps + step];
 }
 
 bool
@@ -116,9 +116,9 @@
 bool
 job_all_done(const struct job *job)
 {
-    size_t n_parts = (size_t)job->n_occurrences * job->n_steps;
-    for (size_t i = 0; i < n_parts; i++) {
-        if (job->parts[i].done < job->steps[i % job->n_steps].task_count) {
+    size_t n_progress = (size_t)job->n_occurrences * job->n_steps;
+    for (size_t i = 0; i < n_progress; i++) {
+        if (job->progress[i].done < job->steps[i % job->n_steps].task_count) {
             return false;
         }
     }
--- a/core/jobs/order.c
+++ b/core/jobs/order.c
@@ -33,11 +33,11 @@
 remaining_core_ms(const struct job *job)
 {
     int64_t sum = 0;
-    uint32_t n_parts = job->n_occurrences * job->n_steps;
-    for (uint32_t p = 0; p < n_parts; p++) {
+    uint32_t n_progress = job->n_occurrences * job->n_steps;
+    for (uint32_t p = 0; p < n_progress; p++) {
         const struct job_step *step = &job->steps[p % job->n_steps];
-        sum += (step->task_count - job->parts[p].done) * step->need.cpu_milli *
-               step->estimate_ms;
+        sum += (step->task_count - job->progress[p].done) *
+               step->need.cpu_milli * step->estimate_ms;
     }
     return sum;
 }
--- a/core/jobs/place.c
+++ b/core/jobs/place.c
@@ -52,15 +52,15 @@
 static bool
 would_mix_workloads(const struct backend *backend, const struct job_step *step)
 {
-    bool serves = step->tail_latency_target_ms > 0;
-    if (!serves && !step->best_effort) {
+    bool latency_sensitive = step->tail_latency_target_ms > 0;
+    if (!latency_sensitive && !step->best_effort) {
         return false;
     }
     for (guint i = 0; i < backend->runs->len; i++) {
         const struct run *run = g_ptr_array_index(backend->runs, i);
         const struct job_step *other = run_step(run);
         if ((step->best_effort && other->tail_latency_target_ms > 0) ||
-            (serves && other->best_effort)) {
+            (latency_sensitive && other->best_effort)) {
             return true;
         }
     }
@@ -208,7 +208,7 @@
     int64_t lease_ms =
         sched->outage ? sched->timings.lease_max_ms : (int64_t)LEASE_MS;
     sched->stats.started++;
-    struct start_command order = {
+    struct start_command command = {
         .backend = backend,
         .handle = run->handle,
         .run = run,
@@ -217,7 +217,7 @@
             job_step_progress(run->job, run->occurrence, run->step)->advice,
             backend->entry.id, run->started_ms),
     };
-    sched->ops.start(sched->ops.ctx, &order);
+    sched->ops.start(sched->ops.ctx, &command);
 }
 
 static uint32_t
@@ -258,12 +258,12 @@
 place_gang_in(struct placer *placer, struct job *job, const char *pool,
               struct placement_request *request)
 {
-    struct step_progress *part =
+    struct step_progress *progress =
         job_step_progress(job, request->occurrence, request->step_index);
     uint32_t n_tasks = request->step->task_count;
     uint32_t number = 0;
     for (uint32_t t = 0; t < n_tasks; t++) {
-        number = MAX(number, next_number(placer->sched, &part->tasks[t]));
+        number = MAX(number, next_number(placer->sched, &progress->tasks[t]));
     }
     GPtrArray *runs = g_ptr_array_new();
     while (runs->len < n_tasks) {
@@ -274,9 +274,9 @@
         }
         g_ptr_array_add(runs, run);
     }
-    bool whole = runs->len == n_tasks;
+    bool complete = runs->len == n_tasks;
     for (guint i = 0; i < runs->len; i++) {
-        if (whole) {
+        if (complete) {
             send_start(placer->sched, g_ptr_array_index(runs, i));
         }
         else {
@@ -284,17 +284,17 @@
         }
     }
     g_ptr_array_unref(runs);
-    return whole;
+    return complete;
 }
 
 static void
 place_gang(struct placer *placer, struct job *job, const char *pool,
            struct placement_request *request)
 {
-    struct step_progress *part =
+    struct step_progress *progress =
         job_step_progress(job, request->occurrence, request->step_index);
     for (uint32_t t = 0; t < request->step->task_count; t++) {
-        if (!task_is_waiting(placer, &part->tasks[t])) {
+        if (!task_is_waiting(placer, &progress->tasks[t])) {
             return;
         }
     }
@@ -324,7 +324,7 @@
 {
     /* A job outlives the queue it came through. */
     const char *pool = queue == NULL ? job->pool : queue->pool;
-    struct step_progress *part =
+    struct step_progress *progress =
         job_step_progress(job, occurrence, step_index);
     struct placement_request request = {
         .job = job,
@@ -332,9 +332,9 @@
         .occurrence = occurrence,
         .step_index = step_index,
         .advised = queue != NULL && queue->needs_advice,
-        .advice = part->advice,
+        .advice = progress->advice,
     };
-    if (part->done >= request.step->task_count) {
+    if (progress->done >= request.step->task_count) {
         return;
     }
     if (request.step->gang) {
@@ -342,7 +342,7 @@
         return;
     }
     for (uint32_t t = 0; t < request.step->task_count; t++) {
-        struct job_task *task = &part->tasks[t];
+        struct job_task *task = &progress->tasks[t];
         if (!task_is_waiting(placer, task)) {
             continue;
         }
--- a/core/jobs/pool_load.c
+++ b/core/jobs/pool_load.c
@@ -85,10 +85,10 @@
              uint32_t occurrence, uint32_t index, double allowed_fraction)
 {
     const struct job_step *step = &job->steps[index];
-    const struct step_progress *part =
+    const struct step_progress *progress =
         job_step_progress(job, occurrence, index);
-    int64_t left = step->task_count - part->done;
-    if (left == 0 || !job_step_ready(job, occurrence, index)) {
+    int64_t tasks_left = step->task_count - progress->done;
+    if (tasks_left == 0 || !job_step_ready(job, occurrence, index)) {
         return;
     }
     struct resources need = step->need;
@@ -97,17 +97,17 @@
     }
     if (step->max_per_backend > 0) {
         int64_t hosts =
-            (left + step->max_per_backend - 1) / step->max_per_backend;
+            (tasks_left + step->max_per_backend - 1) / step->max_per_backend;
         load->spread_hosts = MAX(load->spread_hosts,
                                  (int64_t)((double)hosts / allowed_fraction));
     }
-    left = (int64_t)((double)left / allowed_fraction);
+    tasks_left = (int64_t)((double)tasks_left / allowed_fraction);
     if (step->long_running) {
-        resources_add(&load->service_need, &need, left);
+        resources_add(&load->service_need, &need, tasks_left);
         return;
     }
-    resources_add(&load->ready, &need, left);
-    load->ready_milli += need.cpu_milli * left *
+    resources_add(&load->ready, &need, tasks_left);
+    load->ready_milli += need.cpu_milli * tasks_left *
                          MIN(step->estimate_ms, READY_HORIZON_MS) /
                          READY_HORIZON_MS;
 }
@@ -136,11 +136,12 @@
 measure_backend(struct scheduler *sched, const struct backend *backend)
 {
     struct pool_load *load = sched_pool_load(sched, backend->entry.pool);
-    const struct resources *room = &backend->entry.capacity;
+    const struct resources *capacity = &backend->entry.capacity;
     load->largest_host.cpu_milli =
-        MAX(load->largest_host.cpu_milli, room->cpu_milli);
-    load->largest_host.mem_mb = MAX(load->largest_host.mem_mb, room->mem_mb);
-    load->largest_host.gpus = MAX(load->largest_host.gpus, room->gpus);
+        MAX(load->largest_host.cpu_milli, capacity->cpu_milli);
+    load->largest_host.mem_mb =
+        MAX(load->largest_host.mem_mb, capacity->mem_mb);
+    load->largest_host.gpus = MAX(load->largest_host.gpus, capacity->gpus);
     if (backend->listed && !backend->leaving && !backend->entry.draining &&
         !backend->unresponsive &&
         !sched_is_out_of_service(sched, backend->entry.data_centre)) {
--- a/core/jobs/scheduler.c
+++ b/core/jobs/scheduler.c
@@ -255,11 +255,11 @@
 static void
 stop_runs_of(struct scheduler *sched, struct job *job)
 {
-    uint32_t n_parts = job->n_occurrences * job->n_steps;
-    for (uint32_t p = 0; p < n_parts; p++) {
+    uint32_t n_progress = job->n_occurrences * job->n_steps;
+    for (uint32_t p = 0; p < n_progress; p++) {
         uint32_t n_tasks = job->steps[p % job->n_steps].task_count;
         for (uint32_t t = 0; t < n_tasks; t++) {
-            struct run *run = job->parts[p].tasks[t].run;
+            struct run *run = job->progress[p].tasks[t].run;
             if (run != NULL) {
                 sched_run_stop(sched, run);
             }
@@ -337,20 +337,20 @@
 }
 
 void
-scheduler_stats(const struct scheduler *sched, struct sched_stats *figures)
+scheduler_stats(const struct scheduler *sched, struct sched_stats *stats)
 {
-    *figures = sched->stats;
-    figures->jobs_active = sched->active->len;
-    figures->runs = g_hash_table_size(sched->runs);
-    figures->backends = g_hash_table_size(sched->backends);
-    figures->backends_unreconciled = 0;
+    *stats = sched->stats;
+    stats->jobs_active = sched->active->len;
+    stats->runs = g_hash_table_size(sched->runs);
+    stats->backends = g_hash_table_size(sched->backends);
+    stats->backends_unreconciled = 0;
     GHashTableIter iter;
     void *value;
     g_hash_table_iter_init(&iter, sched->backends);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct backend *backend = value;
         if (backend->unreconciled) {
-            figures->backends_unreconciled++;
+            stats->backends_unreconciled++;
         }
     }
 }
--- a/core/jobs/scheduler_reports.c
+++ b/core/jobs/scheduler_reports.c
@@ -74,12 +74,12 @@
     sched_log_event(sched, "stray_stopped",
                     "\"task\":\"%s\",\"run\":%u,\"backend\":\"%s\"",
                     reported->task, reported->number, backend->entry.id);
-    struct stop_command order = {
+    struct stop_command command = {
         .backend = backend,
         .task = reported->task,
         .number = reported->number,
     };
-    sched->ops.stop(sched->ops.ctx, &order);
+    sched->ops.stop(sched->ops.ctx, &command);
 }
 
 static void
@@ -140,13 +140,14 @@
 static void
 queue_completion(struct backend *backend, int64_t number, struct job *job)
 {
-    struct pending_completion *end = g_new0(struct pending_completion, 1);
-    end->number = number;
+    struct pending_completion *completion =
+        g_new0(struct pending_completion, 1);
+    completion->number = number;
     if (job != NULL) {
-        end->job = job_ref(job);
-        end->version = job->version;
+        completion->job = job_ref(job);
+        completion->version = job->version;
     }
-    g_queue_push_tail(&backend->completions, end);
+    g_queue_push_tail(&backend->completions, completion);
     backend->last_completion = number;
 }
 
--- a/core/jobs/scheduler_runs.c
+++ b/core/jobs/scheduler_runs.c
@@ -89,13 +89,13 @@
              run->step, run->index);
     run->stop_sent_ms = sched_now(sched);
     run->stop_pending = true;
-    struct stop_command order = {
+    struct stop_command command = {
         .backend = run->backend,
         .handle = run->handle,
         .task = name,
         .number = run->number,
     };
-    sched->ops.stop(sched->ops.ctx, &order);
+    sched->ops.stop(sched->ops.ctx, &command);
 }
 
 void
@@ -189,13 +189,13 @@
 sched_task_done(struct scheduler *sched, struct job *job, uint32_t occurrence,
                 uint32_t step, uint32_t index)
 {
-    struct step_progress *part = job_step_progress(job, occurrence, step);
-    struct job_task *task = &part->tasks[index];
+    struct step_progress *progress = job_step_progress(job, occurrence, step);
+    struct job_task *task = &progress->tasks[index];
     if (task->done) {
         return;
     }
     task->done = true;
-    part->done++;
+    progress->done++;
     job->started = true;
     sched->stats.done++;
     sched_mark_dirty(sched, job);
--- a/core/jobs/scheduler_state.h
+++ b/core/jobs/scheduler_state.h
@@ -146,11 +146,11 @@
 
 /**
  * struct command_budget - host commands that may be sent now
- * @left: number of commands, refilled up to the burst size
+ * @available: number of commands, refilled up to the burst size
  * @refilled_ms: when it was last refilled
  */
 struct command_budget {
-    double left;
+    double available;
     int64_t refilled_ms;
 };
 
--- a/core/jobs/throttle_runs.c
+++ b/core/jobs/throttle_runs.c
@@ -19,29 +19,29 @@
 bool
 sched_backend_mixed(const struct backend *backend)
 {
-    bool serves = false;
-    bool fills = false;
+    bool latency_sensitive = false;
+    bool best_effort = false;
     for (guint i = 0; i < backend->runs->len; i++) {
         const struct run *run = g_ptr_array_index(backend->runs, i);
-        serves = serves || run_is_latency_sensitive(run);
-        fills = fills || run_step(run)->best_effort;
+        latency_sensitive = latency_sensitive || run_is_latency_sensitive(run);
+        best_effort = best_effort || run_step(run)->best_effort;
     }
-    return serves && fills;
+    return latency_sensitive && best_effort;
 }
 
 static double
 worst_latency_ratio(const struct backend *backend)
 {
-    double worst = 0;
+    double worst_ratio = 0;
     for (guint i = 0; i < backend->runs->len; i++) {
         const struct run *run = g_ptr_array_index(backend->runs, i);
         if (run_is_latency_sensitive(run) && run->state == RUN_WORKING) {
-            double share = (double)run->load_metric /
+            double ratio = (double)run->load_metric /
                            (double)run_step(run)->tail_latency_target_ms;
-            worst = MAX(worst, share);
+            worst_ratio = MAX(worst_ratio, ratio);
         }
     }
-    return worst;
+    return worst_ratio;
 }
 
 static void
@@ -52,7 +52,7 @@
              run->step, run->index);
     run->throttle_sent_ms = sched_now(sched);
     run->throttle_pending = true;
-    struct throttle_command order = {
+    struct throttle_command command = {
         .backend = run->backend,
         .handle = run->handle,
         .task = name,
@@ -62,7 +62,7 @@
     sched_log_event(sched, "task_paced",
                     "\"task\":\"%s\",\"backend\":\"%s\",\"percent\":%d", name,
                     run->backend->entry.id, percent);
-    sched->ops.throttle(sched->ops.ctx, &order);
+    sched->ops.throttle(sched->ops.ctx, &command);
 }
 
 static void
--- a/core/jobs/wave_plan.c
+++ b/core/jobs/wave_plan.c
@@ -49,16 +49,16 @@
 }
 
 void
-scheduler_wave_set(struct scheduler *sched, const struct host_wave *order)
+scheduler_wave_set(struct scheduler *sched, const struct host_wave *request)
 {
-    struct wave *wave = find_or_add(sched, order->number);
-    int64_t within_ms = order->within_ms > 0
-                            ? order->within_ms
+    struct wave *wave = find_or_add(sched, request->number);
+    int64_t within_ms = request->within_ms > 0
+                            ? request->within_ms
                             : (int64_t)WAVE_DEFAULT_DURATION_MS;
-    wave->max_unavailable = MAX(order->max_unavailable, 1);
-    wave->complete_by_ms = order->seen_ms + within_ms;
+    wave->max_unavailable = MAX(request->max_unavailable, 1);
+    wave->complete_by_ms = request->seen_ms + within_ms;
     g_ptr_array_set_size(wave->hosts, 0);
-    for (char **host = order->hosts; *host != NULL; host++) {
+    for (char **host = request->hosts; *host != NULL; host++) {
         g_ptr_array_add(wave->hosts, g_strdup(*host));
     }
 }
@@ -119,20 +119,20 @@
     if (step->max_unavailable == 0) {
         return true;
     }
-    const struct step_progress *part =
+    const struct step_progress *progress =
         job_step_progress(run->job, run->occurrence, run->step);
-    uint32_t away = 0;
+    uint32_t unavailable = 0;
     for (uint32_t t = 0; t < step->task_count; t++) {
-        const struct run *other = part->tasks[t].run;
+        const struct run *other = progress->tasks[t].run;
         if (other == run) {
             continue;
         }
         if (other == NULL || other->state != RUN_WORKING ||
             other->percent < 100 || other->backend->unresponsive) {
-            away++;
+            unavailable++;
         }
     }
-    return away < step->max_unavailable;
+    return unavailable < step->max_unavailable;
 }
 
 static uint32_t
@@ -167,7 +167,7 @@
 }
 
 static struct host *
-next_host(struct scheduler *sched, const struct wave *wave, bool hurry)
+next_host(struct scheduler *sched, const struct wave *wave, bool urgent)
 {
     struct host *best = NULL;
     double best_cost = 0;
@@ -184,7 +184,7 @@
             continue;
         }
         double cost = reboot_cost(sched, host);
-        if (cost > BUSY_POOL_FRACTION && !hurry) {
+        if (cost > BUSY_POOL_FRACTION && !urgent) {
             continue;
         }
         if (best == NULL || cost < best_cost) {
@@ -203,9 +203,9 @@
     int64_t rounds =
         (left + wave->max_unavailable - 1) / wave->max_unavailable;
     int64_t needed_ms = rounds * (sched->timings.reboot_ms + EMPTY_HOST_MS);
-    bool hurry = now_ms + needed_ms + WAVE_SLACK_MS > wave->complete_by_ms;
+    bool urgent = now_ms + needed_ms + WAVE_SLACK_MS > wave->complete_by_ms;
     while (hosts_unavailable(sched, wave) < wave->max_unavailable) {
-        struct host *host = next_host(sched, wave, hurry);
+        struct host *host = next_host(sched, wave, urgent);
         if (host == NULL) {
             return;
         }
@@ -215,7 +215,7 @@
                         "\"host\":\"%s\",\"wave\":%" G_GINT64_FORMAT
                         ",\"left\":%u,\"hurry\":%s",
                         host->name, wave->number, left,
-                        hurry ? "true" : "false");
+                        urgent ? "true" : "false");
     }
 }
 
--- a/egretjobd/records.c
+++ b/egretjobd/records.c
@@ -65,7 +65,7 @@
 encode_step_progress(GString *out, const struct job *job,
                      uint32_t progress_index)
 {
-    const struct step_progress *progress = &job->parts[progress_index];
+    const struct step_progress *progress = &job->progress[progress_index];
     uint32_t n_tasks = job->steps[progress_index % job->n_steps].task_count;
     if (progress_index > 0) {
         g_string_append_c(out, ',');
@@ -86,7 +86,7 @@
     for (uint32_t p = 0; p < n_progress; p++) {
         uint32_t n_tasks = job->steps[p % job->n_steps].task_count;
         for (uint32_t t = 0; t < n_tasks; t++) {
-            const struct job_task *task = &job->parts[p].tasks[t];
+            const struct job_task *task = &job->progress[p].tasks[t];
             if (task->failures == 0 && task->saved == NULL) {
                 continue;
             }
@@ -138,7 +138,7 @@
 apply_step_progress(struct job *job, uint32_t progress_index,
                     const char *task_marks)
 {
-    struct step_progress *progress = &job->parts[progress_index];
+    struct step_progress *progress = &job->progress[progress_index];
     uint32_t n_tasks = job->steps[progress_index % job->n_steps].task_count;
     for (uint32_t t = 0; t < n_tasks && task_marks[t] != '\0'; t++) {
         if (task_marks[t] == 'd') {
@@ -161,7 +161,7 @@
             (int)job->steps[p->valueint % (int)job->n_steps].task_count) {
         return;
     }
-    struct job_task *task = &job->parts[p->valueint].tasks[t->valueint];
+    struct job_task *task = &job->progress[p->valueint].tasks[t->valueint];
     for (int i = 3; i < cJSON_GetArraySize(row); i++) {
         job_task_record_failure(
             task, (uint32_t)cJSON_GetArrayItem(row, i)->valueint);
--- a/include/core/jobs/job.h
+++ b/include/core/jobs/job.h
@@ -163,7 +163,7 @@
  * @interval_ms: time between occurrences
  * @n_occurrences: number of occurrences, 1 without a schedule
  * @steps: the steps; @n_steps of them
- * @parts: progress, @n_occurrences x @n_steps
+ * @progress: of each step of each occurrence, @n_occurrences x @n_steps
  * @state: state of the job
  * @started: whether a task is known to have started
  * @version: counts changes of the progress
@@ -187,7 +187,7 @@
     uint32_t n_occurrences;
     struct job_step *steps;
     uint32_t n_steps;
-    struct step_progress *parts;
+    struct step_progress *progress;
     enum job_state state;
     bool started;
     uint64_t version;
--- a/include/core/jobs/scheduler.h
+++ b/include/core/jobs/scheduler.h
@@ -95,9 +95,9 @@
  * @log_event: log one decision; @fields is the inside of a JSON object
  */
 struct sched_ops {
-    void (*start)(void *ctx, const struct start_command *order);
-    void (*stop)(void *ctx, const struct stop_command *order);
-    void (*throttle)(void *ctx, const struct throttle_command *order);
+    void (*start)(void *ctx, const struct start_command *command);
+    void (*stop)(void *ctx, const struct stop_command *command);
+    void (*throttle)(void *ctx, const struct throttle_command *command);
     void (*request_report)(void *ctx, struct backend *backend,
                            int64_t until_ms, int64_t acked_completion,
                            int64_t wait_ms);
@@ -343,7 +343,7 @@
 };
 
 void
-scheduler_stats(const struct scheduler *sched, struct sched_stats *figures);
+scheduler_stats(const struct scheduler *sched, struct sched_stats *stats);
 
 /* Changes to be stored. */
 
