--- a/core/jobs/host_plan.c
+++ b/core/jobs/host_plan.c
@@ -68,7 +68,8 @@
     }
 }
 
-/* Whether a command of the previous leader may still take effect. */
+/* Whether the previous leader may have sent a command within the command
+ * gap. */
 static bool
 in_takeover_gap(const struct scheduler *sched)
 {
@@ -215,8 +216,8 @@
 {
     const struct pool_config *spare = fleet_config_spare(sched->config);
     /* A new leader does not know the arrival rate yet. */
-    bool settling = now_ms < sched->takeover_ms + TAKEOVER_VISIBLE_MS;
-    if (spare == NULL || settling || surplus_hosts(load, now_ms) <= 0) {
+    bool recent_takeover = now_ms < sched->takeover_ms + TAKEOVER_VISIBLE_MS;
+    if (spare == NULL || recent_takeover || surplus_hosts(load, now_ms) <= 0) {
         load->surplus_since_ms = 0;
         return;
     }
@@ -243,7 +244,8 @@
     }
 }
 
-/* Commands that have been due longest: maintenance, and unanswered ones. */
+/* Commands that have been due longest come first: maintenance, and unanswered
+ * ones. */
 static void
 advance_hosts(struct scheduler *sched)
 {
--- a/core/jobs/hosts.c
+++ b/core/jobs/hosts.c
@@ -125,9 +125,9 @@
     if (g_strcmp0(host->backend_id, backend->entry.id) == 0) {
         return;
     }
-    const struct backend *present = sched_host_backend(sched, host);
+    const struct backend *current = sched_host_backend(sched, host);
     if (g_strcmp0(host->commanded_incarnation, backend->entry.id) == 0 ||
-        (present != NULL && present->entry.incarnation_start_ms >
+        (current != NULL && current->entry.incarnation_start_ms >
                                 backend->entry.incarnation_start_ms)) {
         end_incarnation(sched, backend);
         return;
@@ -150,16 +150,16 @@
     int64_t now_ms = sched_now(sched);
     host->present = true;
     set_text(&host->data_centre, info->data_centre);
-    bool under_order = host->command_in_flight || host->command_accepted;
-    if (under_order && now_ms - host->intent_ms < COMMAND_VISIBLE_MS) {
+    bool command_pending = host->command_in_flight || host->command_accepted;
+    if (command_pending && now_ms - host->intent_ms < COMMAND_VISIBLE_MS) {
         return;
     }
-    struct backend *present = sched_host_backend(sched, host);
-    if (info->unavailable && present != NULL &&
+    struct backend *current = sched_host_backend(sched, host);
+    if (info->unavailable && current != NULL &&
         ms_clock_now(&sched->unix_clock) -
-                present->entry.incarnation_start_ms >
+                current->entry.incarnation_start_ms >
             HOST_LIST_AGE_MAX_MS) {
-        end_incarnation(sched, present);
+        end_incarnation(sched, current);
     }
     if (info->up && info->backend_id != NULL &&
         g_strcmp0(info->backend_id, host->backend_id) != 0) {
--- a/core/jobs/order.c
+++ b/core/jobs/order.c
@@ -10,7 +10,7 @@
 
 /* Declared run time of the longest chain of steps that are not done. */
 static int64_t
-remaining_chain_ms(const struct job *job)
+remaining_critical_path_ms(const struct job *job)
 {
     int64_t until_ms[JOB_STEPS_MAX] = {0};
     int64_t longest_ms = 0;
@@ -30,7 +30,7 @@
 
 /* Declared work that remains, in thousandths of a core times ms. */
 static int64_t
-remaining_core_ms(const struct job *job)
+remaining_millicore_ms(const struct job *job)
 {
     int64_t sum = 0;
     uint32_t n_progress = job->n_occurrences * job->n_steps;
@@ -50,17 +50,19 @@
     }
     const struct queue_config *queue =
         fleet_config_queue(sched->config, job->queue);
-    double stretch = queue == NULL ? 1 : queue->deadline_factor;
+    double deadline_factor = queue == NULL ? 1 : queue->deadline_factor;
     int64_t objective_ms = queue == NULL ? 0 : queue->objective_ms;
     int64_t from_ms =
         job->first_ms > 0 ? job->first_ms : job->accepted_unix_ms;
-    int64_t by_ms = from_ms + (int64_t)(stretch * job_critical_path_ms(job)) +
+    int64_t by_ms = from_ms +
+                    (int64_t)(deadline_factor * job_critical_path_ms(job)) +
                     objective_ms;
-    int64_t slack_ms = by_ms - unix_ms - remaining_chain_ms(job);
+    int64_t slack_ms = by_ms - unix_ms - remaining_critical_path_ms(job);
     if (slack_ms >= 0) {
-        return (struct job_rank){URGENCY_ATTAINABLE, remaining_core_ms(job)};
+        return (struct job_rank){URGENCY_ATTAINABLE,
+                                 remaining_millicore_ms(job)};
     }
-    return (struct job_rank){URGENCY_LATE, remaining_core_ms(job)};
+    return (struct job_rank){URGENCY_LATE, remaining_millicore_ms(job)};
 }
 
 void
--- a/core/jobs/place.c
+++ b/core/jobs/place.c
@@ -29,7 +29,7 @@
     uint32_t step_index;
     const char *avoid;
     const char *rack;
-    bool advised;
+    bool needs_advice;
     const struct step_advice *advice;
 };
 
@@ -76,9 +76,9 @@
     if (step->best_effort) {
         need.cpu_milli = 0;
     }
-    struct resources free_room = backend->entry.capacity;
-    resources_add(&free_room, &backend->used, -1);
-    if (!resources_fit(&free_room, &need)) {
+    struct resources available = backend->entry.capacity;
+    resources_add(&available, &backend->used, -1);
+    if (!resources_fit(&available, &need)) {
         return false;
     }
     if (backend->suspect_until_ms > placer->now_ms && backend->runs->len > 0) {
@@ -96,12 +96,16 @@
         count_of_step(backend, request) >= step->max_per_backend) {
         return false;
     }
-    return !request->advised ||
+    return !request->needs_advice ||
            step_advice_status(request->advice, backend->entry.id,
                               backend->entry.incarnation_start_ms,
                               placer->now_ms) == ADVICE_GRANTED;
 }
 
+/* Higher is better. Criteria by weight: not the server of the last failure,
+ * not a suspect one, near the step's data, no mixing of best-effort and
+ * latency-sensitive tasks, then the spread of service tasks and how full the
+ * server is. */
 static double
 place_score(const struct placer *placer, const struct backend *backend,
             const struct placement_request *request)
@@ -161,7 +165,7 @@
         .occurrence = occurrence,
         .step_index = step,
     };
-    return sched_usable(sched, backend) &&
+    return sched_backend_usable(sched, backend) &&
            place_allowed(&placer, backend, &request);
 }
 
@@ -193,12 +197,12 @@
         return true;
     }
     const struct resources *used = sched_team_used(sched, job->team);
-    const struct resources *most = &team->maximum;
-    return (most->cpu_milli == 0 ||
-            used->cpu_milli + need->cpu_milli <= most->cpu_milli) &&
-           (most->mem_mb == 0 ||
-            used->mem_mb + need->mem_mb <= most->mem_mb) &&
-           (most->gpus == 0 || used->gpus + need->gpus <= most->gpus);
+    const struct resources *maximum = &team->maximum;
+    return (maximum->cpu_milli == 0 ||
+            used->cpu_milli + need->cpu_milli <= maximum->cpu_milli) &&
+           (maximum->mem_mb == 0 ||
+            used->mem_mb + need->mem_mb <= maximum->mem_mb) &&
+           (maximum->gpus == 0 || used->gpus + need->gpus <= maximum->gpus);
 }
 
 static void
@@ -331,7 +335,7 @@
         .step = &job->steps[step_index],
         .occurrence = occurrence,
         .step_index = step_index,
-        .advised = queue != NULL && queue->needs_advice,
+        .needs_advice = queue != NULL && queue->needs_advice,
         .advice = progress->advice,
     };
     if (progress->done >= request.step->task_count) {
@@ -397,7 +401,7 @@
         if (backend->unreconciled) {
             g_hash_table_add(placer->unreconciled_pools, backend->entry.pool);
         }
-        if (!sched_usable(placer->sched, backend)) {
+        if (!sched_backend_usable(placer->sched, backend)) {
             continue;
         }
         GPtrArray *usable =
@@ -421,7 +425,7 @@
 }
 
 void
-sched_place(struct scheduler *sched)
+sched_place_tasks(struct scheduler *sched)
 {
     struct placer placer = {
         .sched = sched,
--- a/core/jobs/pool_load.c
+++ b/core/jobs/pool_load.c
@@ -48,9 +48,8 @@
     double slow = decayed(load, load->arrival_milli, ARRIVAL_TAU_MS, now_ms);
     double recent = decayed(load, load->recent_milli, RECENT_TAU_MS, now_ms);
     double jobs = decayed(load, load->recent_jobs, RECENT_TAU_MS, now_ms);
-    double chance =
-        jobs > 0 ? RISE_NOISE_FACTOR * recent / sqrt(jobs) : recent;
-    double rise = recent - slow - chance;
+    double noise = jobs > 0 ? RISE_NOISE_FACTOR * recent / sqrt(jobs) : recent;
+    double rise = recent - slow - noise;
     if (rise <= 0) {
         return slow;
     }
@@ -67,13 +66,13 @@
     }
     struct pool_load *load = sched_pool_load(sched, job->pool);
     int64_t now_ms = sched_now(sched);
-    double core_ms = (double)job_millicore_ms(job);
+    double work = (double)job_millicore_ms(job);
     load->arrival_milli =
         decayed(load, load->arrival_milli, ARRIVAL_TAU_MS, now_ms) +
-        core_ms / ARRIVAL_TAU_MS;
+        work / ARRIVAL_TAU_MS;
     load->recent_milli =
         decayed(load, load->recent_milli, RECENT_TAU_MS, now_ms) +
-        core_ms / RECENT_TAU_MS;
+        work / RECENT_TAU_MS;
     load->recent_jobs =
         decayed(load, load->recent_jobs, RECENT_TAU_MS, now_ms) + 1;
     load->arrival_at_ms = now_ms;
@@ -188,9 +187,9 @@
 int64_t
 pool_load_wanted_hosts(const struct pool_load *load, int64_t now_ms)
 {
-    double cores =
+    double milli =
         MAX(expected_milli(load, now_ms), (double)load->ready_milli);
-    double by_cpu = hosts_for((double)load->service_need.cpu_milli + cores,
+    double by_cpu = hosts_for((double)load->service_need.cpu_milli + milli,
                               load->largest_host.cpu_milli);
     double by_memory = hosts_for((double)load->service_need.mem_mb,
                                  load->largest_host.mem_mb);
--- a/core/jobs/scheduler.c
+++ b/core/jobs/scheduler.c
@@ -323,7 +323,7 @@
         sched_watch_runs(sched);
         sched_move_off_draining(sched);
         sched_throttle(sched);
-        sched_place(sched);
+        sched_place_tasks(sched);
         sched_request_advice(sched);
         sched_plan_hosts(sched);
     }
--- a/core/jobs/scheduler_backends.c
+++ b/core/jobs/scheduler_backends.c
@@ -145,7 +145,8 @@
 }
 
 bool
-sched_usable(const struct scheduler *sched, const struct backend *backend)
+sched_backend_usable(const struct scheduler *sched,
+                     const struct backend *backend)
 {
     return backend->listed && backend->report_received &&
            backend->registered && !backend->entry.draining &&
--- a/core/jobs/scheduler_runs.c
+++ b/core/jobs/scheduler_runs.c
@@ -10,13 +10,13 @@
 struct resources *
 sched_team_used(struct scheduler *sched, const char *team)
 {
-    struct team_usage *use = g_hash_table_lookup(sched->team_usage, team);
-    if (use == NULL) {
-        use = g_new0(struct team_usage, 1);
-        use->team = g_strdup(team);
-        g_hash_table_insert(sched->team_usage, use->team, use);
+    struct team_usage *usage = g_hash_table_lookup(sched->team_usage, team);
+    if (usage == NULL) {
+        usage = g_new0(struct team_usage, 1);
+        usage->team = g_strdup(team);
+        g_hash_table_insert(sched->team_usage, usage->team, usage);
     }
-    return &use->used;
+    return &usage->used;
 }
 
 /* Resources that a task takes on its backend server; best-effort tasks reserve
@@ -239,7 +239,7 @@
     if (failed) {
         record_failure(sched, run);
     }
-    bool give_up = failed && attempts_exhausted(sched, job, step, task);
+    bool job_failed = failed && attempts_exhausted(sched, job, step, task);
     if (reason == END_DONE) {
         run->backend->failures = 0;
         run->backend->suspect_until_ms = 0;
@@ -254,7 +254,7 @@
     if (reason == END_DONE) {
         sched_task_done(sched, job, occurrence, step_index, index);
     }
-    else if (give_up) {
+    else if (job_failed) {
         sched_finish_job(sched, job, JOB_FAILED);
     }
     else if (!was_stopping && reason == END_GANG_INCOMPLETE) {
--- a/core/jobs/scheduler_state.h
+++ b/core/jobs/scheduler_state.h
@@ -19,8 +19,9 @@
      * completions that come together are read together. */
     REPORT_GAP_MIN_MS = 15,
     REPORT_RETRY_MS = 250,
-    /* Same where best-effort tasks run beside latency-sensitive ones: each
-     * report is a sample of the tail latencies. */
+    /* In place of REPORT_WAIT_MS where best-effort tasks run beside
+     * latency-sensitive ones: each report is a sample of the tail
+     * latencies. */
     REPORT_WAIT_MIXED_MS = 300,
     /* Calls time out well before this, so an answer that is still missing will
      * never come. */
@@ -224,7 +225,8 @@
 sched_is_out_of_service(const struct scheduler *sched,
                         const char *data_centre);
 bool
-sched_usable(const struct scheduler *sched, const struct backend *backend);
+sched_backend_usable(const struct scheduler *sched,
+                     const struct backend *backend);
 struct pool_load *
 sched_pool_load(struct scheduler *sched, const char *pool);
 
@@ -268,7 +270,7 @@
 
 /* place.c */
 void
-sched_place(struct scheduler *sched);
+sched_place_tasks(struct scheduler *sched);
 /* Whether another backend server of its pool could take over @run. */
 bool
 sched_fits_elsewhere(struct scheduler *sched, const struct run *run);
--- a/core/jobs/throttle.c
+++ b/core/jobs/throttle.c
@@ -81,14 +81,15 @@
     if (now_ms - throttle->below_target_since_ms < RAISE_DELAY_MS) {
         return;
     }
-    int32_t most = 100;
+    int32_t maximum = 100;
     if (throttle->ceiling_percent > 0 && now_ms < throttle->ceiling_until_ms) {
-        most = (int32_t)(throttle->ceiling_percent * CEILING_RETRY_FRACTION);
+        maximum =
+            (int32_t)(throttle->ceiling_percent * CEILING_RETRY_FRACTION);
     }
     int32_t next = MAX(
         (int32_t)(throttle->cpu_limit_percent * factor_to_aim(worst_ratio)),
         throttle->cpu_limit_percent + RAISE_MIN_PERCENT);
-    next = MIN(next, most);
+    next = MIN(next, maximum);
     if (next > throttle->cpu_limit_percent) {
         throttle->cpu_limit_percent = next;
         throttle->changed_ms = now_ms;
--- a/core/jobs/throttle_runs.c
+++ b/core/jobs/throttle_runs.c
@@ -68,24 +68,25 @@
 static void
 throttle_backend(struct scheduler *sched, struct backend *backend)
 {
-    int32_t level = 100;
+    int32_t limit_percent = 100;
     if (sched_backend_mixed(backend)) {
-        level = backend->throttle.cpu_limit_percent;
+        limit_percent = backend->throttle.cpu_limit_percent;
         /* Each run report is one sample of the tail latencies. */
         if (backend->throttle.changed_ms == 0 ||
             backend->report_read_ms > backend->throttle_sample_ms) {
-            level = throttle_update(&backend->throttle,
-                                    worst_latency_ratio(backend),
-                                    sched_now(sched));
+            limit_percent = throttle_update(&backend->throttle,
+                                            worst_latency_ratio(backend),
+                                            sched_now(sched));
             backend->throttle_sample_ms = backend->report_read_ms;
         }
     }
     for (guint i = 0; i < backend->runs->len; i++) {
         struct run *run = g_ptr_array_index(backend->runs, i);
         if (run_step(run)->best_effort && run->state == RUN_WORKING &&
-            run->cpu_limit_percent != level && !run->throttle_pending &&
+            run->cpu_limit_percent != limit_percent &&
+            !run->throttle_pending &&
             sched_now(sched) - run->throttle_sent_ms >= THROTTLE_RETRY_MS) {
-            send_throttle(sched, run, level);
+            send_throttle(sched, run, limit_percent);
         }
     }
 }
--- a/core/jobs/wave_plan.c
+++ b/core/jobs/wave_plan.c
@@ -138,16 +138,16 @@
 static uint32_t
 hosts_unavailable(const struct scheduler *sched, const struct wave *wave)
 {
-    uint32_t taken = 0;
+    uint32_t unavailable = 0;
     for (guint i = 0; i < wave->hosts->len; i++) {
         const struct host *host = g_hash_table_lookup(
             sched->hosts, g_ptr_array_index(wave->hosts, i));
         if (host != NULL && host->present &&
             (host->intent == HOST_REBOOTS || !host->up)) {
-            taken++;
+            unavailable++;
         }
     }
-    return taken;
+    return unavailable;
 }
 
 /* Lower is better; a host without work comes first. */
@@ -159,11 +159,13 @@
         return 0;
     }
     const struct pool_load *load = sched_pool_load(sched, host->pool);
-    int64_t room_milli = load->hosts * load->largest_host.cpu_milli;
-    double use =
-        room_milli == 0 ? 1 : (double)load->used_milli / (double)room_milli;
-    return use + (double)backend->used.cpu_milli /
-                     (double)MAX(backend->entry.capacity.cpu_milli, 1) / 2;
+    int64_t capacity_milli = load->hosts * load->largest_host.cpu_milli;
+    double utilisation = capacity_milli == 0 ? 1
+                                             : (double)load->used_milli /
+                                                   (double)capacity_milli;
+    return utilisation +
+           (double)backend->used.cpu_milli /
+               (double)MAX(backend->entry.capacity.cpu_milli, 1) / 2;
 }
 
 static struct host *
