--- a/egretd/answer.c
+++ b/egretd/answer.c
@@ -75,9 +75,10 @@
     }
 }
 
-/* Task names and request ids hold nothing that JSON has to quote. */
+/* Task names and request ids contain nothing that JSON has to escape. */
 static char *
-describe(const struct answer *answer, const char *task, const char *request_id)
+format_outcome(const struct answer *answer, const char *task,
+               const char *request_id)
 {
     const char *quote = request_id == NULL ? "" : "\"";
     return g_strdup_printf("{\"outcome\":\"%s\",\"reason\":\"%s\","
@@ -102,10 +103,10 @@
 }
 
 static void
-write_refusal(const struct answer *answer, SoupServerMessage *message,
+write_outcome(const struct answer *answer, SoupServerMessage *message,
               const char *task, const char *request_id)
 {
-    char *text = describe(answer, task, request_id);
+    char *text = format_outcome(answer, task, request_id);
     unsigned status = answer_status(answer->outcome, answer->reason);
     soup_server_message_set_status(message, status, status_phrase(status));
     soup_server_message_set_response(message, "application/json",
@@ -121,7 +122,7 @@
 }
 
 static void
-write_whole(const struct answer *answer, SoupServerMessage *message)
+write_backend_answer(const struct answer *answer, SoupServerMessage *message)
 {
     soup_server_message_set_status(message, answer->status, NULL);
     if (answer->body != NULL) {
@@ -142,10 +143,10 @@
     SoupMessageHeaders *headers =
         soup_server_message_get_response_headers(message);
     if (answer->status != 0) {
-        write_whole(answer, message);
+        write_backend_answer(answer, message);
     }
     else {
-        write_refusal(answer, message, task, request_id);
+        write_outcome(answer, message, task, request_id);
     }
     soup_message_headers_replace(headers, "Egret-Outcome",
                                  outcome_name(answer->outcome));
--- a/egretd/answer_codec.c
+++ b/egretd/answer_codec.c
@@ -1,6 +1,6 @@
 #include "egretd/answer_codec.h"
 
-/* HTTP status, content type, host, body. */
+/* GVariant tuple of HTTP status, content type, host and body. */
 #define ANSWER_FORMAT "(ussay)"
 
 GBytes *
@@ -11,31 +11,31 @@
     }
     GVariant *body = g_variant_new_from_bytes(G_VARIANT_TYPE_BYTESTRING,
                                               answer->body, TRUE);
-    GVariant *all = g_variant_ref_sink(
+    GVariant *tuple = g_variant_ref_sink(
         g_variant_new("(uss@ay)", answer->status,
                       answer->content_type == NULL ? "" : answer->content_type,
                       answer->host == NULL ? "" : answer->host, body));
-    GBytes *bytes = g_variant_get_data_as_bytes(all);
-    g_variant_unref(all);
+    GBytes *bytes = g_variant_get_data_as_bytes(tuple);
+    g_variant_unref(tuple);
     return bytes;
 }
 
 struct answer *
 answer_decode(GBytes *bytes)
 {
-    GVariant *all = g_variant_ref_sink(
+    GVariant *tuple = g_variant_ref_sink(
         g_variant_new_from_bytes(G_VARIANT_TYPE(ANSWER_FORMAT), bytes, FALSE));
-    if (!g_variant_is_normal_form(all)) {
-        g_variant_unref(all);
+    if (!g_variant_is_normal_form(tuple)) {
+        g_variant_unref(tuple);
         return NULL;
     }
     struct answer *answer = answer_create(OUTCOME_DONE, REASON_NONE);
     GVariant *body = NULL;
-    g_variant_get(all, "(uss@ay)", &answer->status, &answer->content_type,
+    g_variant_get(tuple, "(uss@ay)", &answer->status, &answer->content_type,
                   &answer->host, &body);
     answer->body = g_variant_get_data_as_bytes(body);
     g_variant_unref(body);
-    g_variant_unref(all);
+    g_variant_unref(tuple);
     if (answer->content_type[0] == '\0') {
         g_clear_pointer(&answer->content_type, g_free);
     }
--- a/egretd/cancel.c
+++ b/egretd/cancel.c
@@ -72,30 +72,30 @@
 }
 
 static void
-relay_to(struct cancel_relay *relay, SoupServerMessage *message,
-         const char *address, const char *request_id)
+relay_cancel(struct cancel_relay *relay, SoupServerMessage *message,
+             const char *address, const char *request_id)
 {
     struct call *call = g_new0(struct call, 1);
     char *url =
         g_strdup_printf("http://%s/v1/requests/%s", address, request_id);
-    SoupMessage *onward = soup_message_new(SOUP_METHOD_DELETE, url);
-    SoupMessageHeaders *headers = soup_message_get_request_headers(onward);
+    SoupMessage *relayed = soup_message_new(SOUP_METHOD_DELETE, url);
+    SoupMessageHeaders *headers = soup_message_get_request_headers(relayed);
     const char *key = soup_message_headers_get_one(
         soup_server_message_get_request_headers(message), "Authorization");
     soup_message_headers_append(headers, "Authorization", key);
     soup_message_headers_append(headers, "Egret-Sent-On", "true");
     soup_message_headers_append(headers, "Connection", "close");
-    soup_message_add_flags(onward, SOUP_MESSAGE_NEW_CONNECTION);
+    soup_message_add_flags(relayed, SOUP_MESSAGE_NEW_CONNECTION);
     call->relay = relay;
     call->message = g_object_ref(message);
     call->cancellable = g_cancellable_new();
     call->timer = g_timeout_add((guint)relay->timeout_ms, on_timeout, call);
     g_hash_table_add(relay->calls, call);
     soup_server_message_pause(message);
-    soup_session_send_and_read_async(relay->session, onward,
+    soup_session_send_and_read_async(relay->session, relayed,
                                      G_PRIORITY_DEFAULT, call->cancellable,
                                      on_answer, call);
-    g_object_unref(onward);
+    g_object_unref(relayed);
     g_free(url);
 }
 
@@ -105,13 +105,13 @@
                const char *request_id)
 {
     struct forward_target owner;
-    bool sent_on = soup_message_headers_get_one(
-                       soup_server_message_get_request_headers(message),
-                       "Egret-Sent-On") != NULL;
+    bool is_relayed = soup_message_headers_get_one(
+                          soup_server_message_get_request_headers(message),
+                          "Egret-Sent-On") != NULL;
     const char *state = engine_cancel_by_id(engine, team, request_id);
-    if (g_str_equal(state, "not-found") && !sent_on &&
+    if (g_str_equal(state, "not-found") && !is_relayed &&
         engine_find_owner(engine, team, request_id, &owner)) {
-        relay_to(relay, message, owner.address, request_id);
+        relay_cancel(relay, message, owner.address, request_id);
         return;
     }
     reply_state(message, state);
--- a/egretd/connections.c
+++ b/egretd/connections.c
@@ -7,25 +7,25 @@
 #define CONNECTION_DATA "egret-connection"
 
 enum {
-    EVENTS_AT_ONCE = 64,
+    EVENTS_PER_WAKE_MAX = 64,
 };
 
-/* All connections behind one descriptor: the main loop walks every source it
- * has at each turn, and callers come by the hundred. */
+/* One epoll descriptor for all connections: the main loop checks each of its
+ * sources in every iteration, which is slow with hundreds of them. */
 struct connections {
-    int epoll;
-    guint source;
+    int epoll_fd;
+    guint event_source;
 };
 
 struct connection {
-    /* Not owned: the socket owns this. */
+    /* Not a reference: the socket owns this struct. */
     GSocket *socket;
     void (*hang_up)(void *ctx);
     void *ctx;
 };
 
 static void
-end_connection(struct connection *connection)
+close_connection(struct connection *connection)
 {
     GSocket *socket = g_object_ref(connection->socket);
     void (*hang_up)(void *ctx) = connection->hang_up;
@@ -33,7 +33,7 @@
     if (hang_up != NULL) {
         hang_up(connection->ctx);
     }
-    /* Closing takes the descriptor out of the epoll set. */
+    /* Closing also removes the descriptor from the epoll set. */
     g_socket_close(socket, NULL);
     g_object_unref(socket);
 }
@@ -44,18 +44,19 @@
     struct epoll_event event;
     (void)condition;
     (void)data;
-    /* One at a time: ending one connection may free another. */
-    for (int i = 0; i < EVENTS_AT_ONCE; i++) {
+    /* One at a time: closing one connection may free another whose event would
+     * already have been read. */
+    for (int i = 0; i < EVENTS_PER_WAKE_MAX; i++) {
         if (epoll_wait(fd, &event, 1, 0) != 1) {
             return G_SOURCE_CONTINUE;
         }
-        end_connection(event.data.ptr);
+        close_connection(event.data.ptr);
     }
     return G_SOURCE_CONTINUE;
 }
 
 static void
-watch(struct connections *connections, GSocket *socket)
+watch_socket(struct connections *connections, GSocket *socket)
 {
     struct connection *connection = g_new0(struct connection, 1);
     struct epoll_event event = {
@@ -65,7 +66,7 @@
     connection->socket = socket;
     g_object_set_data_full(G_OBJECT(socket), CONNECTION_DATA, connection,
                            g_free);
-    epoll_ctl(connections->epoll, EPOLL_CTL_ADD, g_socket_get_fd(socket),
+    epoll_ctl(connections->epoll_fd, EPOLL_CTL_ADD, g_socket_get_fd(socket),
               &event);
 }
 
@@ -76,20 +77,21 @@
     (void)server;
     if (socket != NULL &&
         g_object_get_data(G_OBJECT(socket), CONNECTION_DATA) == NULL) {
-        watch(data, socket);
+        watch_socket(data, socket);
     }
 }
 
 struct connections *
 connections_create(SoupServer *server)
 {
-    int epoll = epoll_create1(EPOLL_CLOEXEC);
-    if (epoll < 0) {
+    int epoll_fd = epoll_create1(EPOLL_CLOEXEC);
+    if (epoll_fd < 0) {
         return NULL;
     }
     struct connections *connections = g_new0(struct connections, 1);
-    connections->epoll = epoll;
-    connections->source = g_unix_fd_add(epoll, G_IO_IN, on_events, NULL);
+    connections->epoll_fd = epoll_fd;
+    connections->event_source =
+        g_unix_fd_add(epoll_fd, G_IO_IN, on_events, NULL);
     g_signal_connect(server, "request-started", G_CALLBACK(on_request_started),
                      connections);
     return connections;
@@ -101,8 +103,8 @@
     if (connections == NULL) {
         return;
     }
-    g_source_remove(connections->source);
-    close(connections->epoll);
+    g_source_remove(connections->event_source);
+    close(connections->epoll_fd);
     g_free(connections);
 }
 
--- a/egretd/frontend.c
+++ b/egretd/frontend.c
@@ -8,7 +8,8 @@
 #include "egretd/submit.h"
 
 enum {
-    /* libsoup's own backlog of 10 costs callers a second under load. */
+    /* With libsoup's own backlog of 10, callers under load wait a second for
+     * their connection. */
     LISTEN_BACKLOG = 1024,
 };
 
@@ -19,9 +20,10 @@
     uint16_t port;
 };
 
-/* Last part of @path after @prefix and before @suffix, or NULL. */
+/* Part of @path between @prefix and @suffix, or NULL if they don't match or
+ * nothing is between them; free it with g_free(). */
 static char *
-path_middle(const char *path, const char *prefix, const char *suffix)
+path_between(const char *path, const char *prefix, const char *suffix)
 {
     size_t prefix_bytes = strlen(prefix);
     size_t suffix_bytes = strlen(suffix);
@@ -35,7 +37,7 @@
 }
 
 static void
-reply_plain(SoupServerMessage *message, unsigned status)
+reply_error(SoupServerMessage *message, unsigned status)
 {
     char *text =
         g_strdup_printf("{\"error\":\"%s\"}", soup_status_get_phrase(status));
@@ -58,13 +60,13 @@
 route_post(struct frontend *frontend, SoupServerMessage *message,
            const char *path)
 {
-    char *queue = path_middle(path, "/v1/queues/", "/tasks");
+    char *queue = path_between(path, "/v1/queues/", "/tasks");
     if (queue != NULL) {
         submit_task(&frontend->options, message, queue);
         g_free(queue);
         return true;
     }
-    queue = path_middle(path, "/v1/forward/", "");
+    queue = path_between(path, "/v1/forward/", "");
     if (queue != NULL) {
         submit_forwarded(&frontend->options, message, path, queue);
         g_free(queue);
@@ -93,7 +95,7 @@
         operator_id_query(&frontend->options, message, path);
         return true;
     }
-    char *queue = path_middle(path, "/v1/explain/", "");
+    char *queue = path_between(path, "/v1/explain/", "");
     if (queue != NULL) {
         operator_explain(&frontend->options, message, path, queue);
         g_free(queue);
@@ -106,7 +108,7 @@
 route_delete(struct frontend *frontend, SoupServerMessage *message,
              const char *path)
 {
-    char *id = path_middle(path, "/v1/requests/", "");
+    char *id = path_between(path, "/v1/requests/", "");
     if (id == NULL) {
         return false;
     }
@@ -134,7 +136,7 @@
         routed = route_delete(frontend, message, path);
     }
     if (!routed) {
-        reply_plain(message, SOUP_STATUS_NOT_FOUND);
+        reply_error(message, SOUP_STATUS_NOT_FOUND);
     }
 }
 
@@ -158,7 +160,7 @@
 }
 
 static bool
-listen_on(struct frontend *frontend, struct status *status)
+start_listening(struct frontend *frontend, struct status *status)
 {
     const struct settings *settings = frontend->options.settings;
     GError *error = NULL;
@@ -191,11 +193,12 @@
     soup_server_add_handler(frontend->server, NULL, on_request, frontend,
                             NULL);
     if (frontend->connections == NULL) {
-        status_set(status, STATUS_INTERNAL, "cannot make an epoll set");
+        status_set(status, STATUS_INTERNAL,
+                   "cannot create an epoll descriptor");
         frontend_destroy(frontend);
         return NULL;
     }
-    if (!listen_on(frontend, status)) {
+    if (!start_listening(frontend, status)) {
         frontend_destroy(frontend);
         return NULL;
     }
--- a/egretd/gateway.c
+++ b/egretd/gateway.c
@@ -14,9 +14,10 @@
 #include "store/store.h"
 
 enum {
-    CONFIG_POLL_MS = 1000,
-    DRAIN_CHECK_MS = 50,
-    /* Time for the balancer to see that this gateway leaves. */
+    CONFIG_POLL_INTERVAL_MS = 1000,
+    DRAIN_CHECK_INTERVAL_MS = 50,
+    /* Time for the load balancer to see the failing health check. Also the
+     * delay before a failed restart of the membership is tried again. */
     HEALTH_NOTICE_MS = 1000,
 };
 
@@ -36,10 +37,10 @@
     struct frontend *frontend;
     struct membership *membership;
     char *incarnation;
-    guint restart;
-    guint drain;
+    guint restart_source;
+    guint drain_source;
     int64_t shutdown_at_ms;
-    bool left;
+    bool drain_started;
 };
 
 static int64_t
@@ -141,7 +142,7 @@
         .store = gateway->store,
         .counters = gateway->counters,
         .clock = gateway->clock,
-        .poll_ms = CONFIG_POLL_MS,
+        .poll_ms = CONFIG_POLL_INTERVAL_MS,
         .listener = {.changed = on_config, .ctx = gateway},
     });
     return true;
@@ -294,9 +295,9 @@
     g_clear_pointer(&gateway->cancel_relay, cancel_relay_destroy);
 }
 
-/* Never used before, not even by a clone of this host. */
+/* Time and random bits keep it unique even if this host was cloned. */
 static char *
-make_incarnation(const struct settings *settings)
+create_incarnation(const struct settings *settings)
 {
     return g_strdup_printf("%s-%" G_GINT64_MODIFIER "x%04x", settings->name,
                            g_get_real_time() / 1000, g_random_int() & 0xffff);
@@ -308,12 +309,12 @@
     struct gateway *gateway = data;
     struct status status;
     status_clear(&status);
-    gateway->restart = 0;
+    gateway->restart_source = 0;
     g_free(gateway->incarnation);
-    gateway->incarnation = make_incarnation(gateway->settings);
+    gateway->incarnation = create_incarnation(gateway->settings);
     engine_set_incarnation(gateway->engine, gateway->incarnation);
     if (!supervisor_restart(gateway->supervisor, "membership", &status)) {
-        gateway->restart =
+        gateway->restart_source =
             g_timeout_add(HEALTH_NOTICE_MS, on_restart, gateway);
     }
     return G_SOURCE_REMOVE;
@@ -323,9 +324,9 @@
 on_fenced(void *ctx)
 {
     struct gateway *gateway = ctx;
-    if (gateway->restart == 0 && gateway->shutdown_at_ms == 0) {
-        /* Not from within the part that is to be stopped. */
-        gateway->restart = g_idle_add(on_restart, gateway);
+    if (gateway->restart_source == 0 && gateway->shutdown_at_ms == 0) {
+        /* Deferred: the membership that called this is to be destroyed. */
+        gateway->restart_source = g_idle_add(on_restart, gateway);
     }
 }
 
@@ -367,9 +368,9 @@
 }
 
 static void
-add_parts(struct gateway *gateway)
+add_children(struct gateway *gateway)
 {
-    const struct supervisor_child parts[] = {
+    const struct supervisor_child children[] = {
         {"store", start_store, stop_store, gateway},
         {"engine", start_engine, stop_engine, gateway},
         {"config", start_feed, stop_feed, gateway},
@@ -378,8 +379,8 @@
         {"front", start_frontend, stop_frontend, gateway},
         {"membership", start_membership, stop_membership, gateway},
     };
-    for (size_t i = 0; i < G_N_ELEMENTS(parts); i++) {
-        supervisor_add(gateway->supervisor, &parts[i]);
+    for (size_t i = 0; i < G_N_ELEMENTS(children); i++) {
+        supervisor_add(gateway->supervisor, &children[i]);
     }
 }
 
@@ -393,8 +394,8 @@
     gateway->loop = g_main_loop_new(NULL, FALSE);
     gateway->counters = counters_create();
     gateway->supervisor = supervisor_create();
-    gateway->incarnation = make_incarnation(settings);
-    add_parts(gateway);
+    gateway->incarnation = create_incarnation(settings);
+    add_children(gateway);
     return gateway;
 }
 
@@ -404,11 +405,11 @@
     if (gateway == NULL) {
         return;
     }
-    if (gateway->restart != 0) {
-        g_source_remove(gateway->restart);
+    if (gateway->restart_source != 0) {
+        g_source_remove(gateway->restart_source);
     }
-    if (gateway->drain != 0) {
-        g_source_remove(gateway->drain);
+    if (gateway->drain_source != 0) {
+        g_source_remove(gateway->drain_source);
     }
     supervisor_destroy(gateway->supervisor);
     counters_destroy(gateway->counters);
@@ -444,8 +445,8 @@
     if (elapsed_ms < HEALTH_NOTICE_MS) {
         return G_SOURCE_CONTINUE;
     }
-    if (!gateway->left) {
-        gateway->left = true;
+    if (!gateway->drain_started) {
+        gateway->drain_started = true;
         frontend_stop_listening(gateway->frontend);
         engine_drain(gateway->engine);
     }
@@ -453,7 +454,7 @@
         elapsed_ms < gateway->settings->shutdown_ms) {
         return G_SOURCE_CONTINUE;
     }
-    gateway->drain = 0;
+    gateway->drain_source = 0;
     membership_leave(gateway->membership, on_left, gateway);
     return G_SOURCE_REMOVE;
 }
@@ -468,5 +469,6 @@
     gateway->shutdown_at_ms = now_ms(gateway);
     log_line(LOG_LEVEL_INFO, "stopping", "inflight=%u",
              engine_inflight(gateway->engine));
-    gateway->drain = g_timeout_add(DRAIN_CHECK_MS, on_drain, gateway);
+    gateway->drain_source =
+        g_timeout_add(DRAIN_CHECK_INTERVAL_MS, on_drain, gateway);
 }
--- a/egretd/operator_api.c
+++ b/egretd/operator_api.c
@@ -6,8 +6,8 @@
 #include "common/json_write.h"
 
 enum {
-    /* "", "v1", "ids", team, id. */
-    ID_PATH_PARTS = 5,
+    /* The parts of /v1/ids/{team}/{id}: "", "v1", "ids", team, id. */
+    ID_PATH_PART_COUNT = 5,
 };
 
 static void
@@ -36,7 +36,7 @@
 }
 
 static void
-reply_built(SoupServerMessage *message, JsonBuilder *builder)
+reply_json(SoupServerMessage *message, JsonBuilder *builder)
 {
     JsonNode *root = json_builder_get_root(builder);
     reply(message, SOUP_STATUS_OK, "application/json",
@@ -76,7 +76,7 @@
     json_builder_begin_object(builder);
     options->status(options->ctx, builder);
     json_builder_end_object(builder);
-    reply_built(message, builder);
+    reply_json(message, builder);
 }
 
 void
@@ -108,7 +108,7 @@
     json_write_int(builder, "estimated_run_ms", why.estimated_run_ms);
     json_write_text(builder, "waits_for", reason_name(why.waits_for));
     json_builder_end_object(builder);
-    reply_built(message, builder);
+    reply_json(message, builder);
 }
 
 void
@@ -126,9 +126,9 @@
         reply(message, SOUP_STATUS_FORBIDDEN, "application/json",
               g_strdup("{\"error\":\"Egret-Auth is missing or wrong\"}"));
     }
-    else if (g_strv_length(parts) != ID_PATH_PARTS) {
+    else if (g_strv_length(parts) != ID_PATH_PART_COUNT) {
         reply(message, SOUP_STATUS_NOT_FOUND, "application/json",
-              g_strdup("{\"error\":\"want /v1/ids/{team}/{id}\"}"));
+              g_strdup("{\"error\":\"expected /v1/ids/{team}/{id}\"}"));
     }
     else {
         reply(
--- a/egretd/request.c
+++ b/egretd/request.c
@@ -2,11 +2,11 @@
 
 #include "egretd/connections.h"
 
-/* One connection that waits. */
+/* A caller's paused message that waits for the answer. */
 struct waiter {
     struct request *request;
     SoupServerMessage *message;
-    gulong finished;
+    gulong finished_handler;
 };
 
 static void
@@ -14,7 +14,7 @@
 {
     struct waiter *waiter = data;
     connection_set_hang_up_handler(waiter->message, NULL, NULL);
-    g_signal_handler_disconnect(waiter->message, waiter->finished);
+    g_signal_handler_disconnect(waiter->message, waiter->finished_handler);
     g_object_unref(waiter->message);
     g_free(waiter);
 }
@@ -47,7 +47,7 @@
 }
 
 static void
-drop_waiter(struct waiter *waiter)
+remove_waiter(struct waiter *waiter)
 {
     struct request *request = waiter->request;
     if (request->streaming == waiter->message) {
@@ -65,7 +65,7 @@
 on_finished(SoupServerMessage *message, void *data)
 {
     (void)message;
-    drop_waiter(data);
+    remove_waiter(data);
 }
 
 static void
@@ -73,8 +73,9 @@
 {
     struct waiter *waiter = ctx;
     SoupServerMessage *message = g_object_ref(waiter->message);
-    drop_waiter(waiter);
-    /* Lets the server find the connection closed and drop the message. */
+    remove_waiter(waiter);
+    /* On writing a response the server detects the closed connection and frees
+     * the message. */
     soup_server_message_set_status(message, SOUP_STATUS_BAD_REQUEST, NULL);
     soup_server_message_unpause(message);
     g_object_unref(message);
@@ -86,7 +87,7 @@
     struct waiter *waiter = g_new0(struct waiter, 1);
     waiter->request = request;
     waiter->message = g_object_ref(message);
-    waiter->finished =
+    waiter->finished_handler =
         g_signal_connect(message, "finished", G_CALLBACK(on_finished), waiter);
     connection_set_hang_up_handler(message, on_hang_up, waiter);
     g_ptr_array_add(request->waiters, waiter);
--- a/include/egretd/answer.h
+++ b/include/egretd/answer.h
@@ -1,4 +1,4 @@
-/* What a caller is told about its request. */
+/* The HTTP response to a caller's request. */
 #ifndef EGRETD_ANSWER_H
 #define EGRETD_ANSWER_H
 
@@ -8,13 +8,14 @@
 #include "core/outcome.h"
 
 /**
- * struct answer - a whole answer, or a refusal without a backend's answer
- * @outcome, @reason: truth about the task
- * @status: HTTP status of the backend server; 0 when there is none
+ * struct answer - a complete backend server's answer, or an outcome without
+ * one
+ * @outcome, @reason: outcome of the task
+ * @status: HTTP status of the backend server's answer; 0 if there is none
  * @content_type: of @body, or NULL
- * @body: the backend server's whole body, or NULL
+ * @body: complete body of the backend server's answer, or NULL
  * @host: backend server that answered, or NULL
- * @retry_after_ms: hint for refusals; 0 for none
+ * @retry_after_ms: value of Retry-After for refusals; 0 for none
  */
 struct answer {
     enum outcome outcome;
@@ -27,8 +28,8 @@
 };
 
 /**
- * struct answer_head - start of an answer that is passed on in pieces
- * @size_bytes: announced length of the body; -1 when it comes in chunks
+ * struct answer_head - head of an answer that is streamed to the caller
+ * @size_bytes: announced length of the body; -1 if it is chunked
  */
 struct answer_head {
     unsigned status;
@@ -44,18 +45,19 @@
 void
 answer_destroy(struct answer *answer);
 
-/** answer_write() - fill the response of @message; @task and @request_id
- * name the request, @request_id may be NULL. */
+/** answer_write() - write @answer as the response of @message. @task is the
+ * task name; @request_id may be NULL. */
 void
 answer_write(const struct answer *answer, SoupServerMessage *message,
              const char *task, const char *request_id);
 
-/** answer_write_head() - start a response whose body follows in pieces. */
+/** answer_write_head() - write the head of a streamed response. */
 void
 answer_write_head(const struct answer_head *head, SoupServerMessage *message,
                   const char *task);
 
-/** answer_status() - HTTP status for an outcome without a backend's answer. */
+/** answer_status() - HTTP status for an outcome without a backend server's
+ * answer. */
 unsigned
 answer_status(enum outcome outcome, enum reason reason);
 
--- a/include/egretd/answer_codec.h
+++ b/include/egretd/answer_codec.h
@@ -1,14 +1,15 @@
-/* Whole answers as bytes, to be kept and handed between gateways. */
+/* Encodes answers, to retain them and to send them between gateways. */
 #ifndef EGRETD_ANSWER_CODEC_H
 #define EGRETD_ANSWER_CODEC_H
 
 #include "egretd/answer.h"
 
-/** answer_encode() - @answer as bytes; NULL when it has no backend's body. */
+/** answer_encode() - @answer as bytes; NULL if it has no body from a backend
+ * server. */
 GBytes *
 answer_encode(const struct answer *answer);
 
-/** answer_decode() - the answer in @bytes, or NULL when malformed. */
+/** answer_decode() - decode @bytes; NULL if they are malformed. */
 struct answer *
 answer_decode(GBytes *bytes);
 
--- a/include/egretd/cancel.h
+++ b/include/egretd/cancel.h
@@ -1,4 +1,4 @@
-/* Cancellation that a caller asks for, wherever its request is. */
+/* Cancels callers' requests, also those that another gateway holds. */
 #ifndef EGRETD_CANCEL_H
 #define EGRETD_CANCEL_H
 
@@ -14,10 +14,11 @@
 cancel_relay_destroy(struct cancel_relay *relay);
 
 /**
- * cancel_request() - answer DELETE /v1/requests/{id} of @team
+ * cancel_request() - handle DELETE /v1/requests/{id} from @team
  *
- * A request that is not here is cancelled at the gateway that owns its id,
- * with the caller's own key; that gateway passes it on no further.
+ * If this gateway doesn't hold the request, the cancellation is relayed to the
+ * gateway that owns the id, with the caller's own key. The header
+ * Egret-Sent-On keeps that gateway from relaying it again.
  */
 void
 cancel_request(struct cancel_relay *relay, struct engine *engine,
--- a/include/egretd/connections.h
+++ b/include/egretd/connections.h
@@ -1,4 +1,4 @@
-/* Watches the connections of callers for their end. */
+/* Detects that callers close their connections. */
 #ifndef EGRETD_CONNECTIONS_H
 #define EGRETD_CONNECTIONS_H
 
@@ -7,18 +7,19 @@
 struct connections;
 
 /**
- * connections_create() - notice when callers of @server close
+ * connections_create() - watch the connections of the callers of @server
  *
- * libsoup notices neither a caller that hangs up while its message is paused
- * nor one that closes an idle connection; the latter would stay open here.
- * A caller that only shuts down its sending side counts as gone.
+ * libsoup detects neither a caller that closes its connection while its
+ * message is paused nor one that closes an idle connection; the latter would
+ * stay open on this side. A caller that only shuts down its sending side is
+ * treated as having closed the connection.
  *
- * Returns: NULL when the system has no descriptor left.
+ * Returns: NULL if no epoll descriptor can be created.
  */
 struct connections *
 connections_create(SoupServer *server);
 
-/** connections_destroy() - to be called after the server is gone. */
+/** connections_destroy() - free; the server must have been freed before. */
 void
 connections_destroy(struct connections *connections);
 
--- a/include/egretd/frontend.h
+++ b/include/egretd/frontend.h
@@ -1,4 +1,4 @@
-/* HTTP server of a gateway: callers, other gateways and operators. */
+/* HTTP server of a gateway for callers, other gateways and operators. */
 #ifndef EGRETD_FRONTEND_H
 #define EGRETD_FRONTEND_H
 
@@ -14,10 +14,11 @@
 #include "egretd/engine.h"
 
 /**
- * struct frontend_options - what the server works with
- * @config: configuration in force, or NULL
- * @healthy: whether the balancer may send work here
- * @status: fills the object that operators see
+ * struct frontend_options - settings, parts of the gateway and callbacks
+ * @config: active configuration, or NULL
+ * @healthy: whether the load balancer may send requests to this gateway
+ * @status: writes the members of the JSON object at /v1/status
+ * @refresh: updates the metrics before they are written
  */
 struct frontend_options {
     const struct settings *settings;
@@ -28,24 +29,23 @@
     const struct config *(*config)(void *ctx);
     bool (*healthy)(void *ctx);
     void (*status)(void *ctx, JsonBuilder *builder);
-    /* Brings gauges up to date before they are shown. */
     void (*refresh)(void *ctx);
     void *ctx;
 };
 
 struct frontend;
 
-/** frontend_create() - listen; NULL and @status when that fails. */
+/** frontend_create() - start listening; NULL and @status on failure. */
 struct frontend *
 frontend_create(const struct frontend_options *options, struct status *status);
 void
 frontend_destroy(struct frontend *frontend);
 
-/** frontend_port() - port in use. */
+/** frontend_port() - port that the server listens on. */
 uint16_t
 frontend_port(const struct frontend *frontend);
 
-/** frontend_stop_listening() - take no new connections. */
+/** frontend_stop_listening() - accept no new connections. */
 void
 frontend_stop_listening(struct frontend *frontend);
 
--- a/include/egretd/gateway_status.h
+++ b/include/egretd/gateway_status.h
@@ -1,4 +1,4 @@
-/* What a gateway shows of itself to operators. */
+/* Status and metrics of a gateway. */
 #ifndef EGRETD_GATEWAY_STATUS_H
 #define EGRETD_GATEWAY_STATUS_H
 
@@ -14,7 +14,14 @@
 #include "egretd/registration.h"
 #include "store/store.h"
 
-/** struct gateway_snapshot - state of the process at one moment */
+/**
+ * struct gateway_snapshot - state of the gateway at @now_ms
+ * @incarnation, @members, @n_members, @epoch: registration; unset without a
+ *                                             membership
+ * @generation, @config_id: of the active configuration
+ * @lease_until_ms: end of the quorum lease
+ * @inflight: requests without an answer
+ */
 struct gateway_snapshot {
     const struct settings *settings;
     const char *incarnation;
@@ -31,12 +38,13 @@
     struct peers_stats peers;
 };
 
-/** gateway_status_build() - members of the JSON object at /v1/status. */
+/** gateway_status_build() - write the members of the JSON object at
+ * /v1/status. */
 void
 gateway_status_build(const struct gateway_snapshot *snapshot,
                      struct dispatch *dispatch, JsonBuilder *builder);
 
-/** gateway_status_set_metrics() - set the gauges shown at /metrics. */
+/** gateway_status_set_metrics() - set the values shown at /metrics. */
 void
 gateway_status_set_metrics(const struct gateway_snapshot *snapshot,
                            struct counters *counters);
--- a/include/egretd/operator_api.h
+++ b/include/egretd/operator_api.h
@@ -1,4 +1,4 @@
-/* Health, counters and status over HTTP. */
+/* HTTP endpoints for operators and other gateways: health, metrics, status. */
 #ifndef EGRETD_OPERATOR_API_H
 #define EGRETD_OPERATOR_API_H
 
@@ -16,18 +16,20 @@
 operator_metrics(const struct frontend_options *options,
                  SoupServerMessage *message);
 
-/** operator_status() - GET /v1/status, with proof of the secret. */
+/** operator_status() - GET /v1/status; checks the Egret-Auth header. */
 void
 operator_status(const struct frontend_options *options,
                 SoupServerMessage *message, const char *path);
 
-/** operator_explain() - GET /v1/explain/{queue}, with proof of the secret. */
+/** operator_explain() - GET /v1/explain/{queue}; checks the Egret-Auth header.
+ */
 void
 operator_explain(const struct frontend_options *options,
                  SoupServerMessage *message, const char *path,
                  const char *queue);
 
-/** operator_id_query() - GET /v1/ids/{team}/{id} of another gateway. */
+/** operator_id_query() - GET /v1/ids/{team}/{id}, from another gateway; checks
+ * the Egret-Auth header. */
 void
 operator_id_query(const struct frontend_options *options,
                   SoupServerMessage *message, const char *path);
--- a/include/egretd/request.h
+++ b/include/egretd/request.h
@@ -1,4 +1,4 @@
-/* A caller's request while the gateway holds it. */
+/* A caller's request from its arrival until its answer. */
 #ifndef EGRETD_REQUEST_H
 #define EGRETD_REQUEST_H
 
@@ -12,9 +12,10 @@
 
 /**
  * enum request_role - how a request gets its answer
- * @ROLE_RUN: its task runs through the dispatcher here
- * @ROLE_WAIT: it waits for a run of its id, or for what a gateway knows
- * @ROLE_FORWARD: the gateway that owns its id answers it
+ * @ROLE_RUN: its task is submitted to the dispatcher of this gateway
+ * @ROLE_WAIT: it waits for a run of the same id, or for the answers of other
+ *             gateways to id queries
+ * @ROLE_FORWARD: it is forwarded to the gateway that owns its id
  */
 enum request_role {
     ROLE_RUN,
@@ -24,24 +25,29 @@
 
 /**
  * struct request - one task and the callers that wait for it
- * @task: number on this gateway
- * @task_name: "<incarnation>-<task>", for logs and callers
+ * @task: number of the task on this gateway
+ * @task_name: "<incarnation>.<task>", for logs and callers
  * @team, @queue: names in the configuration
- * @key_id, @key_hash_hex: key it came with; NULL and "" on open queues
+ * @key_id, @key_hash_hex: API key of the caller; NULL and "" without a key
  * @request_id: the caller's id, or NULL
  * @idempotent: may run more than once
  * @forwarded: came from another gateway
- * @to_owner: came from another gateway because this one owns its id
- * @first_attempt: the caller vouches that it never sent the id before
- * @hops: how often gateways have sent it on
+ * @to_owner: forwarded here because this gateway owns its id
+ * @first_attempt: the caller declared that it never sent the id before
+ * @hops: how many times gateways have forwarded it
  * @role: how it gets its answer
- * @claimed: its end is to be told to the claims
+ * @claimed: it runs for its id; its outcome is reported to the claims
  * @content_type, @body: what the caller sent
  * @arrived_ms: when it arrived
- * @attempt: attempt that is out, or 0
+ * @attempt: number of the attempt under way, or 0
  * @host: backend server of the last attempt, for logs
  * @last_failure: answer of the last attempt that ran and failed, or NULL
- * @waiters: connections that wait for the answer
+ * @waiters: callers' messages that wait for the answer
+ * @streaming: message that the answer is being streamed to, or NULL
+ * @wrote_chunk_handler: signal handler on @streaming
+ * @wrote: called when a piece was written to the connection
+ * @abandoned: called when no caller waits any more
+ * @callback_ctx: argument of @wrote and @abandoned
  */
 struct request {
     uint64_t task;
@@ -65,11 +71,9 @@
     char *host;
     struct answer *last_failure;
     GPtrArray *waiters;
-    /* Set while a long answer is passed on. */
     SoupServerMessage *streaming;
     gulong wrote_chunk_handler;
     void (*wrote)(void *ctx, struct request *request);
-    /* Told when no caller waits any more. */
     void (*abandoned)(void *ctx, struct request *request);
     void *callback_ctx;
 };
@@ -81,31 +85,32 @@
 void
 request_destroy(struct request *request);
 
-/** request_add_waiter() - let a paused message wait for the answer. */
+/** request_add_waiter() - answer a paused message with this request. */
 void
 request_add_waiter(struct request *request, SoupServerMessage *message);
 
-/** request_answer() - answer every caller; @answer stays the caller's. */
+/** request_answer() - answer every waiting caller; @answer stays owned by the
+ * caller of this function. */
 void
 request_answer(struct request *request, const struct answer *answer);
 
 /**
- * request_stream_start() - begin a long answer to the only caller
- * @wrote: told when the caller has taken a piece
+ * request_stream_start() - start streaming an answer to the only caller
+ * @wrote: called when a piece was written to the connection
  *
- * Returns: false when the answer has to be kept whole, because several
- * callers wait for it or may ask for it again.
+ * Returns: false if the answer has to be buffered, because several callers
+ * wait for it or the caller may request it again by its id.
  */
 bool
 request_stream_start(struct request *request, const struct answer_head *head,
                      void (*wrote)(void *ctx, struct request *request));
 
-/** request_stream_data() - next piece. */
+/** request_stream_data() - send the next piece. */
 void
 request_stream_data(struct request *request, GBytes *piece);
 
-/** request_stream_end() - the answer is whole, or it is cut off so that the
- * caller sees it. */
+/** request_stream_end() - end the stream; unless @whole, the connection is
+ * shut down so that the caller sees a truncated answer. */
 void
 request_stream_end(struct request *request, bool whole);
 
