--- a/egretd/engine.c
+++ b/egretd/engine.c
@@ -14,7 +14,7 @@
 }
 
 struct request *
-engine_find(struct engine *engine, uint64_t task)
+engine_find_request(struct engine *engine, uint64_t task)
 {
     return g_hash_table_lookup(engine->requests, &task);
 }
@@ -36,7 +36,8 @@
               const struct answer *answer)
 {
     if (request->claimed) {
-        /* Comes back here for every request of the id, this one included. */
+        /* Calls this function again for every request of the id, this one
+         * included, with @claimed unset. */
         claims_finished(engine->claims, request, answer);
         return;
     }
@@ -53,8 +54,8 @@
     g_hash_table_remove(engine->requests, &request->task);
 }
 
-/* A request with an id speaks for its earlier sendings too: before the id's
- * owner has looked, nobody knows that none of them ran. */
+/* The outcome of a request with an id also covers earlier requests of that
+ * id: until its owner has checked, one of them may have run. */
 static enum outcome
 refusal_outcome(const struct request *request)
 {
@@ -79,16 +80,16 @@
     struct engine *engine = ctx;
     uint64_t attempt = 0;
     if (request->claimed || request->role == ROLE_WAIT) {
-        /* The caller may have lost its connection and ask again. */
+        /* The caller may have lost its connection and send the id again. */
         return;
     }
     if (request->role == ROLE_FORWARD) {
         forwards_abort(engine->forwards, request->task);
         return;
     }
-    bool gone = dispatch_cancel(engine->dispatch, request->task, &attempt,
-                                engine_now_ms(engine));
-    if (gone) {
+    bool was_queued = dispatch_cancel(engine->dispatch, request->task,
+                                      &attempt, engine_now_ms(engine));
+    if (was_queued) {
         engine_refuse(engine, request, REASON_CANCELLED, 0);
     }
     else if (attempt != 0) {
@@ -101,7 +102,7 @@
 }
 
 void
-engine_run(struct engine *engine, struct request *request)
+engine_run_request(struct engine *engine, struct request *request)
 {
     int64_t retry_after_ms = 0;
     struct dispatch_task task = {
@@ -123,7 +124,7 @@
 }
 
 static enum reason
-admit(const struct engine *engine, const struct request *request)
+check_admission(const struct engine *engine, const struct request *request)
 {
     if (engine->draining) {
         return REASON_SHUTDOWN;
@@ -149,13 +150,13 @@
     request->abandoned = on_abandoned;
     request->callback_ctx = engine;
     g_hash_table_insert(engine->requests, &request->task, request);
-    enum reason reason = admit(engine, request);
+    enum reason reason = check_admission(engine, request);
     if (reason != REASON_NONE) {
         engine_refuse(engine, request, reason, RETRY_AFTER_MS);
         return;
     }
     if (!engine_needs_claim(request)) {
-        engine_run(engine, request);
+        engine_run_request(engine, request);
         return;
     }
     request->role = ROLE_WAIT;
@@ -197,7 +198,7 @@
         attempts_cancel(engine->attempts, attempt);
     }
     else {
-        /* The other gateway sees its caller go and cancels there. */
+        /* The other gateway detects the closed connection and cancels. */
         forwards_abort(engine->forwards, request->task);
     }
     engine_run_actions(engine);
@@ -237,7 +238,7 @@
     engine->options = *options;
     engine->requests = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
                                              destroy_request);
-    engine->tasks =
+    engine->task_by_attempt =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
     engine->dispatch = dispatch_create(&(struct dispatch_options){
         .seed = g_str_hash(options->incarnation),
@@ -255,14 +256,14 @@
     if (engine == NULL) {
         return;
     }
-    if (engine->wake != 0) {
-        g_source_remove(engine->wake);
+    if (engine->wake_source != 0) {
+        g_source_remove(engine->wake_source);
     }
     claims_destroy(engine->claims);
     forwards_destroy(engine->forwards);
     attempts_destroy(engine->attempts);
     dispatch_destroy(engine->dispatch);
     g_hash_table_unref(engine->requests);
-    g_hash_table_unref(engine->tasks);
+    g_hash_table_unref(engine->task_by_attempt);
     g_free(engine);
 }
--- a/egretd/engine_actions.c
+++ b/egretd/engine_actions.c
@@ -2,7 +2,7 @@
 #include "engine_state.h"
 
 enum {
-    MAX_SLEEP_MS = 60000,
+    WAKE_DELAY_MAX_MS = 60000,
 };
 
 static void
@@ -13,7 +13,7 @@
     uint64_t *task = g_new(uint64_t, 1);
     *number = action->attempt;
     *task = action->task;
-    g_hash_table_insert(engine->tasks, number, task);
+    g_hash_table_insert(engine->task_by_attempt, number, task);
     request->attempt = action->attempt;
     g_free(request->host);
     request->host = g_strdup(action->host);
@@ -70,7 +70,7 @@
     if (request->last_failure != NULL &&
         (action->outcome == OUTCOME_DONE ||
          action->reason == REASON_NEVER_RUNS)) {
-        /* It ran and failed wherever it was tried: its answer says how. */
+        /* Each attempt that ran failed: the caller gets the last failure. */
         answer = answer_copy(request->last_failure);
         answer->reason = action->reason;
     }
@@ -83,9 +83,9 @@
 }
 
 static void
-carry_out(struct engine *engine, const struct dispatch_action *action)
+run_action(struct engine *engine, const struct dispatch_action *action)
 {
-    struct request *request = engine_find(engine, action->task);
+    struct request *request = engine_find_request(engine, action->task);
     if (request == NULL) {
         return;
     }
@@ -106,44 +106,44 @@
 on_wake(void *data)
 {
     struct engine *engine = data;
-    engine->wake = 0;
+    engine->wake_source = 0;
     engine_run_actions(engine);
     return G_SOURCE_REMOVE;
 }
 
-/* A timer that fires too early plans anew; that is cheaper than a new timer
- * for every request. */
+/* An earlier timer is left as it is and schedules the next one when it fires:
+ * that is cheaper than replacing the timer for every request. */
 static void
-plan_wake(struct engine *engine)
+schedule_wake(struct engine *engine)
 {
     int64_t now = engine_now_ms(engine);
     int64_t at = dispatch_wake_ms(engine->dispatch, now);
-    if (engine->wake != 0 && engine->wake_at_ms <= at) {
+    if (engine->wake_source != 0 && engine->wake_at_ms <= at) {
         return;
     }
-    if (engine->wake != 0) {
-        g_source_remove(engine->wake);
-        engine->wake = 0;
+    if (engine->wake_source != 0) {
+        g_source_remove(engine->wake_source);
+        engine->wake_source = 0;
     }
     if (at == INT64_MAX) {
         return;
     }
-    int64_t delay_ms = CLAMP(at - now, 1, MAX_SLEEP_MS);
+    int64_t delay_ms = CLAMP(at - now, 1, WAKE_DELAY_MAX_MS);
     engine->wake_at_ms = now + delay_ms;
-    engine->wake = g_timeout_add((guint)delay_ms, on_wake, engine);
+    engine->wake_source = g_timeout_add((guint)delay_ms, on_wake, engine);
 }
 
 void
 engine_run_actions(struct engine *engine)
 {
     struct dispatch_action action;
-    if (engine->pumping) {
+    if (engine->running_actions) {
         return;
     }
-    engine->pumping = true;
+    engine->running_actions = true;
     while (dispatch_next(engine->dispatch, engine_now_ms(engine), &action)) {
-        carry_out(engine, &action);
+        run_action(engine, &action);
     }
-    engine->pumping = false;
-    plan_wake(engine);
+    engine->running_actions = false;
+    schedule_wake(engine);
 }
--- a/egretd/engine_claims.c
+++ b/egretd/engine_claims.c
@@ -5,20 +5,20 @@
 on_run(void *ctx, uint64_t task)
 {
     struct engine *engine = ctx;
-    struct request *request = engine_find(engine, task);
+    struct request *request = engine_find_request(engine, task);
     if (request == NULL) {
         return;
     }
     request->role = ROLE_RUN;
     request->claimed = true;
-    engine_run(engine, request);
+    engine_run_request(engine, request);
 }
 
 static void
-on_send_on(void *ctx, uint64_t task, const char *peer)
+on_forward(void *ctx, uint64_t task, const char *peer)
 {
     struct engine *engine = ctx;
-    struct request *request = engine_find(engine, task);
+    struct request *request = engine_find_request(engine, task);
     struct forward_target target;
     if (request == NULL) {
         return;
@@ -50,7 +50,7 @@
 on_answer(void *ctx, uint64_t task, const struct answer *answer)
 {
     struct engine *engine = ctx;
-    struct request *request = engine_find(engine, task);
+    struct request *request = engine_find_request(engine, task);
     if (request != NULL) {
         request->claimed = false;
         engine_finish(engine, request, answer);
@@ -79,7 +79,7 @@
         .timeout_ms = engine->options.settings->connect_timeout_ms,
         .clock = engine->options.clock,
         .run = on_run,
-        .forward = on_send_on,
+        .forward = on_forward,
         .answer = on_answer,
         .find_peer = on_find_peer,
         .ctx = engine,
@@ -100,7 +100,8 @@
     claims_set_members(engine->claims, members, n_members, epoch);
 }
 
-/* What the old incarnation owned, others take for lost. */
+/* Other gateways treat ids that the old incarnation owned as lost: requests
+ * that wait for such an id end with an unknown outcome. */
 static void
 drop_claims(struct engine *engine)
 {
--- a/egretd/engine_events.c
+++ b/egretd/engine_events.c
@@ -2,16 +2,18 @@
 #include "engine_state.h"
 
 enum {
-    /* Kept connections to one host; the dispatcher counts those in use. */
-    HOST_CONNECTIONS = 64,
+    /* Size of the connection pool of one host; the dispatcher accounts for
+     * the connections in use. */
+    HOST_CONNECTIONS_MAX = 64,
 };
 
 static struct request *
-take_attempt_request(struct engine *engine, uint64_t number)
+remove_attempt(struct engine *engine, uint64_t number)
 {
-    uint64_t *task = g_hash_table_lookup(engine->tasks, &number);
-    struct request *request = task == NULL ? NULL : engine_find(engine, *task);
-    g_hash_table_remove(engine->tasks, &number);
+    uint64_t *task = g_hash_table_lookup(engine->task_by_attempt, &number);
+    struct request *request =
+        task == NULL ? NULL : engine_find_request(engine, *task);
+    g_hash_table_remove(engine->task_by_attempt, &number);
     if (request != NULL) {
         request->attempt = 0;
     }
@@ -33,7 +35,7 @@
 }
 
 static void
-on_settled(void *ctx, uint64_t number)
+on_resolved(void *ctx, uint64_t number)
 {
     struct engine *engine = ctx;
     dispatch_attempt_settled(engine->dispatch, number, engine_now_ms(engine));
@@ -50,8 +52,8 @@
 static struct request *
 find_attempt_request(struct engine *engine, uint64_t number)
 {
-    uint64_t *task = g_hash_table_lookup(engine->tasks, &number);
-    return task == NULL ? NULL : engine_find(engine, *task);
+    uint64_t *task = g_hash_table_lookup(engine->task_by_attempt, &number);
+    return task == NULL ? NULL : engine_find_request(engine, *task);
 }
 
 static void
@@ -86,14 +88,15 @@
     request_stream_data(request, piece);
 }
 
-/* The caller has part of the answer: there is nothing to try again. */
+/* Ends a request whose answer was streamed. There is no retry: the caller
+ * already has part of the answer. */
 static void
 finish_stream(struct engine *engine, struct request *request,
-              enum attempt_result result, enum reason reason, bool over)
+              enum attempt_result result, enum reason reason, bool task_ended)
 {
     uint64_t attempt = 0;
     bool whole = result == ATTEMPT_DONE;
-    if (!over) {
+    if (!task_ended) {
         dispatch_cancel(engine->dispatch, request->task, &attempt,
                         engine_now_ms(engine));
     }
@@ -127,9 +130,9 @@
          enum reason reason, struct answer *answer)
 {
     struct engine *engine = ctx;
-    struct request *request = take_attempt_request(engine, number);
-    bool over = dispatch_attempt_ended(engine->dispatch, number, result,
-                                       engine_now_ms(engine));
+    struct request *request = remove_attempt(engine, number);
+    bool task_ended = dispatch_attempt_ended(engine->dispatch, number, result,
+                                             engine_now_ms(engine));
     if (request == NULL) {
         answer_destroy(answer);
         engine_run_actions(engine);
@@ -137,12 +140,12 @@
     }
     if (request->streaming != NULL ||
         (result == ATTEMPT_DONE && answer == NULL)) {
-        finish_stream(engine, request, result, reason, over);
+        finish_stream(engine, request, result, reason, task_ended);
     }
-    else if (over) {
-        struct answer *last = final_answer(result, reason, answer);
-        engine_finish(engine, request, last);
-        answer_destroy(last);
+    else if (task_ended) {
+        struct answer *final = final_answer(result, reason, answer);
+        engine_finish(engine, request, final);
+        answer_destroy(final);
     }
     else {
         log_line(LOG_LEVEL_INFO, "retry",
@@ -158,7 +161,7 @@
 on_forward_stream(void *ctx, uint64_t task, const struct answer_head *head)
 {
     struct engine *engine = ctx;
-    struct request *request = engine_find(engine, task);
+    struct request *request = engine_find_request(engine, task);
     return request != NULL && request_stream_start(request, head, on_wrote);
 }
 
@@ -166,7 +169,7 @@
 on_forward_data(void *ctx, uint64_t task, GBytes *piece)
 {
     struct engine *engine = ctx;
-    struct request *request = engine_find(engine, task);
+    struct request *request = engine_find_request(engine, task);
     if (request == NULL || request->streaming == NULL) {
         forwards_abort(engine->forwards, task);
         return;
@@ -174,10 +177,11 @@
     request_stream_data(request, piece);
 }
 
-/* An earlier sending of the id may have run unless the caller vouches. */
+/* An earlier request of the same id may have run, unless the caller declared
+ * that this is the first. */
 static struct answer *
-sent_on_answer(const struct request *request, enum attempt_result result,
-               struct answer *answer)
+owner_answer(const struct request *request, enum attempt_result result,
+             struct answer *answer)
 {
     if (answer != NULL) {
         return answer;
@@ -189,30 +193,32 @@
 }
 
 static void
-sent_on_ended(struct engine *engine, struct request *request,
-              enum attempt_result result, struct answer *answer)
+owner_forward_ended(struct engine *engine, struct request *request,
+                    enum attempt_result result, struct answer *answer)
 {
     if (request->streaming != NULL) {
         finish_stream(engine, request, result, REASON_BACKEND_LOST, true);
         answer_destroy(answer);
         return;
     }
-    struct answer *last = sent_on_answer(request, result, answer);
-    engine_finish(engine, request, last);
-    answer_destroy(last);
+    struct answer *final = owner_answer(request, result, answer);
+    engine_finish(engine, request, final);
+    answer_destroy(final);
 }
 
 static void
-dispatched_ended(struct engine *engine, struct request *request,
-                 enum attempt_result result, struct answer *answer, bool over)
+dispatched_forward_ended(struct engine *engine, struct request *request,
+                         enum attempt_result result, struct answer *answer,
+                         bool task_ended)
 {
     if (request->streaming != NULL ||
         (result == ATTEMPT_DONE && answer == NULL)) {
-        finish_stream(engine, request, result, REASON_BACKEND_LOST, over);
+        finish_stream(engine, request, result, REASON_BACKEND_LOST,
+                      task_ended);
         answer_destroy(answer);
         return;
     }
-    if (over) {
+    if (task_ended) {
         answer = final_answer(result, REASON_BACKEND_LOST, answer);
         engine_finish(engine, request, answer);
     }
@@ -223,15 +229,15 @@
 engine_forward_ended(struct engine *engine, uint64_t task,
                      enum attempt_result result, struct answer *answer)
 {
-    struct request *request = engine_find(engine, task);
+    struct request *request = engine_find_request(engine, task);
     if (request != NULL && request->role == ROLE_FORWARD) {
-        sent_on_ended(engine, request, result, answer);
+        owner_forward_ended(engine, request, result, answer);
         return;
     }
-    bool over = dispatch_forward_ended(engine->dispatch, task, result,
-                                       engine_now_ms(engine));
+    bool task_ended = dispatch_forward_ended(engine->dispatch, task, result,
+                                             engine_now_ms(engine));
     if (request != NULL) {
-        dispatched_ended(engine, request, result, answer, over);
+        dispatched_forward_ended(engine, request, result, answer, task_ended);
     }
     else {
         answer_destroy(answer);
@@ -253,7 +259,7 @@
         .counters = engine->options.counters,
         .clock = engine->options.clock,
         .connect_timeout_ms = engine->options.settings->connect_timeout_ms,
-        .host_connections = HOST_CONNECTIONS,
+        .host_connections = HOST_CONNECTIONS_MAX,
         .handler =
             {
                 .may_send = on_may_send,
@@ -261,7 +267,7 @@
                 .ended = on_ended,
                 .stream = on_stream,
                 .data = on_data,
-                .resolved = on_settled,
+                .resolved = on_resolved,
                 .load = on_load,
                 .ctx = engine,
             },
--- a/egretd/engine_state.h
+++ b/egretd/engine_state.h
@@ -8,7 +8,7 @@
 #include "egretd/forwards.h"
 
 enum {
-    /* Added to a lease for the way to another gateway and back. */
+    /* Added to a lease for the round trip to another gateway. */
     FORWARD_GRACE_MS = 2000,
 };
 
@@ -18,13 +18,13 @@
     struct attempts *attempts;
     struct forwards *forwards;
     struct claims *claims;
-    /* Requests by task, and tasks by attempt. */
+    /* By task number. */
     GHashTable *requests;
-    GHashTable *tasks;
+    GHashTable *task_by_attempt;
     uint64_t next_task;
-    guint wake;
+    guint wake_source;
     int64_t wake_at_ms;
-    bool pumping;
+    bool running_actions;
     bool draining;
 };
 
@@ -32,7 +32,7 @@
 int64_t
 engine_now_ms(const struct engine *engine);
 struct request *
-engine_find(struct engine *engine, uint64_t task);
+engine_find_request(struct engine *engine, uint64_t task);
 void
 engine_finish(struct engine *engine, struct request *request,
               const struct answer *answer);
@@ -40,7 +40,7 @@
 engine_refuse(struct engine *engine, struct request *request,
               enum reason reason, int64_t retry_after_ms);
 void
-engine_run(struct engine *engine, struct request *request);
+engine_run_request(struct engine *engine, struct request *request);
 
 /* engine_claims.c */
 void
--- a/include/egretd/engine.h
+++ b/include/egretd/engine.h
@@ -1,4 +1,4 @@
-/* Carries out the dispatcher's decisions. */
+/* Submits requests to the dispatcher and executes its decisions. */
 #ifndef EGRETD_ENGINE_H
 #define EGRETD_ENGINE_H
 
@@ -12,17 +12,18 @@
 #include "egretd/request.h"
 #include "egretd/registration.h"
 
-/** struct forward_target - where a gateway takes forwarded requests */
+/** struct forward_target - "IP:port" for requests forwarded to a gateway */
 struct forward_target {
     char address[64];
 };
 
 /**
- * struct engine_options - what the engine works with
- * @incarnation: makes task names unique for ever
+ * struct engine_options - settings and callbacks
+ * @incarnation: prefix of task and attempt names that makes them unique across
+ *               restarts
  * @secret: signs forwarded requests
- * @find_peer: HTTP address of a gateway; false when it is not known
- * @find_queue: a queue in the configuration in force, or NULL
+ * @find_peer: sets the HTTP address of a gateway; false if it is not known
+ * @find_queue: a queue of the active configuration, or NULL
  * @has_quorum_lease: whether this gateway may start work now
  */
 struct engine_options {
@@ -45,55 +46,64 @@
 void
 engine_destroy(struct engine *engine);
 
-/** engine_dispatch() - the dispatcher, to be fed with facts; call
- * engine_run_actions() after that. */
+/** engine_dispatch() - the dispatcher, for updates of its inputs; call
+ * engine_run_actions() after an update. */
 struct dispatch *
 engine_dispatch(struct engine *engine);
 
-/** engine_run_actions() - carry out every decision that is due. */
+/** engine_run_actions() - execute every decision of the dispatcher that is
+ * due. */
 void
 engine_run_actions(struct engine *engine);
 
 /**
- * engine_submit() - take a request
+ * engine_submit() - submit a request
  *
- * The engine owns @request from now on and answers it, at once if it is
+ * The engine takes ownership of @request and answers it, at once if it is
  * refused.
  */
 void
 engine_submit(struct engine *engine, struct request *request);
 
-/** engine_cancel_by_id() - cancel the request a team named @request_id.
- * Returns "cancelled", "running" or "not-found". */
+/**
+ * engine_cancel_by_id() - cancel a request by the id that its team gave it
+ *
+ * Returns: "cancelled" if it was still queued, "running" if it was told to
+ * stop, or "not-found" if it doesn't run through this gateway.
+ */
 const char *
 engine_cancel_by_id(struct engine *engine, const char *team,
                     const char *request_id);
 
-/** engine_set_incarnation() - this process joins under a new name; ids
- * owned under the old one are given up. */
+/** engine_set_incarnation() - this process registers under a new incarnation;
+ * it no longer owns the ids of the old one. */
 void
 engine_set_incarnation(struct engine *engine, const char *incarnation);
 
-/** engine_set_members() - registered gateways, which share out the ids. */
+/** engine_set_members() - set the registered gateways as of @epoch, which
+ * share the ownership of request ids. */
 void
 engine_set_members(struct engine *engine, const struct gateway_member *members,
                    size_t n_members, uint64_t epoch);
 
-/** engine_find_owner() - address of the gateway that owns an id. */
+/** engine_find_owner() - set the address of the gateway that owns an id; false
+ * if there is none. */
 bool
 engine_find_owner(struct engine *engine, const char *team,
                   const char *request_id, struct forward_target *target);
 
-/** engine_answer_query() - what is known here of a request id, as JSON. */
+/** engine_answer_query() - what is known here of a request id, as JSON for
+ * gateway @querier, which owns the id now; free it with g_free(). */
 char *
 engine_answer_query(struct engine *engine, const char *team, const char *id,
                     const char *querier);
 
-/** engine_drain() - take no more; refuse what can't start any more. */
+/** engine_drain() - accept no more requests; refuse queued ones that can't be
+ * forwarded. */
 void
 engine_drain(struct engine *engine);
 
-/** engine_inflight() - requests that have no answer yet. */
+/** engine_inflight() - number of requests without an answer. */
 uint32_t
 engine_inflight(const struct engine *engine);
 
