--- a/core/jobs/advice.c
+++ b/core/jobs/advice.c
@@ -218,12 +218,12 @@
     sched->advice.job = NULL;
 }
 
-static const struct advice_row *
-find_row(const struct advice_answer *answer, const char *id)
+static const struct advice_grant *
+find_grant(const struct advice_answer *answer, const char *id)
 {
-    for (size_t i = 0; i < answer->n_rows; i++) {
-        if (strcmp(answer->rows[i].backend_id, id) == 0) {
-            return &answer->rows[i];
+    for (size_t i = 0; i < answer->n_grants; i++) {
+        if (strcmp(answer->grants[i].backend_id, id) == 0) {
+            return &answer->grants[i];
         }
     }
     return NULL;
@@ -252,20 +252,20 @@
     for (guint i = 0; i + 1 < call->asked->len; i++) {
         const char *id = g_ptr_array_index(call->asked, i);
         const struct backend *backend = scheduler_find_backend(sched, id);
-        const struct advice_row *row = find_row(answer, id);
+        const struct advice_grant *grant = find_grant(answer, id);
         int64_t incarnation_start_ms =
             backend == NULL ? 0 : backend->entry.incarnation_start_ms;
-        if (row == NULL) {
+        if (grant == NULL) {
             step_advice_refuse(progress->advice, id, incarnation_start_ms);
         }
         else {
             step_advice_grant(
-                progress->advice, id, incarnation_start_ms, row->ticket,
+                progress->advice, id, incarnation_start_ms, grant->ticket,
                 call->sent_ms + answer->valid_ms - TICKET_MARGIN_MS);
         }
         call->allowed_fraction +=
             ALLOWED_FRACTION_WEIGHT *
-            ((row == NULL ? 0 : 1) - call->allowed_fraction);
+            ((grant == NULL ? 0 : 1) - call->allowed_fraction);
     }
     finish_advice_call(sched);
 }
--- a/core/jobs/hosts.c
+++ b/core/jobs/hosts.c
@@ -219,18 +219,18 @@
 
 void
 scheduler_on_host_command(struct scheduler *sched, const char *name,
-                          int64_t number, enum host_command_result answer)
+                          int64_t number, enum host_command_result result)
 {
     struct host *host = g_hash_table_lookup(sched->hosts, name);
     sched_log_event(sched, "host_order_answer",
                     "\"host\":\"%s\",\"wave\":%" G_GINT64_FORMAT
                     ",\"answer\":%d",
-                    name, number, answer);
+                    name, number, result);
     if (host == NULL || !host->command_in_flight) {
         return;
     }
     host->command_in_flight = false;
-    switch (answer) {
+    switch (result) {
     case HOST_COMMAND_DONE:
         on_command_accepted(sched, host, number);
         break;
--- a/core/jobs/scheduler_state.h
+++ b/core/jobs/scheduler_state.h
@@ -172,6 +172,32 @@
     double allowed_fraction;
 };
 
+/**
+ * struct scheduler - state of the scheduler
+ * @term: counts takeovers
+ * @config: the active configuration, borrowed, or NULL
+ * @out_of_service: data centres that get no new work, or NULL
+ * @leadership_valid: commands may be sent now
+ * @outage: the store is unreachable; leases of the longest duration are used
+ * @outage_changed_ms: when @outage last changed; 0: never
+ * @inherited_long_lease: a previous leader may have granted longer leases than
+ *                        LEASE_MS
+ * @fenced: a newer scheduler was met; no more commands are sent
+ * @takeover_ms: when this scheduler took over
+ * @backends: struct backend by id
+ * @jobs: struct job by id, finished ones included
+ * @active: the active jobs
+ * @runs: struct run by handle
+ * @team_usage: struct team_usage by client account
+ * @hosts: struct host by name
+ * @pools: struct pool_load by pool
+ * @waves: struct wave
+ * @dirty: jobs with progress to store, referenced
+ * @to_register: ids of backend servers to register
+ * @to_release: ids of backend servers whose record is to be deleted
+ * @finished: finished jobs, in the order of finishing
+ * @hosts_read: the host list was read and was not empty
+ */
 struct scheduler {
     struct sched_timings timings;
     struct sched_ops ops;
--- a/include/core/jobs/scheduler.h
+++ b/include/core/jobs/scheduler.h
@@ -294,8 +294,11 @@
 scheduler_on_report(struct scheduler *sched, const char *backend_id,
                     const struct run_report *report);
 
-/** struct advice_row - a backend server that may run the step */
-struct advice_row {
+/**
+ * struct advice_grant - a backend server that may run the step, with its
+ * ticket
+ */
+struct advice_grant {
     const char *backend_id;
     const char *ticket;
 };
@@ -308,8 +311,8 @@
 struct advice_answer {
     bool given;
     int64_t valid_ms;
-    const struct advice_row *rows;
-    size_t n_rows;
+    const struct advice_grant *grants;
+    size_t n_grants;
 };
 
 void
@@ -330,7 +333,18 @@
 bool
 scheduler_fenced(const struct scheduler *sched);
 
-/** struct sched_stats - statistics for metrics and peers */
+/**
+ * struct sched_stats - statistics for metrics and peers
+ * @jobs_active: jobs that are not finished
+ * @runs: runs that may be in progress
+ * @backends: backend servers, in the host list or not
+ * @backends_unreconciled: backend servers with runs of a previous leader that
+ *                         are not all accounted for
+ * @started: start commands sent
+ * @done: tasks done
+ * @failed: runs that ended as failed
+ * @lost: runs that ended without a completion
+ */
 struct sched_stats {
     uint32_t jobs_active;
     uint32_t runs;
@@ -469,6 +483,6 @@
 /** scheduler_on_host_command() - answer to a move (@wave 0) or a reboot. */
 void
 scheduler_on_host_command(struct scheduler *sched, const char *host,
-                          int64_t wave, enum host_command_result answer);
+                          int64_t wave, enum host_command_result result);
 
 #endif
--- a/tests/jobs/advice_test.c
+++ b/tests/jobs/advice_test.c
@@ -37,11 +37,11 @@
 static void
 answer(struct fleet_fixture *f, const char *good)
 {
-    struct advice_row row = {.backend_id = good, .ticket = "t-1"};
+    struct advice_grant row = {.backend_id = good, .ticket = "t-1"};
     struct advice_answer given = {.given = true,
                                   .valid_ms = VALID_MS,
-                                  .rows = &row,
-                                  .n_rows = good == NULL ? 0 : 1};
+                                  .grants = &row,
+                                  .n_grants = good == NULL ? 0 : 1};
     scheduler_on_advice(f->sched, &given);
     fixture_tick(f, f->now_ms + 10);
 }
