--- a/bench/decision_bench.c
+++ b/bench/decision_bench.c
@@ -84,7 +84,7 @@
     dispatch_set_config(bench->dispatch, &bench->fixture->config);
     dispatch_set_hosts(bench->dispatch, bench->fixture->hosts,
                        bench->fixture->n_hosts);
-    dispatch_set_standing(bench->dispatch, INT64_MAX);
+    dispatch_set_quorum_lease(bench->dispatch, INT64_MAX);
     for (uint32_t i = 0; i < size->teams; i++) {
         dispatch_set_permits(bench->dispatch,
                              bench->fixture->config.teams[i].name, 100000);
@@ -334,7 +334,7 @@
 {
     struct bench_size size = {.hosts = 50, .pools = 5, .teams = 6};
     struct bench *bench = bench_create(&size);
-    dispatch_set_standing(bench->dispatch, 0);
+    dispatch_set_quorum_lease(bench->dispatch, 0);
     while (bench->submitted < waiting) {
         submit(bench);
     }
--- a/core/deadline_heap.c
+++ b/core/deadline_heap.c
@@ -108,7 +108,7 @@
 }
 
 int64_t
-deadline_heap_due_ms(const struct deadline_heap *heap)
+deadline_heap_first_ms(const struct deadline_heap *heap)
 {
     return heap->entries->len == 0 ? INT64_MAX : entry_at(heap, 0)->at_ms;
 }
@@ -116,7 +116,7 @@
 void *
 deadline_heap_pop(struct deadline_heap *heap, int64_t now_ms)
 {
-    if (deadline_heap_due_ms(heap) > now_ms) {
+    if (deadline_heap_first_ms(heap) > now_ms) {
         return NULL;
     }
     struct deadline_entry *entry = entry_at(heap, 0);
--- a/core/dispatch_attempt.c
+++ b/core/dispatch_attempt.c
@@ -84,8 +84,8 @@
 }
 
 void
-dispatch_attempt_settled(struct dispatch *dispatch, uint64_t id,
-                         int64_t now_ms)
+dispatch_attempt_resolved(struct dispatch *dispatch, uint64_t id,
+                          int64_t now_ms)
 {
     dispatch_at(dispatch, now_ms);
     struct attempt *attempt = attempt_find(dispatch, id);
@@ -110,14 +110,14 @@
                 int64_t now_ms)
 {
     if (now_ms >= dispatch->standing_until_ms) {
-        return REASON_NO_STANDING;
+        return REASON_NO_QUORUM_LEASE;
     }
     enum reason reason = task_allowed(dispatch, attempt->task);
     if (reason != REASON_NONE) {
         return reason;
     }
     if (attempt->host->dc != NULL && attempt->host->dc->out) {
-        return REASON_DC_OUT;
+        return REASON_DC_OUT_OF_SERVICE;
     }
     if (!host_usable(attempt->host)) {
         return REASON_NO_HOST;
--- a/core/dispatch_config.c
+++ b/core/dispatch_config.c
@@ -203,7 +203,7 @@
 }
 
 void
-dispatch_set_standing(struct dispatch *dispatch, int64_t until_ms)
+dispatch_set_quorum_lease(struct dispatch *dispatch, int64_t until_ms)
 {
     dispatch->standing_until_ms = until_ms;
 }
--- a/core/dispatch_hosts.c
+++ b/core/dispatch_hosts.c
@@ -82,7 +82,7 @@
     host_close(host);
     deadline_heap_remove(dispatch->ejections, &host->ejection);
     if (host->pool != NULL) {
-        outlier_forget(&host->outlier, &host->pool->outlier);
+        outlier_reinstate(&host->outlier, &host->pool->outlier);
     }
 }
 
@@ -242,7 +242,7 @@
     for (uint32_t i = 0; i < task->n_failed && !task->absolved; i++) {
         struct host *host = failed_host(dispatch, task, i);
         if (host != NULL) {
-            outlier_absolve(&host->outlier);
+            outlier_discount_failure(&host->outlier);
         }
     }
     task->absolved = true;
--- a/core/dispatch_next.c
+++ b/core/dispatch_next.c
@@ -32,13 +32,14 @@
     const struct pool *pool = lane->pool_team->pool;
     const struct team *team = lane->pool_team->team;
     if (now_ms >= dispatch->standing_until_ms) {
-        return REASON_NO_STANDING;
+        return REASON_NO_QUORUM_LEASE;
     }
     if (team->running >= team->permits) {
         return REASON_TEAM_LIMIT;
     }
     if (pool->hosts_accepting == 0) {
-        return pool->hosts_dc_out > 0 ? REASON_DC_OUT : REASON_NO_HOST;
+        return pool->hosts_dc_out > 0 ? REASON_DC_OUT_OF_SERVICE
+                                      : REASON_NO_HOST;
     }
     return REASON_NO_CAPACITY;
 }
@@ -169,7 +170,7 @@
     };
     int64_t first_ms = INT64_MAX;
     for (size_t i = 0; i < G_N_ELEMENTS(heaps); i++) {
-        first_ms = MIN(first_ms, deadline_heap_due_ms(heaps[i]));
+        first_ms = MIN(first_ms, deadline_heap_first_ms(heaps[i]));
     }
     return first_ms;
 }
--- a/core/dispatch_report.c
+++ b/core/dispatch_report.c
@@ -35,8 +35,8 @@
             .pool = pool->name,
             .busy_slots = pool->running,
             .queued = pool->queued,
-            .run_ms = (int64_t)pool->mean_run_ms,
-            .deadline_ms = shortest_deadline(dispatch, pool),
+            .mean_run_ms = (int64_t)pool->mean_run_ms,
+            .min_start_deadline_ms = shortest_deadline(dispatch, pool),
         };
         if (pool->known) {
             each(ctx, &report);
@@ -45,24 +45,25 @@
 }
 
 void
-dispatch_report_suspects(const struct dispatch *dispatch,
-                         void (*each)(void *ctx, const char *host,
-                                      uint32_t failures),
-                         void *ctx)
+dispatch_report_suspect_hosts(const struct dispatch *dispatch,
+                              void (*each)(void *ctx, const char *host,
+                                           uint32_t failures),
+                              void *ctx)
 {
     GHashTableIter iter;
     void *entry;
     g_hash_table_iter_init(&iter, dispatch->hosts);
     while (g_hash_table_iter_next(&iter, NULL, &entry)) {
         const struct host *host = entry;
-        if (host->outlier.state != OUTLIER_IN) {
+        if (host->outlier.state != OUTLIER_ROUTED) {
             each(ctx, host->name, host->outlier.failures_in_row);
         }
     }
 }
 
 uint32_t
-dispatch_report_host(const struct dispatch *dispatch, const char *name)
+dispatch_report_host_attempts(const struct dispatch *dispatch,
+                              const char *name)
 {
     const struct host *host = g_hash_table_lookup(dispatch->hosts, name);
     return host == NULL ? 0 : host->outstanding;
--- a/core/dispatch_retry.c
+++ b/core/dispatch_retry.c
@@ -18,7 +18,7 @@
 static bool
 does_well(const struct host *host)
 {
-    return host->outlier.state == OUTLIER_IN &&
+    return host->outlier.state == OUTLIER_ROUTED &&
            host->outlier.failures_in_row <= DOES_WELL_MAX_FAILURES;
 }
 
--- a/core/dispatch_share.c
+++ b/core/dispatch_share.c
@@ -208,8 +208,8 @@
     for (guint i = 0; i < dispatch->claims->len; i++) {
         struct pool_team *pool_team = claims[i].owner;
         pool_team->slice =
-            claims[i].given * own_demand(pool_team) / claims[i].demand;
-        pool->level = MAX(pool->level, claims[i].given / claims[i].weight);
+            claims[i].allocated * own_demand(pool_team) / claims[i].demand;
+        pool->level = MAX(pool->level, claims[i].allocated / claims[i].weight);
     }
 }
 
--- a/core/members.c
+++ b/core/members.c
@@ -60,8 +60,8 @@
     members->self.address = g_strdup(options->self->address);
     members->self.dc = g_strdup(options->self->dc);
     members->self.state = MEMBERS_LIVE;
-    members->support_ms = options->support_ms;
-    members->silent_ms = options->silent_ms;
+    members->support_ms = options->quorum_lease_ms;
+    members->silent_ms = options->fence_after_ms;
     members->record = members_record_create(0);
     members->last_next_ms = NEVER_MS;
     members->views =
@@ -120,7 +120,7 @@
 has_acked(const struct members *members, const struct members_entry *entry)
 {
     const struct peer_view *view = view_of(members, entry->incarnation);
-    return entry->state == MEMBERS_GONE ||
+    return entry->state == MEMBERS_DECLARED_DEAD ||
            is_self(members, entry->incarnation) || view->ended ||
            view->acked_epoch >= members->record->epoch;
 }
@@ -205,8 +205,8 @@
 }
 
 bool
-members_take(struct members *members, const struct members_record *record,
-             int64_t now_ms)
+members_update(struct members *members, const struct members_record *record,
+               int64_t now_ms)
 {
     if (record->epoch <= members->record->epoch) {
         return false;
@@ -217,14 +217,14 @@
     for (size_t i = 0; i < record->n_entries; i++) {
         follow_entry(members, &record->entries[i], now_ms);
     }
-    members->was_live = members->was_live || members_live(members);
+    members->was_live = members->was_live || members_self_live(members);
     settle(members, now_ms);
     return true;
 }
 
 void
-members_heard(struct members *members, const char *peer, uint64_t epoch,
-              int64_t now_ms)
+members_peer_seen(struct members *members, const char *peer, uint64_t epoch,
+                  int64_t now_ms)
 {
     struct peer_view *view = view_of(members, peer);
     if (view == NULL) {
@@ -236,7 +236,8 @@
 }
 
 void
-members_ended(struct members *members, const char *incarnation, int64_t now_ms)
+members_process_ended(struct members *members, const char *incarnation,
+                      int64_t now_ms)
 {
     struct peer_view *view = view_of(members, incarnation);
     if (view == NULL || is_self(members, incarnation)) {
@@ -247,9 +248,9 @@
 }
 
 void
-members_beat(struct members *members, const char *incarnation,
-             uint64_t version, int64_t lease_ms, int64_t asked_ms,
-             int64_t now_ms)
+members_renewal_read(struct members *members, const char *incarnation,
+                     uint64_t version, int64_t lease_ms, int64_t asked_ms,
+                     int64_t now_ms)
 {
     struct peer_view *view = view_of(members, incarnation);
     if (view == NULL) {
@@ -272,7 +273,7 @@
 }
 
 bool
-members_live(const struct members *members)
+members_self_live(const struct members *members)
 {
     const struct members_entry *entry =
         members_record_find(members->record, members->self.incarnation);
@@ -280,7 +281,7 @@
 }
 
 bool
-members_fenced(const struct members *members)
+members_self_fenced(const struct members *members)
 {
     const struct members_entry *entry =
         members_record_find(members->record, members->self.incarnation);
@@ -288,13 +289,13 @@
 }
 
 bool
-members_supports(const struct members *members, const char *peer,
-                 uint64_t epoch)
+members_grants_lease(const struct members *members, const char *peer,
+                     uint64_t epoch)
 {
     if ((members->faults & MEMBERS_FAULT_ANY_EPOCH) != 0) {
         return true;
     }
-    if (!members_live(members) || epoch < members->record->epoch) {
+    if (!members_self_live(members) || epoch < members->record->epoch) {
         return false;
     }
     const struct members_entry *entry =
@@ -313,7 +314,7 @@
 }
 
 bool
-members_unheard(const struct members *members, int64_t now_ms)
+members_renewal_reads_due(const struct members *members, int64_t now_ms)
 {
     for (size_t i = 0; i < members->record->n_entries; i++) {
         const struct members_entry *entry = &members->record->entries[i];
@@ -387,7 +388,7 @@
         return false;
     }
     *action = (struct members_action){
-        .step = MEMBERS_CLEAR_BEAT,
+        .step = MEMBERS_DELETE_RENEWAL,
         .reason = "clear",
         .incarnation = entry->incarnation,
         .version = view->beat_version,
@@ -412,7 +413,7 @@
         return propose(members, proposal, "remove", entry->incarnation,
                        action);
     }
-    if (entry->state == MEMBERS_GONE || view->ended ||
+    if (entry->state == MEMBERS_DECLARED_DEAD || view->ended ||
         is_silent(members, view, now_ms)) {
         return propose_fence(members, entry->incarnation, "fence", action);
     }
@@ -458,7 +459,7 @@
              struct members_action *action)
 {
     forgive_pause(members, now_ms);
-    if (members_fenced(members)) {
+    if (members_self_fenced(members)) {
         return false;
     }
     for (size_t i = 0; i < members->record->n_entries; i++) {
@@ -469,7 +470,7 @@
     if (!members_committed(members)) {
         return false;
     }
-    if (!members_live(members)) {
+    if (!members_self_live(members)) {
         return !members->leaving && propose_join(members, action);
     }
     if (members->leaving) {
--- a/core/outlier.c
+++ b/core/outlier.c
@@ -29,7 +29,7 @@
     fade(pool);
     host->failures_in_row = 0;
     if (host->state == OUTLIER_PROBING) {
-        outlier_forget(host, pool);
+        outlier_reinstate(host, pool);
         host->ejections = 0;
     }
 }
@@ -40,7 +40,8 @@
     uint32_t doublings = MIN(host->ejections, MAX_DOUBLINGS);
     host->state = OUTLIER_EJECTED;
     host->ejections++;
-    return MIN((int64_t)OUTLIER_FIRST_MS << doublings, OUTLIER_LONGEST_MS);
+    return MIN((int64_t)OUTLIER_EJECTION_MIN_MS << doublings,
+               OUTLIER_EJECTION_MAX_MS);
 }
 
 static float
@@ -57,10 +58,10 @@
     double failed = others_failed(host, pool);
     double part = failed / MAX(failed + pool->succeeded, 1);
     if (part <= 0) {
-        return OUTLIER_FAILURES;
+        return OUTLIER_FAILURES_MIN;
     }
     double needed = MIN(log(CHANCE) / log(MIN(part, 0.9)), MAX_FAILURES);
-    return MAX((uint32_t)ceil(needed), OUTLIER_FAILURES);
+    return MAX((uint32_t)ceil(needed), OUTLIER_FAILURES_MIN);
 }
 
 static bool
@@ -80,8 +81,8 @@
         return eject(host);
     }
     if (host->state == OUTLIER_EJECTED ||
-        host->failures_in_row < OUTLIER_FAILURES || !stands_out(host, pool) ||
-        pool->ejected >= pool->hosts / 3) {
+        host->failures_in_row < OUTLIER_FAILURES_MIN ||
+        !stands_out(host, pool) || pool->ejected >= pool->hosts / 3) {
         return 0;
     }
     pool->ejected++;
@@ -89,7 +90,7 @@
 }
 
 void
-outlier_absolve(struct outlier *host)
+outlier_discount_failure(struct outlier *host)
 {
     if (host->failures_in_row > 0) {
         host->failures_in_row--;
@@ -104,10 +105,10 @@
 }
 
 void
-outlier_forget(struct outlier *host, struct outlier_pool *pool)
+outlier_reinstate(struct outlier *host, struct outlier_pool *pool)
 {
-    if (host->state != OUTLIER_IN) {
+    if (host->state != OUTLIER_ROUTED) {
         pool->ejected--;
-        host->state = OUTLIER_IN;
+        host->state = OUTLIER_ROUTED;
     }
 }
--- a/core/permits.c
+++ b/core/permits.c
@@ -136,14 +136,14 @@
 }
 
 void
-permits_vanished(struct permits *permits)
+permits_record_deleted(struct permits *permits)
 {
     permits->cap = (struct permits_cap){0};
     adopt(permits, permits_record_create(), 0);
 }
 
 void
-permits_want(struct permits *permits, const char *peer, uint32_t count)
+permits_peer_request(struct permits *permits, const char *peer, uint32_t count)
 {
     for (guint i = 0; i < permits->wants->len; i++) {
         struct permits_request *known =
@@ -368,7 +368,7 @@
 }
 
 void
-permits_written(struct permits *permits, enum permits_answer answer,
+permits_written(struct permits *permits, enum permits_write_result answer,
                 uint64_t version)
 {
     struct permits_record *written = permits->written;
@@ -411,7 +411,8 @@
 }
 
 bool
-permits_holds(const struct permits *permits, const char *incarnation)
+permits_incarnation_holds(const struct permits *permits,
+                          const char *incarnation)
 {
     return permits_record_held(permits->record, incarnation) > 0;
 }
--- a/core/request_ids.c
+++ b/core/request_ids.c
@@ -186,13 +186,13 @@
 send_on(struct request_ids *ids, const char *peer, uint32_t hops,
         struct request_decision *decision)
 {
-    if (peer == NULL || hops >= REQUEST_IDS_MAX_HOPS) {
-        refuse(decision, OUTCOME_NOT_RUN, REASON_NO_STANDING);
+    if (peer == NULL || hops >= REQUEST_IDS_HOPS_MAX) {
+        refuse(decision, OUTCOME_NOT_RUN, REASON_NO_QUORUM_LEASE);
         return;
     }
     ids->lent_peer = g_strdup(peer);
     *decision = (struct request_decision){
-        .verdict = REQUEST_SEND_ON,
+        .verdict = REQUEST_FORWARD,
         .peer = ids->lent_peer,
     };
 }
@@ -224,7 +224,7 @@
       struct request_decision *decision)
 {
     if (entry->n_asked < entry->to_ask->len) {
-        decide(decision, REQUEST_ASK, entry);
+        decide(decision, REQUEST_QUERY, entry);
         decision->peer = g_ptr_array_index(entry->to_ask, entry->n_asked);
         return;
     }
@@ -258,7 +258,7 @@
     entry->body_hash_hex = g_strdup(request->body_hash_hex);
     entry->first_attempt = request->first_attempt;
     g_array_append_val(entry->tasks, request->task);
-    const char *earlier[REQUEST_IDS_MAX_EARLIER];
+    const char *earlier[REQUEST_IDS_EARLIER_OWNERS_MAX];
     bool more = false;
     size_t n = request_views_earlier(ids->views, request->team, request->id,
                                      earlier, &more);
@@ -308,7 +308,7 @@
 
 static void
 told_finished(struct request_ids *ids, struct entry *entry,
-              const struct request_report *report, int64_t now_ms,
+              const struct id_query_reply *report, int64_t now_ms,
               struct request_decision *decision)
 {
     entry->state = ENTRY_FINISHED;
@@ -326,14 +326,15 @@
     entry->state = ENTRY_MOVED;
     entry->moved_to = g_strdup(peer);
     entry_keep(ids, entry, now_ms);
-    decide(decision, REQUEST_SEND_ON, entry);
+    decide(decision, REQUEST_FORWARD, entry);
     decision->peer = entry->moved_to;
 }
 
 void
-request_ids_told(struct request_ids *ids, const char *team, const char *id,
-                 const char *peer, const struct request_report *report,
-                 int64_t now_ms, struct request_decision *decision)
+request_ids_query_answered(struct request_ids *ids, const char *team,
+                           const char *id, const char *peer,
+                           const struct id_query_reply *report, int64_t now_ms,
+                           struct request_decision *decision)
 {
     begin(ids, now_ms);
     struct entry *entry = entry_find(ids, team, id);
@@ -344,19 +345,19 @@
         return;
     }
     entry->n_asked++;
-    for (size_t i = 0; i < report->n_earlier; i++) {
-        add_to_ask(ids, entry, report->earlier[i]);
+    for (size_t i = 0; i < report->n_earlier_owners; i++) {
+        add_to_ask(ids, entry, report->earlier_owners[i]);
     }
-    if (report->knowledge == REQUEST_FINISHED) {
+    if (report->result == ID_QUERY_FINISHED) {
         told_finished(ids, entry, report, now_ms, decision);
         return;
     }
-    if (report->knowledge == REQUEST_RUNS) {
+    if (report->result == ID_QUERY_RUNNING) {
         told_runs(ids, entry, peer, now_ms, decision);
         return;
     }
-    entry->owner_gone |= report->knowledge != REQUEST_ABSENT;
-    if (report->knowledge == REQUEST_UNREACHABLE) {
+    entry->owner_gone |= report->result != ID_QUERY_ABSENT;
+    if (report->result == ID_QUERY_UNREACHABLE) {
         /* It may accept the id itself: vouching for a first attempt does
          * not rule that out. */
         entry->first_attempt = false;
@@ -366,41 +367,41 @@
 
 static void
 report_earlier(struct request_ids *ids, const char *team, const char *id,
-               struct request_report *report)
+               struct id_query_reply *report)
 {
     bool more = false;
-    report->n_earlier =
-        request_views_earlier(ids->views, team, id, report->earlier, &more);
+    report->n_earlier_owners = request_views_earlier(
+        ids->views, team, id, report->earlier_owners, &more);
     size_t kept = 0;
-    for (size_t i = 0; i < report->n_earlier; i++) {
-        if (request_views_registered(ids->views, report->earlier[i])) {
-            report->earlier[kept++] = report->earlier[i];
+    for (size_t i = 0; i < report->n_earlier_owners; i++) {
+        if (request_views_registered(ids->views, report->earlier_owners[i])) {
+            report->earlier_owners[kept++] = report->earlier_owners[i];
         }
         else {
             more = true;
         }
     }
-    report->n_earlier = kept;
-    report->knowledge = more ? REQUEST_OWNER_GONE : REQUEST_ABSENT;
+    report->n_earlier_owners = kept;
+    report->result = more ? ID_QUERY_OWNER_GONE : ID_QUERY_ABSENT;
 }
 
 static void
-report_entry(const struct entry *entry, struct request_report *report)
+report_entry(const struct entry *entry, struct id_query_reply *report)
 {
-    report->knowledge =
-        entry->state == ENTRY_FINISHED ? REQUEST_FINISHED : REQUEST_RUNS;
+    report->result =
+        entry->state == ENTRY_FINISHED ? ID_QUERY_FINISHED : ID_QUERY_RUNNING;
     report->outcome = entry->outcome;
     report->reason = entry->reason;
     report->answer = entry->answer;
 }
 
 void
-request_ids_asked(struct request_ids *ids, const char *team, const char *id,
+request_ids_query(struct request_ids *ids, const char *team, const char *id,
                   const char *asker, int64_t now_ms,
-                  struct request_report *report)
+                  struct id_query_reply *report)
 {
     begin(ids, now_ms);
-    *report = (struct request_report){.knowledge = REQUEST_ABSENT};
+    *report = (struct id_query_reply){.result = ID_QUERY_ABSENT};
     struct entry *entry = entry_find(ids, team, id);
     if (entry != NULL && entry->state != ENTRY_MOVED) {
         report_entry(entry, report);
@@ -409,7 +410,7 @@
     report_earlier(ids, team, id, report);
     if (entry == NULL && request_ids_count(ids) >= 2 * ids->max_entries) {
         /* No room to close the id here. */
-        report->knowledge = REQUEST_OWNER_GONE;
+        report->result = ID_QUERY_OWNER_GONE;
         return;
     }
     if (entry == NULL) {
@@ -417,12 +418,12 @@
     }
     else if (strcmp(entry->moved_to, asker) != 0 &&
              request_views_registered(ids->views, entry->moved_to) &&
-             report->n_earlier < REQUEST_IDS_MAX_EARLIER) {
+             report->n_earlier_owners < REQUEST_IDS_EARLIER_OWNERS_MAX) {
         ids->lent_peer = g_strdup(entry->moved_to);
-        report->earlier[report->n_earlier++] = ids->lent_peer;
+        report->earlier_owners[report->n_earlier_owners++] = ids->lent_peer;
     }
     else if (strcmp(entry->moved_to, asker) != 0) {
-        report->knowledge = REQUEST_OWNER_GONE;
+        report->result = ID_QUERY_OWNER_GONE;
     }
     g_free(entry->moved_to);
     entry->moved_to = g_strdup(asker);
@@ -454,8 +455,8 @@
 }
 
 bool
-request_ids_leave(struct request_ids *ids, const char *team, const char *id,
-                  uint64_t task)
+request_ids_stop_waiting(struct request_ids *ids, const char *team,
+                         const char *id, uint64_t task)
 {
     struct entry *entry = entry_find(ids, team, id);
     if (entry == NULL) {
--- a/core/request_views.c
+++ b/core/request_views.c
@@ -160,7 +160,7 @@
             listed(earlier, n, owner)) {
             continue;
         }
-        if (n == REQUEST_IDS_MAX_EARLIER) {
+        if (n == REQUEST_IDS_EARLIER_OWNERS_MAX) {
             *more = true;
             break;
         }
--- a/core/request_views.h
+++ b/core/request_views.h
@@ -36,7 +36,7 @@
 /**
  * request_views_earlier() - other gateways that owned the id within the
  * retention time
- * @earlier: REQUEST_IDS_MAX_EARLIER places for their names
+ * @earlier: REQUEST_IDS_EARLIER_OWNERS_MAX places for their names
  * @more: set to whether there may be others, gone or too many to list
  *
  * Returns: how many were found.
--- a/core/routing.c
+++ b/core/routing.c
@@ -223,7 +223,7 @@
 static bool
 host_suspect(const struct host *host)
 {
-    return host->outlier.failures_in_row >= OUTLIER_FAILURES;
+    return host->outlier.failures_in_row >= OUTLIER_FAILURES_MIN;
 }
 
 static bool
--- a/core/share_plan.c
+++ b/core/share_plan.c
@@ -14,7 +14,7 @@
 {
     const struct share_claim *x = a;
     const struct share_claim *y = b;
-    return (x->level > y->level) - (x->level < y->level);
+    return (x->fill_level > y->fill_level) - (x->fill_level < y->fill_level);
 }
 
 static double
@@ -34,8 +34,8 @@
     for (size_t i = 0; i < n_claims; i++) {
         struct share_claim *claim = &claims[i];
         double due = weight > 0 ? slots * claim->weight / weight : 0;
-        claim->given = wanted(claim) < due ? wanted(claim) : due;
-        slots -= claim->given;
+        claim->allocated = wanted(claim) < due ? wanted(claim) : due;
+        slots -= claim->allocated;
         weight -= claim->weight;
     }
     return slots;
@@ -47,8 +47,8 @@
     double weight = total_weight(claims, n_claims);
     for (size_t i = 0; i < n_claims && weight > 0; i++) {
         struct share_claim *claim = &claims[i];
-        double given = claim->given + slots * claim->weight / weight;
-        claim->given = given < claim->limit ? given : claim->limit;
+        double given = claim->allocated + slots * claim->weight / weight;
+        claim->allocated = given < claim->limit ? given : claim->limit;
     }
 }
 
@@ -59,7 +59,7 @@
         return;
     }
     for (size_t i = 0; i < n_claims; i++) {
-        claims[i].level = wanted(&claims[i]) / claims[i].weight;
+        claims[i].fill_level = wanted(&claims[i]) / claims[i].weight;
     }
     qsort(claims, n_claims, sizeof(claims[0]), compare_level);
     double left = fill(claims, n_claims, slots);
--- a/egretd/claims.c
+++ b/egretd/claims.c
@@ -104,10 +104,10 @@
         break;
     case REQUEST_WAIT:
         break;
-    case REQUEST_ASK:
+    case REQUEST_QUERY:
         query_peer(claims, team, id, peer);
         break;
-    case REQUEST_SEND_ON:
+    case REQUEST_FORWARD:
         for (size_t i = 0; i < n_tasks; i++) {
             claims->options.forward(claims->options.ctx, tasks[i], peer);
         }
@@ -122,15 +122,15 @@
 
 static void
 on_reported(void *ctx, const char *team, const char *id, const char *peer,
-            const struct request_report *report)
+            const struct id_query_reply *report)
 {
     struct claims *claims = ctx;
     struct request_decision decision;
-    request_ids_told(claims->ids, team, id, peer, report, now_ms(claims),
-                     &decision);
+    request_ids_query_answered(claims->ids, team, id, peer, report,
+                               now_ms(claims), &decision);
     log_line(LOG_LEVEL_INFO, "id-told",
              "team=%s request=%s peer=%s knowledge=%d verdict=%d", team, id,
-             peer, report->knowledge, decision.verdict);
+             peer, report->result, decision.verdict);
     carry_out(claims, team, id, &decision, NULL);
 }
 
@@ -158,7 +158,7 @@
         decision.tasks = &task;
         decision.n_tasks = 1;
     }
-    if (decision.reason == REASON_NO_STANDING && !request->first_attempt) {
+    if (decision.reason == REASON_NO_QUORUM_LEASE && !request->first_attempt) {
         /* No owner was found to rule out that an earlier attempt ran. */
         decision.outcome = OUTCOME_UNKNOWN;
     }
@@ -234,8 +234,8 @@
 claims_answer_query(struct claims *claims, const char *team, const char *id,
                     const char *querier)
 {
-    struct request_report report;
-    request_ids_asked(claims->ids, team, id, querier, now_ms(claims), &report);
+    struct id_query_reply report;
+    request_ids_query(claims->ids, team, id, querier, now_ms(claims), &report);
     return id_report_format(&report);
 }
 
--- a/egretd/demand.c
+++ b/egretd/demand.c
@@ -42,8 +42,8 @@
     }
     sum->busy_slots += report->busy_slots;
     sum->queued += report->queued;
-    sum->run_ms = report->run_ms;
-    sum->deadline_ms = report->deadline_ms;
+    sum->run_ms = report->mean_run_ms;
+    sum->deadline_ms = report->min_start_deadline_ms;
 }
 
 static void
@@ -86,8 +86,8 @@
     json_builder_set_member_name(draining->builder, host);
     json_builder_add_int_value(
         draining->builder,
-        dispatch_report_host(engine_dispatch(draining->demand->options.engine),
-                             host));
+        dispatch_report_host_attempts(
+            engine_dispatch(draining->demand->options.engine), host));
 }
 
 static void
@@ -114,8 +114,8 @@
 {
     json_builder_set_member_name(builder, "suspects");
     json_builder_begin_object(builder);
-    dispatch_report_suspects(engine_dispatch(demand->options.engine),
-                             add_suspect, builder);
+    dispatch_report_suspect_hosts(engine_dispatch(demand->options.engine),
+                                  add_suspect, builder);
     json_builder_end_object(builder);
 }
 
--- a/egretd/engine.c
+++ b/egretd/engine.c
@@ -135,7 +135,7 @@
     }
     if (engine_needs_claim(request) &&
         !engine->options.has_quorum_lease(engine->options.ctx)) {
-        return REASON_NO_STANDING;
+        return REASON_NO_QUORUM_LEASE;
     }
     return REASON_NONE;
 }
--- a/egretd/engine_events.c
+++ b/egretd/engine_events.c
@@ -38,7 +38,7 @@
 on_resolved(void *ctx, uint64_t number)
 {
     struct engine *engine = ctx;
-    dispatch_attempt_settled(engine->dispatch, number, engine_now_ms(engine));
+    dispatch_attempt_resolved(engine->dispatch, number, engine_now_ms(engine));
     engine_run_actions(engine);
 }
 
--- a/egretd/id_querier.c
+++ b/egretd/id_querier.c
@@ -33,12 +33,12 @@
 }
 
 char *
-id_report_format(const struct request_report *report)
+id_report_format(const struct id_query_reply *report)
 {
     JsonBuilder *builder = json_builder_new();
     json_builder_begin_object(builder);
     json_builder_set_member_name(builder, "knowledge");
-    json_builder_add_int_value(builder, report->knowledge);
+    json_builder_add_int_value(builder, report->result);
     json_builder_set_member_name(builder, "outcome");
     json_builder_add_int_value(builder, report->outcome);
     json_builder_set_member_name(builder, "reason");
@@ -53,8 +53,8 @@
     }
     json_builder_set_member_name(builder, "earlier");
     json_builder_begin_array(builder);
-    for (size_t i = 0; i < report->n_earlier; i++) {
-        json_builder_add_string_value(builder, report->earlier[i]);
+    for (size_t i = 0; i < report->n_earlier_owners; i++) {
+        json_builder_add_string_value(builder, report->earlier_owners[i]);
     }
     json_builder_end_array(builder);
     json_builder_end_object(builder);
@@ -70,32 +70,33 @@
 }
 
 static void
-read_earlier(JsonObject *object, struct request_report *report)
+read_earlier(JsonObject *object, struct id_query_reply *report)
 {
     JsonNode *node = json_object_get_member(object, "earlier");
     if (node == NULL || !JSON_NODE_HOLDS_ARRAY(node)) {
         return;
     }
     JsonArray *names = json_node_get_array(node);
-    guint n = MIN(json_array_get_length(names), REQUEST_IDS_MAX_EARLIER);
+    guint n =
+        MIN(json_array_get_length(names), REQUEST_IDS_EARLIER_OWNERS_MAX);
     for (guint i = 0; i < n; i++) {
         const char *name = json_array_get_string_element(names, i);
         if (name != NULL) {
-            report->earlier[report->n_earlier++] = name;
+            report->earlier_owners[report->n_earlier_owners++] = name;
         }
     }
 }
 
 static bool
-read_report(JsonObject *object, struct request_report *report)
+read_report(JsonObject *object, struct id_query_reply *report)
 {
-    int64_t knowledge = read_int(object, "knowledge", REQUEST_OWNER_GONE);
+    int64_t knowledge = read_int(object, "knowledge", ID_QUERY_OWNER_GONE);
     int64_t outcome = read_int(object, "outcome", OUTCOME_UNKNOWN);
     int64_t reason = read_int(object, "reason", REASON_COUNT - 1);
     if (knowledge < 0 || outcome < 0 || reason < 0) {
         return false;
     }
-    report->knowledge = (enum request_knowledge)knowledge;
+    report->result = (enum id_query_result)knowledge;
     report->outcome = (enum outcome)outcome;
     report->reason = (enum reason)reason;
     const char *text =
@@ -110,7 +111,7 @@
 }
 
 static void
-finish_call(struct call *call, const struct request_report *report)
+finish_call(struct call *call, const struct id_query_reply *report)
 {
     struct id_querier *querier = call->querier;
     if (querier != NULL) {
@@ -125,7 +126,7 @@
 on_answer(GObject *source, GAsyncResult *result, void *data)
 {
     struct call *call = data;
-    struct request_report report = {.knowledge = REQUEST_UNREACHABLE};
+    struct id_query_reply report = {.result = ID_QUERY_UNREACHABLE};
     GBytes *body =
         soup_session_send_and_read_finish(SOUP_SESSION(source), result, NULL);
     JsonParser *parser = json_parser_new();
@@ -137,7 +138,7 @@
         !JSON_NODE_HOLDS_OBJECT(json_parser_get_root(parser)) ||
         !read_report(json_node_get_object(json_parser_get_root(parser)),
                      &report)) {
-        report.knowledge = REQUEST_UNREACHABLE;
+        report.result = ID_QUERY_UNREACHABLE;
     }
     finish_call(call, &report);
     g_clear_pointer(&report.answer, g_bytes_unref);
--- a/egretd/members_json.c
+++ b/egretd/members_json.c
@@ -15,7 +15,7 @@
 static const char *const state_names[] = {
     [MEMBERS_LIVE] = "live",
     [MEMBERS_FENCED] = "fenced",
-    [MEMBERS_GONE] = "gone",
+    [MEMBERS_DECLARED_DEAD] = "gone",
 };
 
 static char *
--- a/egretd/membership.c
+++ b/egretd/membership.c
@@ -102,7 +102,7 @@
     int64_t now = ms_clock_now(&membership->options.clock);
     bool gained = membership->lease_until_ms <= now && lease_until_ms > now;
     membership->lease_until_ms = lease_until_ms;
-    dispatch_set_standing(dispatch_of(membership), lease_until_ms);
+    dispatch_set_quorum_lease(dispatch_of(membership), lease_until_ms);
     if (lost || gained) {
         log_line(LOG_LEVEL_INFO, "standing", "until_in_ms=%" G_GINT64_FORMAT,
                  MAX(lease_until_ms, now) - now);
@@ -114,7 +114,7 @@
 on_fenced(void *ctx)
 {
     struct membership *membership = ctx;
-    dispatch_set_standing(dispatch_of(membership), INT64_MIN);
+    dispatch_set_quorum_lease(dispatch_of(membership), INT64_MIN);
     log_line(LOG_LEVEL_WARN, "fenced", "incarnation=%s",
              membership->incarnation);
     membership->options.fenced(membership->options.ctx);
--- a/egretd/permit_accounts.c
+++ b/egretd/permit_accounts.c
@@ -269,7 +269,7 @@
         permit_account_take_record(account, &result->entries[0]);
     }
     else if (result->status.code == STATUS_NOT_FOUND) {
-        permits_vanished(account->permits);
+        permits_record_deleted(account->permits);
         permits_read(account->permits, NULL, 0);
         permit_account_apply(account);
     }
@@ -287,7 +287,7 @@
     g_free(key);
 }
 
-static enum permits_answer
+static enum permits_write_result
 write_result_of(const struct store_result *result)
 {
     switch (result->status.code) {
@@ -432,7 +432,7 @@
         !permit_accounts_is_member(accounts, accounts->incarnation)) {
         return;
     }
-    permits_want(account->permits, peer, want->permits);
+    permits_peer_request(account->permits, peer, want->permits);
     struct permits_fleet fleet = permit_accounts_fleet(accounts);
     advance_account(account, &fleet);
 }
@@ -454,8 +454,8 @@
 {
     for (guint i = 0; i < accounts->teams->len; i++) {
         const struct permit_account *account = accounts->teams->pdata[i];
-        if (account->busy ||
-            permits_holds(account->permits, accounts->incarnation)) {
+        if (account->busy || permits_incarnation_holds(
+                                 account->permits, accounts->incarnation)) {
             return true;
         }
     }
--- a/egretd/permit_accounts_scan.c
+++ b/egretd/permit_accounts_scan.c
@@ -37,7 +37,7 @@
 {
     for (guint i = 0; i < accounts->teams->len; i++) {
         const struct permit_account *account = accounts->teams->pdata[i];
-        if (permits_holds(account->permits, incarnation)) {
+        if (permits_incarnation_holds(account->permits, incarnation)) {
             return true;
         }
     }
--- a/egretd/registration.c
+++ b/egretd/registration.c
@@ -22,7 +22,7 @@
 {
     struct registration *registration = data;
     members_destroy(registration->members);
-    freshness_destroy(registration->freshness);
+    quorum_lease_destroy(registration->freshness);
     members_record_destroy(registration->stored.proposal);
     g_hash_table_unref(registration->reclaims_started);
     g_free(registration->stored.deleting_renewal);
@@ -72,8 +72,8 @@
     const struct registration_options *options = &registration->options;
     if (options->config_confirmed_ms(options->ctx) >=
         registration->config_confirm_after_ms) {
-        freshness_renewed(registration->freshness,
-                          registration->renewal.renewed_ms);
+        quorum_lease_renewed(registration->freshness,
+                             registration->renewal.renewed_ms);
     }
 }
 
@@ -88,7 +88,7 @@
 report_lease(struct registration *registration)
 {
     apply_renewal(registration);
-    int64_t until_ms = freshness_until_ms(registration->freshness);
+    int64_t until_ms = quorum_lease_expires_ms(registration->freshness);
     if (until_ms != registration->lease_until_ms) {
         registration->lease_until_ms = until_ms;
         registration->options.listener.lease_changed(
@@ -99,7 +99,7 @@
 void
 registration_fence(struct registration *registration)
 {
-    freshness_fence(registration->freshness);
+    quorum_lease_fence(registration->freshness);
     report_lease(registration);
     if (!registration->fenced_reported && !registration->leaving) {
         registration->fenced_reported = true;
@@ -145,7 +145,7 @@
             voters[n_voters++] = record->entries[i].incarnation;
         }
     }
-    freshness_set_voters(registration->freshness, voters, n_voters);
+    quorum_lease_set_voters(registration->freshness, voters, n_voters);
     g_free(voters);
 }
 
@@ -155,8 +155,8 @@
     int64_t now_ms = registration_now(registration);
     uint64_t number = ++registration->heartbeat_number;
     registration->heartbeat_sent_ms[number % HEARTBEATS_REMEMBERED] = now_ms;
-    freshness_supported(registration->freshness, registration->incarnation,
-                        now_ms);
+    quorum_lease_granted(registration->freshness, registration->incarnation,
+                         now_ms);
     return (struct message){
         .type = MESSAGE_BEAT,
         .as.beat = {.number = number,
@@ -184,12 +184,12 @@
 registration_take_members(struct registration *registration,
                           const struct members_record *record)
 {
-    if (!members_take(registration->members, record,
-                      registration_now(registration))) {
+    if (!members_update(registration->members, record,
+                        registration_now(registration))) {
         return;
     }
     update_voters(registration);
-    if (members_fenced(registration->members)) {
+    if (members_self_fenced(registration->members)) {
         registration_fence(registration);
     }
     report_members(registration);
@@ -250,7 +250,7 @@
         return;
     }
     report_lease(registration);
-    bool removed = members_fenced(registration->members);
+    bool removed = members_self_fenced(registration->members);
     if (removed && registration->leaving && !registration->renewal.deleting) {
         registration_renewal_delete(registration);
     }
@@ -281,8 +281,8 @@
         registration_renewal_send(registration);
         registration_members_poll(registration);
     }
-    if (members_unheard(registration->members,
-                        registration_now(registration))) {
+    if (members_renewal_reads_due(registration->members,
+                                  registration_now(registration))) {
         registration_renewal_read_others(registration);
     }
     registration_advance(registration);
@@ -308,8 +308,8 @@
 observe_peer(struct registration *registration, const char *peer,
              const struct message_beat *heartbeat)
 {
-    members_heard(registration->members, peer, heartbeat->epoch,
-                  registration_now(registration));
+    members_peer_seen(registration->members, peer, heartbeat->epoch,
+                      registration_now(registration));
     uint64_t generation =
         registration->options.generation(registration->options.ctx);
     if (heartbeat->generation > generation) {
@@ -329,8 +329,8 @@
                     .generation = registration->options.generation(
                         registration->options.ctx),
                     .epoch = epoch,
-                    .supports = members_supports(registration->members, peer,
-                                                 heartbeat->epoch)},
+                    .supports = members_grants_lease(registration->members,
+                                                     peer, heartbeat->epoch)},
     };
     peers_send(registration->options.peers, peer, &answer);
     if (heartbeat->epoch < epoch) {
@@ -350,7 +350,7 @@
     bool current = heartbeat->generation <=
                    registration->options.generation(registration->options.ctx);
     if (heartbeat->supports && recent && current) {
-        freshness_supported(
+        quorum_lease_granted(
             registration->freshness, peer,
             registration->heartbeat_sent_ms[heartbeat->number %
                                             HEARTBEATS_REMEMBERED]);
@@ -400,8 +400,8 @@
 registration_peer_replaced(struct registration *registration,
                            const char *incarnation)
 {
-    members_ended(registration->members, incarnation,
-                  registration_now(registration));
+    members_process_ended(registration->members, incarnation,
+                          registration_now(registration));
 }
 
 void
@@ -430,8 +430,8 @@
     };
     return members_create(&(struct members_options){
         .self = &self,
-        .support_ms = options->settings->support_ms,
-        .silent_ms = options->settings->support_ms,
+        .quorum_lease_ms = options->settings->support_ms,
+        .fence_after_ms = options->settings->support_ms,
     });
 }
 
@@ -445,8 +445,8 @@
     registration->renewal.renewed_ms = INT64_MIN;
     registration->last_tick_ms = registration_now(registration);
     registration->members = create_members(options);
-    registration->freshness =
-        freshness_create(options->incarnation, options->settings->support_ms);
+    registration->freshness = quorum_lease_create(
+        options->incarnation, options->settings->support_ms);
     registration->reclaims_started =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     require_config_confirmation(registration);
@@ -508,7 +508,7 @@
     registration_fence(registration);
     registration->leave_timer =
         g_timeout_add(LEAVE_TIMEOUT_MS, on_leave_timeout, registration);
-    if (members_live(registration->members) ||
+    if (members_self_live(registration->members) ||
         registration->stored.write_pending) {
         registration_advance(registration);
         return;
--- a/egretd/registration_internal.h
+++ b/egretd/registration_internal.h
@@ -6,7 +6,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#include "core/freshness.h"
+#include "core/quorum_lease.h"
 #include "core/members.h"
 #include "egretd/registration.h"
 
@@ -81,7 +81,7 @@
     char *incarnation;
     bool closed;
     struct members *members;
-    struct freshness *freshness;
+    struct quorum_lease *freshness;
     struct stored_members stored;
     struct registration_renewal renewal;
     struct store_watch *watch;
--- a/egretd/registration_members.c
+++ b/egretd/registration_members.c
@@ -163,9 +163,9 @@
     stored->write_pending = false;
     if (registration_call_ended(registration)) {
         if (status_ok(&result->status)) {
-            members_beat(registration->members, incarnation, 0, 0,
-                         stored->delete_sent_ms,
-                         registration_now(registration));
+            members_renewal_read(registration->members, incarnation, 0, 0,
+                                 stored->delete_sent_ms,
+                                 registration_now(registration));
         }
         else {
             registration_renewal_read_others(registration);
@@ -201,7 +201,7 @@
                       &action)) {
         return;
     }
-    if (action.step == MEMBERS_CLEAR_BEAT) {
+    if (action.step == MEMBERS_DELETE_RENEWAL) {
         delete_renewal(registration, &action);
     }
     else if (stored->epoch == members_current(registration->members)->epoch) {
--- a/egretd/registration_renewal.c
+++ b/egretd/registration_renewal.c
@@ -12,9 +12,9 @@
     renewal->created = true;
     renewal->version_unknown = version <= renewal->version;
     renewal->version = version;
-    members_beat(registration->members, registration->incarnation, version,
-                 renewal->lease_ms, renewal->sent_ms,
-                 registration_now(registration));
+    members_renewal_read(registration->members, registration->incarnation,
+                         version, renewal->lease_ms, renewal->sent_ms,
+                         registration_now(registration));
 }
 
 static void
@@ -128,9 +128,9 @@
     int64_t lease_ms =
         entry == NULL ? 0
                       : renewal_json_lease_ms(entry->value, entry->size_bytes);
-    members_beat(registration->members, incarnation, version, lease_ms,
-                 registration->renewals_read_sent_ms,
-                 registration_now(registration));
+    members_renewal_read(registration->members, incarnation, version, lease_ms,
+                         registration->renewals_read_sent_ms,
+                         registration_now(registration));
 }
 
 static void
--- a/egretd/submit.c
+++ b/egretd/submit.c
@@ -188,7 +188,7 @@
     }
     if (config == NULL) {
         g_free(name);
-        return REASON_NO_STANDING;
+        return REASON_NO_QUORUM_LEASE;
     }
     const struct config_queue *queue = config_find_queue(config, name);
     g_free(name);
@@ -286,7 +286,7 @@
         config == NULL ? NULL : config_find_queue(config, queue_name);
     if (queue == NULL) {
         refuse_early(options, message,
-                     config == NULL ? REASON_NO_STANDING
+                     config == NULL ? REASON_NO_QUORUM_LEASE
                                     : REASON_UNKNOWN_QUEUE);
         return;
     }
@@ -358,7 +358,7 @@
     const struct config_team *team = NULL;
     const struct config_key *key = NULL;
     enum reason reason = config == NULL
-                             ? REASON_NO_STANDING
+                             ? REASON_NO_QUORUM_LEASE
                              : check_key(config, message, &team, &key);
     if (reason == REASON_NONE && !request_id_valid(request_id)) {
         reason = REASON_BAD_REQUEST;
--- a/include/core/deadline_heap.h
+++ b/include/core/deadline_heap.h
@@ -34,9 +34,10 @@
 void
 deadline_heap_remove(struct deadline_heap *heap, struct deadline_entry *entry);
 
-/** deadline_heap_due_ms() - time of the first entry; INT64_MAX when empty. */
+/** deadline_heap_first_ms() - time of the first entry; INT64_MAX when empty.
+ */
 int64_t
-deadline_heap_due_ms(const struct deadline_heap *heap);
+deadline_heap_first_ms(const struct deadline_heap *heap);
 
 /** deadline_heap_pop() - owner of the first entry that is due at @now_ms,
  * which is taken out; NULL for none. */
--- a/include/core/dispatch.h
+++ b/include/core/dispatch.h
@@ -148,9 +148,9 @@
 dispatch_set_hosts(struct dispatch *dispatch,
                    const struct dispatch_host *hosts, size_t n_hosts);
 
-/** dispatch_set_standing() - no start at or after @until_ms. */
+/** dispatch_set_quorum_lease() - no start at or after @until_ms. */
 void
-dispatch_set_standing(struct dispatch *dispatch, int64_t until_ms);
+dispatch_set_quorum_lease(struct dispatch *dispatch, int64_t until_ms);
 
 /** dispatch_set_permits() - attempts of @team this gateway may have running
  * at once. */
@@ -209,7 +209,7 @@
  * dispatch_attempt_ended() - report how an attempt ended
  *
  * After ATTEMPT_LOST the attempt stays counted against the team's permits
- * and the host's slots until dispatch_attempt_settled() or until its lease
+ * and the host's slots until dispatch_attempt_resolved() or until its lease
  * has run out. What becomes of the task follows from dispatch_next(): a
  * retry elsewhere, a refusal, or, for ATTEMPT_DONE and ATTEMPT_FAILED,
  * nothing: the shell passes the answer on.
@@ -221,10 +221,10 @@
 dispatch_attempt_ended(struct dispatch *dispatch, uint64_t attempt,
                        enum attempt_result result, int64_t now_ms);
 
-/** dispatch_attempt_settled() - a lost attempt is known not to run now. */
+/** dispatch_attempt_resolved() - a lost attempt is known not to run now. */
 void
-dispatch_attempt_settled(struct dispatch *dispatch, uint64_t attempt,
-                         int64_t now_ms);
+dispatch_attempt_resolved(struct dispatch *dispatch, uint64_t attempt,
+                          int64_t now_ms);
 
 /** dispatch_forward_ended() - how forwarding of @task ended; same meaning of
  * the return value as for dispatch_attempt_ended(). */
--- a/include/core/members.h
+++ b/include/core/members.h
@@ -11,13 +11,13 @@
  * @MEMBERS_LIVE: registered; has a vote and may hold permits
  * @MEMBERS_FENCED: has no vote and no support; its permits may be reclaimed
  *                  once its last task has ended
- * @MEMBERS_GONE: an operator vouches that the process has ended; it still
- *                counts among the votes, as one that never supports anybody
+ * @MEMBERS_DECLARED_DEAD: an operator vouches that the process has ended; it
+ * still counts among the votes, as one that never supports anybody
  */
 enum members_state {
     MEMBERS_LIVE,
     MEMBERS_FENCED,
-    MEMBERS_GONE,
+    MEMBERS_DECLARED_DEAD,
 };
 
 /**
@@ -81,14 +81,14 @@
 /**
  * struct members_options - how to create one
  * @self: entry to register
- * @support_ms: support period
- * @silent_ms: how long an incarnation neither renews nor is heard before it
- *             is fenced
+ * @quorum_lease_ms: support period
+ * @fence_after_ms: how long an incarnation neither renews nor is heard before
+ * it is fenced
  */
 struct members_options {
     const struct members_entry *self;
-    int64_t support_ms;
-    int64_t silent_ms;
+    int64_t quorum_lease_ms;
+    int64_t fence_after_ms;
 };
 
 struct members *
@@ -96,72 +96,75 @@
 void
 members_destroy(struct members *members);
 
-/** members_take() - a record from the store or a peer; older ones are
+/** members_update() - a record from the store or a peer; older ones are
  * ignored. Returns whether it is newer than what was known. */
 bool
-members_take(struct members *members, const struct members_record *record,
-             int64_t now_ms);
+members_update(struct members *members, const struct members_record *record,
+               int64_t now_ms);
 
 /** members_current() - newest record known; epoch 0 for none. */
 const struct members_record *
 members_current(const struct members *members);
 
-/** members_heard() - @peer said that it knows @epoch. */
+/** members_peer_seen() - @peer said that it knows @epoch. */
 void
-members_heard(struct members *members, const char *peer, uint64_t epoch,
-              int64_t now_ms);
+members_peer_seen(struct members *members, const char *peer, uint64_t epoch,
+                  int64_t now_ms);
 
-/** members_ended() - proof that the process of @incarnation has ended. */
+/** members_process_ended() - proof that the process of @incarnation has ended.
+ */
 void
-members_ended(struct members *members, const char *incarnation,
-              int64_t now_ms);
+members_process_ended(struct members *members, const char *incarnation,
+                      int64_t now_ms);
 
 /**
- * members_beat() - the store's renewal record of @incarnation
+ * members_renewal_read() - the store's renewal record of @incarnation
  * @version: its version, 0 when there is none
  * @lease_ms: longest lease it names
  * @asked_ms: when the read or the delete was sent
  */
 void
-members_beat(struct members *members, const char *incarnation,
-             uint64_t version, int64_t lease_ms, int64_t asked_ms,
-             int64_t now_ms);
+members_renewal_read(struct members *members, const char *incarnation,
+                     uint64_t version, int64_t lease_ms, int64_t asked_ms,
+                     int64_t now_ms);
 
-/** members_live() - whether this incarnation is registered and not fenced. */
+/** members_self_live() - whether this incarnation is registered and not
+ * fenced. */
 bool
-members_live(const struct members *members);
+members_self_live(const struct members *members);
 
-/** members_fenced() - whether it was registered and no longer is. */
+/** members_self_fenced() - whether it was registered and no longer is. */
 bool
-members_fenced(const struct members *members);
+members_self_fenced(const struct members *members);
 
-/** members_supports() - whether a beat of @peer that knows @epoch is
+/** members_grants_lease() - whether a beat of @peer that knows @epoch is
  * answered with support. */
 bool
-members_supports(const struct members *members, const char *peer,
-                 uint64_t epoch);
+members_grants_lease(const struct members *members, const char *peer,
+                     uint64_t epoch);
 
 /** members_committed() - whether a majority acknowledged this epoch. */
 bool
 members_committed(const struct members *members);
 
-/** members_unheard() - whether the renewal records should be read: a member
- * is silent or a fenced one's record is not known to be gone. */
+/** members_renewal_reads_due() - whether the renewal records should be read: a
+ * member is silent or a fenced one's record is not known to be gone. */
 bool
-members_unheard(const struct members *members, int64_t now_ms);
+members_renewal_reads_due(const struct members *members, int64_t now_ms);
 
 /** members_leave() - propose to take this incarnation out. */
 void
 members_leave(struct members *members);
 
 /**
- * enum members_step - next write
+ * enum members_write - next write
  * @MEMBERS_PROPOSE: CAS the record to @proposal, from the current epoch
- * @MEMBERS_CLEAR_BEAT: delete the renewal record of @incarnation at @version
+ * @MEMBERS_DELETE_RENEWAL: delete the renewal record of @incarnation at
+ * @version
  */
-enum members_step {
+enum members_write {
     MEMBERS_PROPOSE,
-    MEMBERS_CLEAR_BEAT,
+    MEMBERS_DELETE_RENEWAL,
 };
 
 /**
@@ -169,7 +172,7 @@
  * @reason: "join", "leave", "fence", "remove" or "clear", for logs
  */
 struct members_action {
-    enum members_step step;
+    enum members_write step;
     const char *reason;
     const char *incarnation;
     uint64_t version;
--- a/include/core/outlier.h
+++ b/include/core/outlier.h
@@ -7,19 +7,19 @@
 
 enum {
     /* Fewest failures in a row, without a success between. */
-    OUTLIER_FAILURES = 5,
-    OUTLIER_FIRST_MS = 5000,
-    OUTLIER_LONGEST_MS = 160000,
+    OUTLIER_FAILURES_MIN = 5,
+    OUTLIER_EJECTION_MIN_MS = 5000,
+    OUTLIER_EJECTION_MAX_MS = 160000,
 };
 
 /**
  * enum outlier_state - how a host takes part in routing
- * @OUTLIER_IN: normally
+ * @OUTLIER_ROUTED: normally
  * @OUTLIER_EJECTED: not at all until its time has passed
  * @OUTLIER_PROBING: with one attempt at a time until one succeeds
  */
 enum outlier_state {
-    OUTLIER_IN,
+    OUTLIER_ROUTED,
     OUTLIER_EJECTED,
     OUTLIER_PROBING,
 };
@@ -55,16 +55,17 @@
 int64_t
 outlier_failed(struct outlier *host, struct outlier_pool *pool);
 
-/** outlier_absolve() - a failure turned out to be the task's fault. */
+/** outlier_discount_failure() - a failure turned out to be the task's fault.
+ */
 void
-outlier_absolve(struct outlier *host);
+outlier_discount_failure(struct outlier *host);
 
 /** outlier_probe() - the time out has passed. */
 void
 outlier_probe(struct outlier *host);
 
-/** outlier_forget() - the host leaves the pool. */
+/** outlier_reinstate() - the host leaves the pool. */
 void
-outlier_forget(struct outlier *host, struct outlier_pool *pool);
+outlier_reinstate(struct outlier *host, struct outlier_pool *pool);
 
 #endif
--- a/include/core/permits.h
+++ b/include/core/permits.h
@@ -78,9 +78,11 @@
 permits_read(struct permits *permits, const struct permits_record *record,
              uint64_t version);
 
-/** permits_want() - @peer asks for @permits; kept until the next plan. */
+/** permits_peer_request() - @peer asks for @permits; kept until the next plan.
+ */
 void
-permits_want(struct permits *permits, const char *peer, uint32_t count);
+permits_peer_request(struct permits *permits, const char *peer,
+                     uint32_t count);
 
 /**
  * struct permits_fleet - facts about the fleet that a plan rests on
@@ -117,8 +119,8 @@
 permits_plan(struct permits *permits, uint32_t running,
              const struct permits_fleet *fleet, struct permits_write *write);
 
-/** enum permits_answer - how a write ended */
-enum permits_answer {
+/** enum permits_write_result - how a write ended */
+enum permits_write_result {
     PERMITS_WRITTEN,
     PERMITS_REFUSED,
     PERMITS_NOT_SENT,
@@ -128,12 +130,12 @@
 /** permits_written() - end of the write; @version is the new version for
  * PERMITS_WRITTEN. The present record, if known, goes to permits_read(). */
 void
-permits_written(struct permits *permits, enum permits_answer answer,
+permits_written(struct permits *permits, enum permits_write_result answer,
                 uint64_t version);
 
-/** permits_vanished() - the record is not there any more. */
+/** permits_record_deleted() - the record is not there any more. */
 void
-permits_vanished(struct permits *permits);
+permits_record_deleted(struct permits *permits);
 
 /** permits_usable() - attempts that may be counted here. */
 uint32_t
@@ -153,9 +155,11 @@
 permits_shortage(const struct permits *permits,
                  const struct permits_fleet *fleet);
 
-/** permits_holds() - whether the last known record names @incarnation. */
+/** permits_incarnation_holds() - whether the last known record names
+ * @incarnation. */
 bool
-permits_holds(const struct permits *permits, const char *incarnation);
+permits_incarnation_holds(const struct permits *permits,
+                          const char *incarnation);
 
 /** permits_record() - last known record, or NULL. */
 const struct permits_record *
--- a/include/core/request_ids.h
+++ b/include/core/request_ids.h
@@ -11,8 +11,8 @@
 
 enum {
     /* Times a request may be sent on between gateways to find its owner. */
-    REQUEST_IDS_MAX_HOPS = 3,
-    REQUEST_IDS_MAX_EARLIER = 16,
+    REQUEST_IDS_HOPS_MAX = 3,
+    REQUEST_IDS_EARLIER_OWNERS_MAX = 16,
 };
 
 /**
@@ -52,15 +52,16 @@
  *               request_ids_finished()
  * @REQUEST_WAIT: another request with this id runs or is being asked about;
  *                this one is told with it
- * @REQUEST_ASK: ask @peer what it knows, report with request_ids_told()
- * @REQUEST_SEND_ON: pass the request to @peer, which owns the id
+ * @REQUEST_QUERY: ask @peer what it knows, report with
+ * request_ids_query_answered()
+ * @REQUEST_FORWARD: pass the request to @peer, which owns the id
  * @REQUEST_ANSWER: answer with @outcome, @reason and, if kept, @answer
  */
 enum request_verdict {
     REQUEST_RUN,
     REQUEST_WAIT,
-    REQUEST_ASK,
-    REQUEST_SEND_ON,
+    REQUEST_QUERY,
+    REQUEST_FORWARD,
     REQUEST_ANSWER,
 };
 
@@ -83,34 +84,34 @@
 };
 
 /**
- * enum request_knowledge - what a gateway answers when asked about an id
- * @REQUEST_ABSENT: never seen here, and closed here from now on
- * @REQUEST_RUNS: runs here; join it by sending the request on
- * @REQUEST_FINISHED: outcome known here
- * @REQUEST_OWNER_GONE: an earlier owner is gone; an earlier run of the id
+ * enum id_query_result - what a gateway answers when asked about an id
+ * @ID_QUERY_ABSENT: never seen here, and closed here from now on
+ * @ID_QUERY_RUNNING: runs here; join it by sending the request on
+ * @ID_QUERY_FINISHED: outcome known here
+ * @ID_QUERY_OWNER_GONE: an earlier owner is gone; an earlier run of the id
  *                      can't be ruled out, and is closed here from now on
- * @REQUEST_UNREACHABLE: the peer did not answer (never sent)
+ * @ID_QUERY_UNREACHABLE: the peer did not answer (never sent)
  */
-enum request_knowledge {
-    REQUEST_ABSENT,
-    REQUEST_RUNS,
-    REQUEST_FINISHED,
-    REQUEST_OWNER_GONE,
-    REQUEST_UNREACHABLE,
+enum id_query_result {
+    ID_QUERY_ABSENT,
+    ID_QUERY_RUNNING,
+    ID_QUERY_FINISHED,
+    ID_QUERY_OWNER_GONE,
+    ID_QUERY_UNREACHABLE,
 };
 
 /**
- * struct request_report - answer of a gateway that was asked
- * @earlier, @n_earlier: still registered gateways that owned the id within
- *                       the retention time, to be asked as well
+ * struct id_query_reply - answer of a gateway that was asked
+ * @earlier_owners, @n_earlier_owners: still registered gateways that owned the
+ * id within the retention time, to be asked as well
  */
-struct request_report {
-    enum request_knowledge knowledge;
+struct id_query_reply {
+    enum id_query_result result;
     enum outcome outcome;
     enum reason reason;
     GBytes *answer;
-    const char *earlier[REQUEST_IDS_MAX_EARLIER];
-    size_t n_earlier;
+    const char *earlier_owners[REQUEST_IDS_EARLIER_OWNERS_MAX];
+    size_t n_earlier_owners;
 };
 
 struct request_ids;
@@ -138,19 +139,20 @@
 request_ids_claim(struct request_ids *ids, const struct request_id *request,
                   int64_t now_ms, struct request_decision *decision);
 
-/** request_ids_told() - @peer answered REQUEST_ASK (or could not be
- * reached); the decision holds for all requests that wait for the id. */
+/** request_ids_query_answered() - @peer answered REQUEST_QUERY (or could not
+ * be reached); the decision holds for all requests that wait for the id. */
 void
-request_ids_told(struct request_ids *ids, const char *team, const char *id,
-                 const char *peer, const struct request_report *report,
-                 int64_t now_ms, struct request_decision *decision);
+request_ids_query_answered(struct request_ids *ids, const char *team,
+                           const char *id, const char *peer,
+                           const struct id_query_reply *report, int64_t now_ms,
+                           struct request_decision *decision);
 
-/** request_ids_asked() - @asker, which owns the id now, asks about it. What
- * is not known here is closed: later requests are sent on to @asker. */
+/** request_ids_query() - @querier, which owns the id now, asks about it. What
+ * is not known here is closed: later requests are sent on to @querier. */
 void
-request_ids_asked(struct request_ids *ids, const char *team, const char *id,
-                  const char *asker, int64_t now_ms,
-                  struct request_report *report);
+request_ids_query(struct request_ids *ids, const char *team, const char *id,
+                  const char *querier, int64_t now_ms,
+                  struct id_query_reply *report);
 
 /**
  * request_ids_finished() - the run of an id ended
@@ -164,11 +166,11 @@
                      enum outcome outcome, enum reason reason, GBytes *answer,
                      int64_t now_ms, struct request_decision *decision);
 
-/** request_ids_leave() - the caller of @task gave up waiting; the run goes
- * on for the others. Returns whether somebody still waits. */
+/** request_ids_stop_waiting() - the caller of @task gave up waiting; the run
+ * goes on for the others. Returns whether somebody still waits. */
 bool
-request_ids_leave(struct request_ids *ids, const char *team, const char *id,
-                  uint64_t task);
+request_ids_stop_waiting(struct request_ids *ids, const char *team,
+                         const char *id, uint64_t task);
 
 /** request_ids_count() - entries held now. */
 uint32_t
--- a/include/core/share_plan.h
+++ b/include/core/share_plan.h
@@ -9,16 +9,16 @@
  * @weight: part it is due when all want more than there is
  * @demand: slots it could use now
  * @limit: most slots it may have
- * @level: used by the division
- * @given: result, in slots
+ * @fill_level: used by the division
+ * @allocated: result, in slots
  * @owner: not used by the division
  */
 struct share_claim {
     double weight;
     double demand;
     double limit;
-    double level;
-    double given;
+    double fill_level;
+    double allocated;
     void *owner;
 };
 
--- a/include/egretd/id_querier.h
+++ b/include/egretd/id_querier.h
@@ -30,7 +30,7 @@
     const char *secret;
     int64_t timeout_ms;
     void (*reported)(void *ctx, const char *team, const char *id,
-                     const char *peer, const struct request_report *report);
+                     const char *peer, const struct id_query_reply *report);
     void *ctx;
 };
 
@@ -42,13 +42,13 @@
 id_querier_destroy(struct id_querier *querier);
 
 /** id_querier_send() - send GET /v1/ids/{team}/{id}; reports
- * REQUEST_UNREACHABLE if no valid answer comes in time. */
+ * ID_QUERY_UNREACHABLE if no valid answer comes in time. */
 void
 id_querier_send(struct id_querier *querier, const struct id_query *query);
 
 /** id_report_format() - @report as the JSON answer to a query; free it with
  * g_free(). */
 char *
-id_report_format(const struct request_report *report);
+id_report_format(const struct id_query_reply *report);
 
 #endif
--- a/tests/core/dispatch_property_test.c
+++ b/tests/core/dispatch_property_test.c
@@ -258,7 +258,7 @@
     if (attempt->lost) {
         attempt->open = false;
         model->running[attempt->team]--;
-        dispatch_attempt_settled(model->dispatch, id, model->now_ms);
+        dispatch_attempt_resolved(model->dispatch, id, model->now_ms);
     }
     else if (attempt->sent) {
         end_attempt(model, id);
@@ -409,7 +409,7 @@
     else {
         model->standing_until_ms =
             model->now_ms + random_below(&model->random, 2000);
-        dispatch_set_standing(model->dispatch, model->standing_until_ms);
+        dispatch_set_quorum_lease(model->dispatch, model->standing_until_ms);
     }
     model->now_ms += random_below(&model->random, 30);
     step_forwards(model, 10);
--- a/tests/core/dispatch_test.c
+++ b/tests/core/dispatch_test.c
@@ -34,7 +34,7 @@
     };
     dispatch_set_config(bed.dispatch, &bed.fixture->config);
     dispatch_set_hosts(bed.dispatch, bed.fixture->hosts, bed.fixture->n_hosts);
-    dispatch_set_standing(bed.dispatch, INT64_MAX);
+    dispatch_set_quorum_lease(bed.dispatch, INT64_MAX);
     dispatch_set_permits(bed.dispatch, "team-0", 100);
     dispatch_set_permits(bed.dispatch, "team-1", 100);
     return bed;
@@ -204,8 +204,8 @@
 test_reasons(void)
 {
     struct bed bed = bed_create(1);
-    dispatch_set_standing(bed.dispatch, 0);
-    CU_ASSERT_EQUAL(reason_at_deadline(&bed), REASON_NO_STANDING);
+    dispatch_set_quorum_lease(bed.dispatch, 0);
+    CU_ASSERT_EQUAL(reason_at_deadline(&bed), REASON_NO_QUORUM_LEASE);
     bed = bed_create(1);
     dispatch_set_permits(bed.dispatch, "team-0", 0);
     CU_ASSERT_EQUAL(reason_at_deadline(&bed), REASON_TEAM_LIMIT);
@@ -214,7 +214,7 @@
     bed = bed_create(1);
     bed.fixture->config.dcs[0].state = DC_OUT;
     dispatch_set_config(bed.dispatch, &bed.fixture->config);
-    CU_ASSERT_EQUAL(reason_at_deadline(&bed), REASON_DC_OUT);
+    CU_ASSERT_EQUAL(reason_at_deadline(&bed), REASON_DC_OUT_OF_SERVICE);
     bed = bed_create(1);
     dispatch_drain(bed.dispatch);
     CU_ASSERT_EQUAL(submit(&bed, 0), REASON_SHUTDOWN);
--- a/tests/core/gateway_sim.c
+++ b/tests/core/gateway_sim.c
@@ -42,7 +42,7 @@
             .dc = i % 2 == 0 ? "dc-0" : "dc-1",
         });
         dispatch_set_config(sim->dispatch[i], config);
-        dispatch_set_standing(sim->dispatch[i], INT64_MAX);
+        dispatch_set_quorum_lease(sim->dispatch[i], INT64_MAX);
         for (uint32_t j = 0; j < options->teams; j++) {
             dispatch_set_permits(sim->dispatch[i], config->teams[j].name,
                                  100000);
--- a/tests/core/policy_test.c
+++ b/tests/core/policy_test.c
@@ -140,7 +140,7 @@
     }
     CU_ASSERT_EQUAL(refused, 0);
     sim->options.host_fails = NULL;
-    sim_run(sim, OUTLIER_LONGEST_MS);
+    sim_run(sim, OUTLIER_EJECTION_MAX_MS);
     sim_clear_counts(sim);
     sim_run(sim, WARM_UP_MS);
     part = (double)sim->host_starts[0] / (double)sim->starts;
--- a/tests/core/request_ids_test.c
+++ b/tests/core/request_ids_test.c
@@ -98,13 +98,13 @@
     CU_ASSERT_EQUAL(decision.verdict, REQUEST_RUN);
     request_ids_set_members(c, three, 3, 3, 10);
     request_ids_claim(c, &wanted, 10, &decision);
-    CU_ASSERT_EQUAL(decision.verdict, REQUEST_ASK);
+    CU_ASSERT_EQUAL(decision.verdict, REQUEST_QUERY);
     CU_ASSERT_STRING_EQUAL(decision.peer, "a");
-    struct request_report report;
-    request_ids_asked(a, "team", id, "c", 11, &report);
-    CU_ASSERT_EQUAL(report.knowledge, REQUEST_RUNS);
-    request_ids_told(c, "team", id, "a", &report, 12, &decision);
-    CU_ASSERT_EQUAL(decision.verdict, REQUEST_SEND_ON);
+    struct id_query_reply report;
+    request_ids_query(a, "team", id, "c", 11, &report);
+    CU_ASSERT_EQUAL(report.result, ID_QUERY_RUNNING);
+    request_ids_query_answered(c, "team", id, "a", &report, 12, &decision);
+    CU_ASSERT_EQUAL(decision.verdict, REQUEST_FORWARD);
     g_free(id);
     request_ids_destroy(a);
     request_ids_destroy(c);
@@ -176,7 +176,7 @@
     uint32_t id;
     uint32_t hops;
     bool first_attempt;
-    struct request_report report;
+    struct id_query_reply report;
 };
 
 struct fleet {
@@ -253,13 +253,13 @@
         fleet->runs[mail->id]++;
         fleet->total_runs++;
     }
-    else if (decision->verdict == REQUEST_SEND_ON) {
+    else if (decision->verdict == REQUEST_FORWARD) {
         next.type = MAIL_CLAIM;
         next.hops++;
         next.to = gateway_index(fleet, decision->peer);
         post(fleet, next);
     }
-    else if (decision->verdict == REQUEST_ASK) {
+    else if (decision->verdict == REQUEST_QUERY) {
         next.type = MAIL_ASK;
         next.to = gateway_index(fleet, decision->peer);
         post(fleet, next);
@@ -273,15 +273,15 @@
     answer.type = MAIL_TOLD;
     answer.from = mail.to;
     answer.to = mail.from;
-    answer.report = (struct request_report){.knowledge = REQUEST_UNREACHABLE};
+    answer.report = (struct id_query_reply){.result = ID_QUERY_UNREACHABLE};
     bool lost = random_below(&fleet->random, 10) == 0;
     if (fleet->alive[mail.to] && !lost) {
-        request_ids_asked(fleet->tables[mail.to], "team", id_names[mail.id],
+        request_ids_query(fleet->tables[mail.to], "team", id_names[mail.id],
                           fleet->names[mail.from], fleet->now_ms,
                           &answer.report);
-        for (size_t i = 0; i < answer.report.n_earlier; i++) {
-            uint32_t j = gateway_index(fleet, answer.report.earlier[i]);
-            answer.report.earlier[i] = fleet->names[j];
+        for (size_t i = 0; i < answer.report.n_earlier_owners; i++) {
+            uint32_t j = gateway_index(fleet, answer.report.earlier_owners[i]);
+            answer.report.earlier_owners[i] = fleet->names[j];
         }
     }
     post(fleet, answer);
@@ -306,9 +306,9 @@
     struct request_decision decision;
     struct request_ids *ids = fleet->tables[mail.to];
     if (mail.type == MAIL_TOLD) {
-        request_ids_told(ids, "team", id_names[mail.id],
-                         fleet->names[mail.from], &mail.report, fleet->now_ms,
-                         &decision);
+        request_ids_query_answered(ids, "team", id_names[mail.id],
+                                   fleet->names[mail.from], &mail.report,
+                                   fleet->now_ms, &decision);
     }
     else {
         struct request_id wanted = request(id_names[mail.id], 1);
--- a/tests/core/share_test.c
+++ b/tests/core/share_test.c
@@ -27,11 +27,11 @@
     share_plan(claims, 3, 60);
     double given = 0;
     for (int i = 0; i < 3; i++) {
-        given += claims[i].given;
+        given += claims[i].allocated;
         double want = claims[i].weight == 1   ? 35
                       : claims[i].weight == 3 ? 20
                                               : 5;
-        CU_ASSERT_DOUBLE_EQUAL(claims[i].given, want, 1e-6);
+        CU_ASSERT_DOUBLE_EQUAL(claims[i].allocated, want, 1e-6);
     }
     CU_ASSERT_DOUBLE_EQUAL(given, 60, 1e-6);
 }
--- a/tests/standing/model.c
+++ b/tests/standing/model.c
@@ -190,9 +190,9 @@
 start_task(struct model *model, int at)
 {
     struct model_node *node = &model->nodes[at];
-    bool fresh = model->now_ms < freshness_until_ms(node->freshness);
+    bool fresh = model->now_ms < quorum_lease_expires_ms(node->freshness);
     if ((model->faults & MODEL_NO_AGE_CHECK) != 0) {
-        fresh = members_live(node->members);
+        fresh = members_self_live(node->members);
     }
     if (!fresh ||
         model_node_running(model, at) >= model_node_usable(model, at)) {
--- a/tests/standing/model_node.c
+++ b/tests/standing/model_node.c
@@ -36,11 +36,11 @@
     };
     node->members = members_create(&(struct members_options){
         .self = &self,
-        .support_ms = MODEL_SUPPORT_MS,
-        .silent_ms = MODEL_SUPPORT_MS,
+        .quorum_lease_ms = MODEL_SUPPORT_MS,
+        .fence_after_ms = MODEL_SUPPORT_MS,
     });
     members_set_faults(node->members, model->faults & 7);
-    node->freshness = freshness_create(node->incarnation, MODEL_SUPPORT_MS);
+    node->freshness = quorum_lease_create(node->incarnation, MODEL_SUPPORT_MS);
     node->permits = permits_create(node->incarnation);
     permits_set_limit(node->permits, node->limit, node->generation);
 }
@@ -50,7 +50,7 @@
 {
     struct model_node *node = &model->nodes[at];
     members_destroy(node->members);
-    freshness_destroy(node->freshness);
+    quorum_lease_destroy(node->freshness);
     permits_destroy(node->permits);
     *node = (struct model_node){
         .start_ms =
@@ -108,7 +108,7 @@
 take_record(struct model *model, struct model_node *node,
             const struct members_record *record)
 {
-    if (!members_take(node->members, record, model->now_ms)) {
+    if (!members_update(node->members, record, model->now_ms)) {
         return;
     }
     const char *voters[MODEL_BEATS_MAX];
@@ -118,7 +118,7 @@
             voters[n_voters++] = record->entries[i].incarnation;
         }
     }
-    freshness_set_voters(node->freshness, voters, n_voters);
+    quorum_lease_set_voters(node->freshness, voters, n_voters);
 }
 
 static void
@@ -130,13 +130,14 @@
         return;
     }
     if (note->kind == NOTE_WANT) {
-        permits_want(node->permits, note->sender, 1);
+        permits_peer_request(node->permits, note->sender, 1);
         return;
     }
-    members_heard(node->members, note->sender, note->epoch, model->now_ms);
+    members_peer_seen(node->members, note->sender, note->epoch, model->now_ms);
     if (note->kind == NOTE_ACK) {
         if (note->supports) {
-            freshness_supported(node->freshness, note->sender, note->asked_ms);
+            quorum_lease_granted(node->freshness, note->sender,
+                                 note->asked_ms);
         }
         return;
     }
@@ -144,7 +145,7 @@
     if (ack != NULL) {
         ack->asked_ms = note->asked_ms;
         ack->supports =
-            members_supports(node->members, note->sender, note->epoch);
+            members_grants_lease(node->members, note->sender, note->epoch);
     }
     const struct members_record *record = members_current(node->members);
     /* Mostly lost: then support must end without the peer being told. */
@@ -180,7 +181,7 @@
     if (call->answer == ANSWER_OK) {
         node->created = true;
         node->beat_version = call->version;
-        freshness_renewed(node->freshness, call->asked_ms);
+        quorum_lease_renewed(node->freshness, call->asked_ms);
     }
     else if (call->answer == ANSWER_CONFLICT && call->version == 0) {
         node->fenced = true;
@@ -208,8 +209,9 @@
                 version = call->beats[b].version;
             }
         }
-        members_beat(node->members, record->entries[i].incarnation, version,
-                     MODEL_LEASE_MS, call->asked_ms, model->now_ms);
+        members_renewal_read(node->members, record->entries[i].incarnation,
+                             version, MODEL_LEASE_MS, call->asked_ms,
+                             model->now_ms);
     }
 }
 
@@ -221,7 +223,7 @@
         const char *incarnation = record->entries[i].incarnation;
         if (members_reclaimable(node->members, incarnation, MODEL_LEASE_MS,
                                 model->now_ms) &&
-            !permits_holds(node->permits, incarnation)) {
+            !permits_incarnation_holds(node->permits, incarnation)) {
             members_reclaimed(node->members, incarnation);
         }
     }
@@ -231,7 +233,7 @@
 take_permits(struct model *model, struct model_node *node,
              struct model_call *call)
 {
-    static const enum permits_answer answers[] = {
+    static const enum permits_write_result answers[] = {
         [ANSWER_OK] = PERMITS_WRITTEN,
         [ANSWER_CONFLICT] = PERMITS_REFUSED,
         [ANSWER_NOT_SENT] = PERMITS_NOT_SENT,
@@ -262,8 +264,8 @@
     case CALL_BEAT_DELETE:
         node->members_busy = false;
         if (call->answer == ANSWER_OK) {
-            members_beat(node->members, call->incarnation, 0, 0,
-                         call->asked_ms, model->now_ms);
+            members_renewal_read(node->members, call->incarnation, 0, 0,
+                                 call->asked_ms, model->now_ms);
         }
         break;
     case CALL_BEATS_READ:
@@ -328,8 +330,8 @@
             !model->peer_cut[other][at] &&
             there->paused_until_ms <= model->now_ms &&
             strcmp(there->incarnation, record->entries[i].incarnation) != 0) {
-            members_ended(node->members, record->entries[i].incarnation,
-                          model->now_ms);
+            members_process_ended(
+                node->members, record->entries[i].incarnation, model->now_ms);
         }
     }
 }
@@ -350,10 +352,10 @@
     }
     else if (node->created &&
              members_next(node->members, model->now_ms, &action)) {
-        bool clear = action.step == MEMBERS_CLEAR_BEAT;
+        bool clear = action.step == MEMBERS_DELETE_RENEWAL;
         if (clear && (model->faults & MODEL_BEAT_KEPT) != 0) {
-            members_beat(node->members, action.incarnation, 0, 0,
-                         model->now_ms, model->now_ms);
+            members_renewal_read(node->members, action.incarnation, 0, 0,
+                                 model->now_ms, model->now_ms);
             return;
         }
         node->members_busy = true;
@@ -394,7 +396,7 @@
 write_permits(struct model *model, int at)
 {
     struct model_node *node = &model->nodes[at];
-    if (node->permits_busy || !members_live(node->members)) {
+    if (node->permits_busy || !members_self_live(node->members)) {
         return;
     }
     struct fleet_ctx ctx = {node, model->now_ms};
@@ -436,7 +438,8 @@
         g_strlcpy(call->incarnation, node->incarnation, MODEL_NAME_BYTES);
         call->version = node->beat_version;
     }
-    if (!node->beats_busy && members_unheard(node->members, model->now_ms)) {
+    if (!node->beats_busy &&
+        members_renewal_reads_due(node->members, model->now_ms)) {
         node->beats_busy = true;
         call_store(model, at, CALL_BEATS_READ);
     }
@@ -469,7 +472,7 @@
 send_beats(struct model *model, int at)
 {
     struct model_node *node = &model->nodes[at];
-    freshness_supported(node->freshness, node->incarnation, model->now_ms);
+    quorum_lease_granted(node->freshness, node->incarnation, model->now_ms);
     for (int to = 0; to < MODEL_NODES; to++) {
         if (to != at) {
             send_note(model, at, to, NOTE_BEAT);
@@ -483,7 +486,7 @@
     struct model_node *node = &model->nodes[at];
     learn_limit(model, node);
     deliver(model, at);
-    if (members_fenced(node->members) || node->fenced) {
+    if (members_self_fenced(node->members) || node->fenced) {
         model_node_kill(model, at);
         return;
     }
--- a/tests/standing/model_node.h
+++ b/tests/standing/model_node.h
@@ -3,7 +3,7 @@
 #define TESTS_STANDING_MODEL_NODE_H
 
 #include "common/random.h"
-#include "core/freshness.h"
+#include "core/quorum_lease.h"
 #include "model.h"
 #include "model_store.h"
 
@@ -51,7 +51,7 @@
     uint32_t life;
     char incarnation[MODEL_NAME_BYTES];
     struct members *members;
-    struct freshness *freshness;
+    struct quorum_lease *freshness;
     struct permits *permits;
     bool members_busy;
     bool beat_busy;
--- a/tests/standing/standing_test.c
+++ b/tests/standing/standing_test.c
@@ -425,7 +425,7 @@
     CU_ASSERT_PTR_NOT_NULL_FATAL(record);
     record->epoch++;
     for (size_t i = 0; i < record->n_entries; i++) {
-        record->entries[i].state = MEMBERS_GONE;
+        record->entries[i].state = MEMBERS_DECLARED_DEAD;
     }
     forgetting->text = members_json_format(record);
     members_record_destroy(record);
