--- a/standins/free_ports.c
+++ b/standins/free_ports.c
@@ -23,15 +23,25 @@
     return fd;
 }
 
+/* A port that was drawn before may not be bound yet by its daemon. */
+static bool
+draw_port(uint16_t *port)
+{
+    static bool drawn[FREE_PORTS_END - FREE_PORTS_FIRST];
+    int32_t i = g_random_int_range(0, G_N_ELEMENTS(drawn));
+    *port = (uint16_t)(FREE_PORTS_FIRST + i);
+    bool first = !drawn[i];
+    drawn[i] = true;
+    return first;
+}
+
 void
 free_ports_find(uint16_t *ports, size_t n)
 {
     int *fds = g_new(int, n);
     for (size_t i = 0; i < n; i++) {
         do {
-            ports[i] =
-                (uint16_t)g_random_int_range(FREE_PORTS_FIRST, FREE_PORTS_END);
-            fds[i] = bind_port(ports[i]);
+            fds[i] = draw_port(&ports[i]) ? bind_port(ports[i]) : -1;
         } while (fds[i] < 0);
     }
     for (size_t i = 0; i < n; i++) {
--- a/standins/free_ports.h
+++ b/standins/free_ports.h
@@ -13,7 +13,7 @@
 
 /**
  * free_ports_find() - @n distinct ports from FREE_PORTS_FIRST up to, without,
- * FREE_PORTS_END.
+ * FREE_PORTS_END, none of which this process was given before.
  */
 void
 free_ports_find(uint16_t *ports, size_t n);
