--- a/core/dispatch.c
+++ b/core/dispatch.c
@@ -137,10 +137,10 @@
     if (dispatch->draining) {
         return REASON_SHUTDOWN;
     }
-    if (queue == NULL || !queue->known) {
+    if (queue == NULL || !queue->configured) {
         return REASON_UNKNOWN_QUEUE;
     }
-    if (team == NULL || !team->known) {
+    if (team == NULL || !team->configured) {
         return REASON_UNKNOWN_TEAM;
     }
     if (team->max_running == 0) {
@@ -153,7 +153,7 @@
 dispatch_submit(struct dispatch *dispatch, const struct dispatch_task *wanted,
                 int64_t now_ms, int64_t *retry_after_ms)
 {
-    dispatch_at(dispatch, now_ms);
+    dispatch_advance_clock(dispatch, now_ms);
     struct queue *queue = g_hash_table_lookup(dispatch->queues, wanted->queue);
     struct team *team = g_hash_table_lookup(dispatch->teams, wanted->team);
     *retry_after_ms = 0;
@@ -172,7 +172,7 @@
         task_over(dispatch, task);
     }
     else if (queue->urgent) {
-        reserve_arrived(dispatch, queue->pool);
+        reserve_count_arrival(dispatch, queue->pool);
     }
     return reason;
 }
--- a/core/dispatch_admit.c
+++ b/core/dispatch_admit.c
@@ -1,25 +1,28 @@
-/* Refuses at once what can't start by its deadline. */
+/* Admission control: refuses tasks on arrival when the estimated wait exceeds
+ * the start deadline of their queue. */
 #include "dispatch_state.h"
 
 enum {
     RETRY_AFTER_MIN_MS = 1000,
 };
 
-static const double LEAST_SLOTS = 0.05;
+static const double SLOTS_MIN = 0.05;
 
-/* Part of the start deadline up to which the estimate is relied on. */
-static const double ADMIT_PART = 0.85;
+/* Tasks whose estimated wait exceeds this fraction of the start deadline are
+ * refused; the rest is a margin for errors of the estimate. */
+static const double ADMIT_DEADLINE_FRACTION = 0.85;
 
-/* Time until a new task starts, behind @ahead others on @slots slots of
- * which @busy are taken. */
+/* Estimated time until a new task starts: @ahead tasks wait before it for
+ * @slots slots, of which @busy are in use. */
 static double
 wait_ms(double ahead, double slots, double busy, double run_ms)
 {
     double idle = MAX(slots - busy, 0);
-    return MAX(ahead + 1 - idle, 0) * run_ms / MAX(slots, LEAST_SLOTS);
+    return MAX(ahead + 1 - idle, 0) * run_ms / MAX(slots, SLOTS_MIN);
 }
 
-/* Permits follow demand: below the fleet's limit more are to come. */
+/* While the team is below its limit over all gateways, this gateway can still
+ * get more permits, so no wait is assumed. */
 static double
 wait_for_permit_ms(const struct pool_team *pool_team, double run_ms)
 {
@@ -40,13 +43,13 @@
         return 0;
     }
     if (lane->queue->urgent) {
-        double slots = pool->slots * pool->own_part;
+        double slots = pool->slots * pool->own_fraction;
         return wait_ms(pool->urgent_queued, slots, pool->running, run_ms);
     }
-    if (pool_team->slice <= 0) {
+    if (pool_team->due_slots <= 0) {
         return 0;
     }
-    return wait_ms(pool_team->queued, pool_team->slice, pool_team->running,
+    return wait_ms(pool_team->queued, pool_team->due_slots, pool_team->running,
                    run_ms);
 }
 
@@ -67,7 +70,8 @@
     double permit_ms = wait_for_permit_ms(lane->pool_team, run_ms);
     double slot_ms = wait_for_slot_ms(lane, run_ms);
     double longest_ms = MAX(permit_ms, slot_ms);
-    if (longest_ms <= ADMIT_PART * (double)queue->start_deadline_ms) {
+    if (longest_ms <=
+        ADMIT_DEADLINE_FRACTION * (double)queue->start_deadline_ms) {
         return REASON_NONE;
     }
     *retry_after_ms = MAX((int64_t)longest_ms - queue->start_deadline_ms,
--- a/core/dispatch_attempt.c
+++ b/core/dispatch_attempt.c
@@ -1,3 +1,4 @@
+/* Life cycle of attempts: start, last check before sending, end, lease. */
 #include "dispatch_state.h"
 
 static void
@@ -40,7 +41,7 @@
     g_hash_table_insert(dispatch->attempts, &attempt->id, attempt);
     lane_remove(dispatch, task);
     deadline_heap_remove(dispatch->deadlines, &task->deadline);
-    task->state = TASK_OUT;
+    task->state = TASK_IN_ATTEMPT;
     task->attempt = attempt->id;
     attempt_count(dispatch, attempt, 1);
     return attempt;
@@ -59,7 +60,7 @@
 }
 
 static void
-attempt_settle(struct dispatch *dispatch, struct attempt *attempt)
+attempt_release(struct dispatch *dispatch, struct attempt *attempt)
 {
     struct host *host = attempt->host;
     deadline_heap_remove(dispatch->leases, &attempt->lease_end);
@@ -79,7 +80,7 @@
     struct attempt *attempt;
     while ((attempt = deadline_heap_pop(dispatch->leases, dispatch->now_ms)) !=
            NULL) {
-        attempt_settle(dispatch, attempt);
+        attempt_release(dispatch, attempt);
     }
 }
 
@@ -87,15 +88,16 @@
 dispatch_attempt_resolved(struct dispatch *dispatch, uint64_t id,
                           int64_t now_ms)
 {
-    dispatch_at(dispatch, now_ms);
+    dispatch_advance_clock(dispatch, now_ms);
     struct attempt *attempt = attempt_find(dispatch, id);
     if (attempt != NULL && attempt->lost) {
-        attempt_settle(dispatch, attempt);
+        attempt_release(dispatch, attempt);
     }
 }
 
-/* The lease counts from when the bytes reach the backend server, which is
- * no later than the end of the attempt's connection. */
+/* The backend server counts the lease from the arrival of the request, which
+ * is no later than the end of the attempt's connection. So the attempt can't
+ * run longer than one lease from now. */
 static void
 attempt_lost(struct dispatch *dispatch, struct attempt *attempt)
 {
@@ -109,14 +111,14 @@
 attempt_allowed(const struct dispatch *dispatch, const struct attempt *attempt,
                 int64_t now_ms)
 {
-    if (now_ms >= dispatch->standing_until_ms) {
+    if (now_ms >= dispatch->quorum_lease_expires_ms) {
         return REASON_NO_QUORUM_LEASE;
     }
     enum reason reason = task_allowed(dispatch, attempt->task);
     if (reason != REASON_NONE) {
         return reason;
     }
-    if (attempt->host->dc != NULL && attempt->host->dc->out) {
+    if (attempt->host->dc != NULL && attempt->host->dc->out_of_service) {
         return REASON_DC_OUT_OF_SERVICE;
     }
     if (!host_usable(attempt->host)) {
@@ -146,7 +148,7 @@
     }
 }
 
-/* What the run tells about run times, service and the host. */
+/* Updates the statistics of run times, service and host health. */
 static void
 attempt_observe(struct dispatch *dispatch, const struct attempt *attempt,
                 enum attempt_result result)
@@ -177,7 +179,7 @@
 dispatch_attempt_ended(struct dispatch *dispatch, uint64_t id,
                        enum attempt_result result, int64_t now_ms)
 {
-    dispatch_at(dispatch, now_ms);
+    dispatch_advance_clock(dispatch, now_ms);
     struct attempt *attempt = attempt_find(dispatch, id);
     if (attempt == NULL || attempt->lost) {
         return false;
@@ -190,7 +192,7 @@
         attempt_lost(dispatch, attempt);
     }
     else {
-        attempt_settle(dispatch, attempt);
+        attempt_release(dispatch, attempt);
     }
     return over;
 }
--- a/core/dispatch_config.c
+++ b/core/dispatch_config.c
@@ -1,3 +1,4 @@
+/* Applies configuration, quorum lease and permits to the dispatcher. */
 #include <string.h>
 
 #include "dispatch_state.h"
@@ -81,7 +82,7 @@
         queue->pool = pool;
         queue->urgent = wanted->urgent;
     }
-    queue->known = true;
+    queue->configured = true;
     queue->open = wanted->open_team != NULL;
     queue->start_deadline_ms = wanted->start_deadline_ms;
     queue->max_run_ms = wanted->max_run_ms;
@@ -94,28 +95,28 @@
 }
 
 static void
-forget_known(struct dispatch *dispatch)
+clear_configured(struct dispatch *dispatch)
 {
     GHashTableIter iter;
     void *entry;
     g_hash_table_iter_init(&iter, dispatch->teams);
     while (g_hash_table_iter_next(&iter, NULL, &entry)) {
-        ((struct team *)entry)->known = false;
+        ((struct team *)entry)->configured = false;
     }
     g_hash_table_iter_init(&iter, dispatch->pools);
     while (g_hash_table_iter_next(&iter, NULL, &entry)) {
         struct pool *pool = entry;
-        pool->known = false;
+        pool->configured = false;
         pool->has_queue[0] = pool->has_queue[1] = false;
         pool->urgent_deadline_ms = INT64_MAX;
     }
     g_hash_table_iter_init(&iter, dispatch->queues);
     while (g_hash_table_iter_next(&iter, NULL, &entry)) {
-        ((struct queue *)entry)->known = false;
+        ((struct queue *)entry)->configured = false;
     }
     g_hash_table_iter_init(&iter, dispatch->dcs);
     while (g_hash_table_iter_next(&iter, NULL, &entry)) {
-        ((struct dc *)entry)->out = false;
+        ((struct dc *)entry)->out_of_service = false;
     }
     g_hash_table_remove_all(dispatch->keys);
 }
@@ -126,7 +127,7 @@
     for (size_t i = 0; i < config->n_teams; i++) {
         const struct config_team *wanted = &config->teams[i];
         struct team *team = dispatch_team(dispatch, wanted->name);
-        team->known = true;
+        team->configured = true;
         team->share_permille = wanted->share_permille;
         team->max_running = wanted->max_running;
         for (size_t j = 0; j < wanted->n_keys; j++) {
@@ -141,10 +142,10 @@
 {
     for (size_t i = 0; i < config->n_dcs; i++) {
         struct dc *dc = dispatch_dc(dispatch, config->dcs[i].name);
-        dc->out = config->dcs[i].state == DC_OUT;
+        dc->out_of_service = config->dcs[i].state == DC_OUT;
     }
     for (size_t i = 0; i < config->n_pools; i++) {
-        dispatch_pool(dispatch, config->pools[i].name)->known = true;
+        dispatch_pool(dispatch, config->pools[i].name)->configured = true;
     }
     for (size_t i = 0; i < config->n_queues; i++) {
         struct queue *queue = queue_get(dispatch, &config->queues[i]);
@@ -156,10 +157,10 @@
 task_allowed(const struct dispatch *dispatch, const struct task *task)
 {
     const struct queue *queue = task->lane->queue;
-    if (!queue->known) {
+    if (!queue->configured) {
         return REASON_UNKNOWN_QUEUE;
     }
-    if (!task->lane->pool_team->team->known) {
+    if (!task->lane->pool_team->team->configured) {
         return REASON_UNKNOWN_TEAM;
     }
     if (task->key_id == NULL) {
@@ -195,7 +196,7 @@
 {
     dispatch->config = config;
     dispatch->unit = config->unit;
-    forget_known(dispatch);
+    clear_configured(dispatch);
     set_teams(dispatch, config);
     set_entries(dispatch, config);
     refuse_disallowed(dispatch);
@@ -205,7 +206,7 @@
 void
 dispatch_set_quorum_lease(struct dispatch *dispatch, int64_t until_ms)
 {
-    dispatch->standing_until_ms = until_ms;
+    dispatch->quorum_lease_expires_ms = until_ms;
 }
 
 void
--- a/core/dispatch_forward.c
+++ b/core/dispatch_forward.c
@@ -1,4 +1,4 @@
-/* Hands tasks to gateways that have free permits. */
+/* Forwards waiting tasks to gateways that have free permits of their team. */
 #include "dispatch_state.h"
 
 enum {
@@ -12,7 +12,7 @@
         g_hash_table_lookup(peer->free_permits, (void *)team));
 }
 
-/* The peer with the most free permits of the team. */
+/* The peer that reports the most free permits of the team, or NULL. */
 static struct peer *
 peer_with_permits(struct dispatch *dispatch, const struct team *team)
 {
@@ -34,10 +34,11 @@
 static bool
 task_may_forward(const struct task *task)
 {
-    return !task->forwarded && task->forwards < TASK_MAX_FORWARDS;
+    return !task->forwarded && task->forwards < TASK_FORWARDS_MAX;
 }
 
-/* Tasks that were forwarded here may stand before those that may go on. */
+/* Tasks that were forwarded to this gateway must not be forwarded again and
+ * may precede others in the lane. */
 static struct task *
 first_in_lane(const struct lane *lane)
 {
@@ -104,7 +105,7 @@
 next_forward(struct dispatch *dispatch, struct dispatch_action *action)
 {
     GList *link;
-    while ((link = dispatch->forwards.head) != NULL) {
+    while ((link = dispatch->forward_teams.head) != NULL) {
         struct team *team = link->data;
         struct peer *peer = peer_with_permits(dispatch, team);
         struct task *task = peer != NULL ? team_task_to_forward(team) : NULL;
@@ -112,15 +113,15 @@
             forward(dispatch, task, peer, action);
             return true;
         }
-        /* Back in with the next task or report of the team. */
-        team->forwards = false;
-        g_queue_unlink(&dispatch->forwards, link);
+        /* team_update() adds the team again with its next task or report. */
+        team->may_forward = false;
+        g_queue_unlink(&dispatch->forward_teams, link);
     }
     return false;
 }
 
 static void
-after_lost_forward(struct dispatch *dispatch, struct task *task)
+handle_lost_forward(struct dispatch *dispatch, struct task *task)
 {
     task->may_have_run = true;
     if (task->idempotent && !task->cancelled) {
@@ -135,7 +136,7 @@
 dispatch_forward_ended(struct dispatch *dispatch, uint64_t id,
                        enum attempt_result result, int64_t now_ms)
 {
-    dispatch_at(dispatch, now_ms);
+    dispatch_advance_clock(dispatch, now_ms);
     struct task *task = g_hash_table_lookup(dispatch->tasks, &id);
     if (task == NULL || task->state != TASK_FORWARDED) {
         return false;
@@ -146,7 +147,7 @@
         task_over(dispatch, task);
         return true;
     case ATTEMPT_LOST:
-        after_lost_forward(dispatch, task);
+        handle_lost_forward(dispatch, task);
         return false;
     case ATTEMPT_STOPPED:
         task->may_have_run = true;
--- a/core/dispatch_hosts.c
+++ b/core/dispatch_hosts.c
@@ -1,3 +1,4 @@
+/* Follows the list of backend servers, and ejects those that keep failing. */
 #include "dispatch_state.h"
 
 void
@@ -109,8 +110,8 @@
     host->seen = true;
 }
 
-/* Hosts that are gone live on, outside the tables, until their attempts are
- * settled; a new host of the same name is a new host. */
+/* A removed host stays allocated, outside the tables, until its last attempt
+ * is resolved. A host that is added later under the same name is a new one. */
 static void
 host_drop(struct dispatch *dispatch, struct host *host)
 {
@@ -165,15 +166,15 @@
         return;
     }
     bool usable = host_usable(host);
-    if (usable && !host->usable && host->once_usable) {
+    if (usable && !host->usable && host->was_usable) {
         host->returned_ms = dispatch->now_ms;
     }
     host->usable = usable;
-    host->once_usable = host->once_usable || usable;
+    host->was_usable = host->was_usable || usable;
     host->counted = false;
     pool->hosts++;
     pool->outlier.hosts++;
-    pool->hosts_dc_out += host->dc != NULL && host->dc->out;
+    pool->hosts_dc_out += host->dc != NULL && host->dc->out_of_service;
     host_update(dispatch, host);
 }
 
@@ -237,19 +238,20 @@
 }
 
 void
-hosts_absolve(struct dispatch *dispatch, struct task *task)
+hosts_discount_failures(struct dispatch *dispatch, struct task *task)
 {
-    for (uint32_t i = 0; i < task->n_failed && !task->absolved; i++) {
+    for (uint32_t i = 0; i < task->n_failed && !task->failures_discounted;
+         i++) {
         struct host *host = failed_host(dispatch, task, i);
         if (host != NULL) {
             outlier_discount_failure(&host->outlier);
         }
     }
-    task->absolved = true;
+    task->failures_discounted = true;
 }
 
 void
-hosts_blame(struct dispatch *dispatch, const struct task *task)
+hosts_restore_failures(struct dispatch *dispatch, const struct task *task)
 {
     for (uint32_t i = 0; i < task->n_failed; i++) {
         struct host *host = failed_host(dispatch, task, i);
--- a/core/dispatch_next.c
+++ b/core/dispatch_next.c
@@ -1,3 +1,4 @@
+/* Chooses the next action: refusals first, then starts, then forwards. */
 #include "dispatch_state.h"
 
 static void
@@ -24,14 +25,14 @@
     return true;
 }
 
-/* Why a waiting task has not started. */
+/* Returns why the waiting tasks of @lane have not started. */
 enum reason
 lane_waits_for(const struct dispatch *dispatch, const struct lane *lane,
                int64_t now_ms)
 {
     const struct pool *pool = lane->pool_team->pool;
     const struct team *team = lane->pool_team->team;
-    if (now_ms >= dispatch->standing_until_ms) {
+    if (now_ms >= dispatch->quorum_lease_expires_ms) {
         return REASON_NO_QUORUM_LEASE;
     }
     if (team->running >= team->permits) {
@@ -102,7 +103,7 @@
 static bool
 next_start(struct dispatch *dispatch, struct dispatch_action *action)
 {
-    if (dispatch->now_ms >= dispatch->standing_until_ms) {
+    if (dispatch->now_ms >= dispatch->quorum_lease_expires_ms) {
         return false;
     }
     struct pool *pool;
@@ -116,7 +117,7 @@
 }
 
 static void
-pass_time(struct dispatch *dispatch)
+run_timers(struct dispatch *dispatch)
 {
     attempts_expire(dispatch);
     ejections_end(dispatch);
@@ -148,8 +149,8 @@
 dispatch_next(struct dispatch *dispatch, int64_t now_ms,
               struct dispatch_action *action)
 {
-    dispatch_at(dispatch, now_ms);
-    pass_time(dispatch);
+    dispatch_advance_clock(dispatch, now_ms);
+    run_timers(dispatch);
     if (next_refusal(dispatch, action) || next_start(dispatch, action) ||
         next_forward(dispatch, action)) {
         return true;
--- a/core/dispatch_peers.c
+++ b/core/dispatch_peers.c
@@ -1,4 +1,4 @@
-/* What other gateways report of their use. */
+/* Keeps the usage that other gateways report. */
 #include <string.h>
 
 #include "dispatch_state.h"
@@ -29,7 +29,7 @@
 }
 
 static uint32_t
-free_index(const struct dispatch *dispatch)
+lowest_free_index(const struct dispatch *dispatch)
 {
     uint32_t index = 0;
     while (index_taken(dispatch, index)) {
@@ -47,7 +47,7 @@
         peer->name = g_strdup(name);
         peer->reported_ms = dispatch->now_ms;
         peer->free_permits = g_hash_table_new(NULL, NULL);
-        peer->index = free_index(dispatch);
+        peer->index = lowest_free_index(dispatch);
         peer->pool_teams = g_ptr_array_new();
         peer->pools = g_hash_table_new_full(NULL, NULL, NULL, g_free);
         g_hash_table_insert(dispatch->peers, peer->name, peer);
@@ -62,8 +62,8 @@
 }
 
 static void
-usage_apply(struct pool_team *pool_team, struct peer_usage *usage,
-            uint32_t running, uint32_t queued)
+usage_update(struct pool_team *pool_team, struct peer_usage *usage,
+             uint32_t running, uint32_t queued)
 {
     pool_team->peers_running += running - usage->running;
     pool_team->peers_queued += queued - usage->queued;
@@ -96,11 +96,11 @@
 {
     for (guint i = 0; i < peer->pool_teams->len; i++) {
         struct pool_team *pool_team = g_ptr_array_index(peer->pool_teams, i);
-        usage_apply(pool_team, &pool_team->peers[peer->index], 0, 0);
+        usage_update(pool_team, &pool_team->peers[peer->index], 0, 0);
     }
 }
 
-/* Another peer may get the index. */
+/* Clears the entries under the peer's index, which another peer may get. */
 static void
 usage_forget(struct peer *peer)
 {
@@ -121,11 +121,11 @@
     g_hash_table_iter_init(&iter, peer->pools);
     while (g_hash_table_iter_next(&iter, &entry, &value)) {
         struct pool *pool = entry;
-        const struct pool_use *use = value;
+        const struct pool_usage *use = value;
         pool->peers_running -= use->running;
-        pool->peers_folded.running -= use->running;
-        pool->peers_folded.queued -= use->queued;
-        pool->peers_folded.reserve_milli -= use->reserve_milli;
+        pool->peers_aggregate.running -= use->running;
+        pool->peers_aggregate.queued -= use->queued;
+        pool->peers_aggregate.reserve_milli -= use->reserve_milli;
     }
     g_hash_table_remove_all(peer->pools);
 }
@@ -189,27 +189,27 @@
 }
 
 static void
-take_pool(struct dispatch *dispatch, struct peer *peer,
-          const struct dispatch_usage *entry)
+record_pool_usage(struct dispatch *dispatch, struct peer *peer,
+                  const struct dispatch_usage *entry)
 {
     struct pool *pool = g_hash_table_lookup(dispatch->pools, entry->pool);
     if (pool == NULL || g_hash_table_contains(peer->pools, pool)) {
         return;
     }
-    struct pool_use *use = g_new0(struct pool_use, 1);
+    struct pool_usage *use = g_new0(struct pool_usage, 1);
     use->running = entry->running;
     use->queued = entry->queued;
     use->reserve_milli = (uint32_t)MIN(entry->served_milli, G_MAXINT32);
     g_hash_table_insert(peer->pools, pool, use);
     pool->peers_running += use->running;
-    pool->peers_folded.running += use->running;
-    pool->peers_folded.queued += use->queued;
-    pool->peers_folded.reserve_milli += use->reserve_milli;
+    pool->peers_aggregate.running += use->running;
+    pool->peers_aggregate.queued += use->queued;
+    pool->peers_aggregate.reserve_milli += use->reserve_milli;
 }
 
 static void
-take_usage(struct dispatch *dispatch, struct peer *peer, struct team *team,
-           const struct dispatch_usage *entry)
+record_team_usage(struct dispatch *dispatch, struct peer *peer,
+                  struct team *team, const struct dispatch_usage *entry)
 {
     struct pool *pool = g_hash_table_lookup(dispatch->pools, entry->pool);
     if (pool == NULL) {
@@ -218,8 +218,8 @@
     struct pool_team *pool_team = pool_team_get(pool, team);
     struct peer_usage *usage = usage_get(peer, pool_team);
     observe_service(dispatch, peer, pool_team, usage, entry);
-    usage_apply(pool_team, usage, entry->running, entry->queued);
-    pool_team_use(pool_team);
+    usage_update(pool_team, usage, entry->running, entry->queued);
+    pool_team_activate(pool_team);
 }
 
 void
@@ -227,7 +227,7 @@
                     const struct dispatch_usage *entries, size_t n_entries,
                     int64_t now_ms)
 {
-    dispatch_at(dispatch, now_ms);
+    dispatch_advance_clock(dispatch, now_ms);
     struct peer *peer = peer_get(dispatch, name);
     usage_clear(peer);
     pools_clear(peer);
@@ -236,14 +236,14 @@
     for (size_t i = 0; i < n_entries; i++) {
         const struct dispatch_usage *entry = &entries[i];
         if (entry->team[0] == '\0') {
-            take_pool(dispatch, peer, entry);
+            record_pool_usage(dispatch, peer, entry);
             continue;
         }
         if (team == NULL || strcmp(team->name, entry->team) != 0) {
             team = g_hash_table_lookup(dispatch->teams, entry->team);
         }
         if (team != NULL) {
-            take_usage(dispatch, peer, team, entry);
+            record_team_usage(dispatch, peer, team, entry);
             permits_set(dispatch, peer, team, entry->free_permits);
         }
     }
@@ -260,12 +260,13 @@
     }
 }
 
-/* A peer that fell silent may still run work, but reports nothing to plan
- * by. */
+/* Drops peers whose last report is too old. Such a peer may still run tasks,
+ * but there is no recent report to plan with. */
 void
 peers_forget_old(struct dispatch *dispatch)
 {
-    if (dispatch->now_ms - dispatch->peers_checked_ms < PEER_CHECK_MS) {
+    if (dispatch->now_ms - dispatch->peers_checked_ms <
+        PEER_CHECK_INTERVAL_MS) {
         return;
     }
     dispatch->peers_checked_ms = dispatch->now_ms;
--- a/core/dispatch_report.c
+++ b/core/dispatch_report.c
@@ -38,7 +38,7 @@
             .mean_run_ms = (int64_t)pool->mean_run_ms,
             .min_start_deadline_ms = shortest_deadline(dispatch, pool),
         };
-        if (pool->known) {
+        if (pool->configured) {
             each(ctx, &report);
         }
     }
--- a/core/dispatch_reserve.c
+++ b/core/dispatch_reserve.c
@@ -1,4 +1,5 @@
-/* Slots kept free for urgent work where it shares a pool with other work. */
+/* Computes how many slots of a pool are kept free for urgent tasks, if the
+ * pool has both urgent and normal queues. */
 #include <math.h>
 
 #include "dispatch_state.h"
@@ -8,11 +9,11 @@
     RESERVE_MAX_PERCENT = 25,
 };
 
-/* Standard deviations of the load that the reserve has to take. */
+/* The reserve covers load peaks of this many standard deviations. */
 static const double RESERVE_DEVIATIONS = 2.0;
 
 static void
-fade_arrivals(const struct dispatch *dispatch, struct pool *pool)
+decay_arrivals(const struct dispatch *dispatch, struct pool *pool)
 {
     double dt_ms = (double)(dispatch->now_ms - pool->urgent_since_ms);
     pool->urgent_since_ms = dispatch->now_ms;
@@ -20,13 +21,14 @@
 }
 
 void
-reserve_arrived(struct dispatch *dispatch, struct pool *pool)
+reserve_count_arrival(struct dispatch *dispatch, struct pool *pool)
 {
-    fade_arrivals(dispatch, pool);
+    decay_arrivals(dispatch, pool);
     pool->urgent_arrivals += 1;
 }
 
-/* Slots that urgent work of this gateway takes, with room for chance. */
+/* Slots that urgent tasks of this gateway need, with a margin for random
+ * peaks of the load. */
 static double
 urgent_load(const struct dispatch *dispatch, const struct pool *pool)
 {
@@ -36,10 +38,11 @@
     return MAX(load + RESERVE_DEVIATIONS * sqrt(load), least);
 }
 
-/* Slots that other work of this gateway gives back at least, as far as chance
- * goes, within half of the shortest start deadline of urgent queues. */
+/* Slots that normal tasks of this gateway are expected to free within half of
+ * the shortest start deadline of the urgent queues, less a margin for random
+ * variation. */
 static double
-given_back(const struct pool *pool)
+expected_freed_slots(const struct pool *pool)
 {
     double run_ms = estimate_mean_ms(&pool->run[0]);
     if (!estimate_ready(&pool->run[0])) {
@@ -58,9 +61,9 @@
     if (!pool->has_queue[0] || !pool->has_queue[1]) {
         return;
     }
-    fade_arrivals(dispatch, pool);
+    decay_arrivals(dispatch, pool);
     double most = pool->slots * RESERVE_MAX_PERCENT / 100.0;
-    double need = urgent_load(dispatch, pool) - given_back(pool);
+    double need = urgent_load(dispatch, pool) - expected_freed_slots(pool);
     need = CLAMP(need, 0, most);
     pool->reserve = MAX(need - pool->urgent_running, 0);
 }
--- a/core/dispatch_retry.c
+++ b/core/dispatch_retry.c
@@ -1,12 +1,13 @@
-/* What becomes of a task when an attempt has ended. */
+/* Decides, when an attempt has ended, whether its task is finished, retried
+ * or refused, and whether the host or the task caused a failure. */
 #include "dispatch_state.h"
 
 enum {
-    /* Refusals after which a task needs the budget to be tried again; until
-     * then it waits in its queue like the others. */
+    /* Up to this many refusals a task is queued again even if the retry
+     * budget is empty. */
     REFUSALS_WITHOUT_BUDGET = 3,
-    /* Failures in a row up to which a host is taken to do well. */
-    DOES_WELL_MAX_FAILURES = 2,
+    /* Up to this many failures in a row a host counts as healthy. */
+    HEALTHY_FAILURES_MAX = 2,
 };
 
 static bool
@@ -16,24 +17,25 @@
 }
 
 static bool
-does_well(const struct host *host)
+is_healthy(const struct host *host)
 {
     return host->outlier.state == OUTLIER_ROUTED &&
-           host->outlier.failures_in_row <= DOES_WELL_MAX_FAILURES;
+           host->outlier.failures_in_row <= HEALTHY_FAILURES_MAX;
 }
 
-/* A host that does well with others and fails a task that failed elsewhere
- * shows that the fault is the task's. */
+/* If a task that failed elsewhere also fails on a healthy host, the task is
+ * the cause, and no host is blamed for it. */
 static void
-blame(struct dispatch *dispatch, struct task *task, struct host *host)
+attribute_failure(struct dispatch *dispatch, struct task *task,
+                  struct host *host)
 {
-    if (task->n_failed == 0 || !does_well(host)) {
+    if (task->n_failed == 0 || !is_healthy(host)) {
         host_fail(dispatch, host);
     }
     else {
-        hosts_absolve(dispatch, task);
+        hosts_discount_failures(dispatch, task);
     }
-    if (task->n_failed < TASK_MAX_FAILED_HOSTS) {
+    if (task->n_failed < TASK_FAILED_HOSTS_MAX) {
         task->failed_on[task->n_failed++] = host->serial;
     }
 }
@@ -45,14 +47,14 @@
     if (attempt->probe) {
         attempt->pool_team->pool->probe_pause_ms = PROBE_PAUSE_MIN_MS;
     }
-    if (task->absolved) {
-        hosts_blame(dispatch, task);
+    if (task->failures_discounted) {
+        hosts_restore_failures(dispatch, task);
     }
     task_over(dispatch, task);
 }
 
-/* Whether there is a host left for a task that failed, or was lost, on
- * others, and budget for it. */
+/* Whether a task that failed or was lost may run again, there is a host on
+ * which it has not failed yet, and the retry budget allows it. */
 static bool
 can_retry(struct dispatch *dispatch, const struct task *task)
 {
@@ -70,13 +72,13 @@
     task_requeue(dispatch, task);
 }
 
-/* A task that is not tried again ends with the whole answer there is. */
+/* Without a retry, the caller gets the complete answer of the failed run. */
 static bool
 after_failure(struct dispatch *dispatch, struct task *task, struct host *host)
 {
-    blame(dispatch, task, host);
+    attribute_failure(dispatch, task, host);
     task->may_have_run = true;
-    if (task->n_failed >= TASK_MAX_FAILED_HOSTS) {
+    if (task->n_failed >= TASK_FAILED_HOSTS_MAX) {
         task_refuse(dispatch, task, REASON_NEVER_RUNS);
         return false;
     }
@@ -91,9 +93,9 @@
 static void
 after_loss(struct dispatch *dispatch, struct task *task, struct host *host)
 {
-    blame(dispatch, task, host);
+    attribute_failure(dispatch, task, host);
     task->may_have_run = true;
-    if (task->n_failed >= TASK_MAX_FAILED_HOSTS) {
+    if (task->n_failed >= TASK_FAILED_HOSTS_MAX) {
         task_refuse(dispatch, task, REASON_NEVER_RUNS);
     }
     else if (!can_retry(dispatch, task)) {
@@ -104,7 +106,8 @@
     }
 }
 
-/* The task did not run: back to its queue, unless this goes on. */
+/* The task did not run: queues it again, or refuses it after too many
+ * refusals or without retry budget. */
 static void
 retry_not_run(struct dispatch *dispatch, struct task *task,
               const struct attempt *attempt)
@@ -112,7 +115,7 @@
     task->refused_by = attempt->host->serial;
     task->refusals++;
     bool denied = !attempt->probe && !retry_allowed(dispatch, task);
-    if (task->refusals >= TASK_MAX_REFUSALS) {
+    if (task->refusals >= TASK_REFUSALS_MAX) {
         task_refuse(dispatch, task, REASON_BACKEND_REFUSED);
     }
     else if (denied && task->refusals > REFUSALS_WITHOUT_BUDGET) {
@@ -145,7 +148,7 @@
                const struct attempt *attempt)
 {
     if (attempt_allowed(dispatch, attempt, dispatch->now_ms) != REASON_NONE) {
-        /* Held back by the last check: no fault of the host. */
+        /* dispatch_may_send() stopped it, so the host has not failed. */
         task_requeue(dispatch, task);
         return;
     }
--- a/core/dispatch_share.c
+++ b/core/dispatch_share.c
@@ -1,4 +1,5 @@
-/* Divides each pool's slots among teams and gateways. */
+/* Divides the slots of each pool among teams and gateways by weighted max-min
+ * fairness, and decides whether a team may start a task under its share. */
 #include "core/share_plan.h"
 #include "dispatch_state.h"
 
@@ -6,29 +7,32 @@
     PLAN_INTERVAL_MS = 200,
     PLAN_SOON_MS = 20,
     PLAN_QUIET_INTERVAL_MS = 1000,
-    /* Teams that add a millisecond to the interval. */
+    /* The interval grows by 1 ms for every this many teams, which bounds the
+     * time spent on planning. */
     PLAN_TEAMS_PER_MS = 1,
-    /* Shortest time over which a lag is made up for. */
+    /* Minimum time over which a lag is compensated. */
     CATCH_UP_MIN_MS = 100,
-    /* Slots by which a lag may move a team's part. */
+    /* A lag changes a team's share by at most this many slots. */
     LAG_MAX_SLOTS = 4,
-    /* Window of past service; what is older counts for nothing. */
-    WINDOW_MS = 10000,
-    WINDOW_RUNS = 10,
+    /* Window of past service that the lag takes into account: the longer of
+     * this time and this many mean run times. */
+    SERVICE_WINDOW_MS = 10000,
+    SERVICE_WINDOW_RUNS = 10,
     RUN_WINDOW_MS = 30000,
-    /* Part of a contended pool left undivided, so that gateways below their
-     * part find the slots that others gave back. */
-    SLACK_PERCENT = 1,
-    /* Completed tasks from which a team's mean run time is used. */
-    RUN_READY_TASKS = 10,
+    /* Fraction of a contended pool that is not divided, so that gateways
+     * below their share find free slots when others release some. */
+    UNDIVIDED_PERCENT = 1,
+    /* With fewer completed tasks, the pool's mean run time is used in place
+     * of the team's. */
+    MEAN_RUN_TASKS_MIN = 10,
 };
 
-static const double LEAST_WEIGHT = 0.001;
+static const double WEIGHT_MIN = 0.001;
 
 static double
 reserved(const struct pool *pool)
 {
-    return pool->reserve + pool->peers_folded.reserve_milli / 1000.0;
+    return pool->reserve + pool->peers_aggregate.reserve_milli / 1000.0;
 }
 
 static double
@@ -38,9 +42,9 @@
 }
 
 static double
-window_ms(const struct pool *pool)
+service_window_ms(const struct pool *pool)
 {
-    return MAX(pool->mean_run_ms * WINDOW_RUNS, WINDOW_MS);
+    return MAX(pool->mean_run_ms * SERVICE_WINDOW_RUNS, SERVICE_WINDOW_MS);
 }
 
 void
@@ -50,14 +54,14 @@
     double dt_ms = (double)(dispatch->now_ms - pool_team->advanced_ms);
     pool_team->advanced_ms = dispatch->now_ms;
     pool_team->busy_ms += pool_team->running * dt_ms;
-    if (!pool->contended || dt_ms > WINDOW_MS) {
+    if (!pool->contended || dt_ms > SERVICE_WINDOW_MS) {
         pool_team->lag_ms = 0;
         return;
     }
-    double keep = 1.0 - MIN(dt_ms / window_ms(pool), 1.0);
+    double keep = 1.0 - MIN(dt_ms / service_window_ms(pool), 1.0);
     double limit = LAG_MAX_SLOTS * catch_up_ms(pool);
     pool_team->lag_ms *= keep;
-    pool_team->lag_ms += (pool_team->slice - pool_team->running) * dt_ms;
+    pool_team->lag_ms += (pool_team->due_slots - pool_team->running) * dt_ms;
     pool_team->lag_ms = CLAMP(pool_team->lag_ms, -limit, limit);
     if (pool_team->queued == 0) {
         pool_team->lag_ms = MIN(pool_team->lag_ms, 0);
@@ -65,14 +69,14 @@
 }
 
 bool
-pool_team_due(struct dispatch *dispatch, struct pool_team *pool_team)
+pool_team_may_start(struct dispatch *dispatch, struct pool_team *pool_team)
 {
     if (!pool_team->pool->contended) {
         return true;
     }
     pool_team_advance(dispatch, pool_team);
     double tau_ms = catch_up_ms(pool_team->pool);
-    double over = pool_team->running - pool_team->slice;
+    double over = pool_team->running - pool_team->due_slots;
     if (over < pool_team->lag_ms / tau_ms) {
         return true;
     }
@@ -89,30 +93,30 @@
 static double
 mean_run_ms(const struct pool_team *pool_team)
 {
-    return pool_team->completed >= RUN_READY_TASKS
+    return pool_team->completed >= MEAN_RUN_TASKS_MIN
                ? pool_team->busy_ms / pool_team->completed
                : pool_team->pool->mean_run_ms;
 }
 
 static void
-fade_run(struct dispatch *dispatch, struct pool_team *pool_team)
+decay_run(struct dispatch *dispatch, struct pool_team *pool_team)
 {
     pool_team_advance(dispatch, pool_team);
-    double dt_ms = (double)(dispatch->now_ms - pool_team->faded_ms);
+    double dt_ms = (double)(dispatch->now_ms - pool_team->decayed_ms);
     double keep = 1.0 - MIN(dt_ms / RUN_WINDOW_MS, 1.0);
-    pool_team->faded_ms = dispatch->now_ms;
+    pool_team->decayed_ms = dispatch->now_ms;
     pool_team->busy_ms *= keep;
     pool_team->completed *= keep;
 }
 
 static void
-fade_runs(struct dispatch *dispatch, struct pool *pool)
+decay_runs(struct dispatch *dispatch, struct pool *pool)
 {
     double busy_ms = 0;
     double completed = 0;
     for (guint i = 0; i < pool->in_use->len; i++) {
         struct pool_team *pool_team = g_ptr_array_index(pool->in_use, i);
-        fade_run(dispatch, pool_team);
+        decay_run(dispatch, pool_team);
         busy_ms += pool_team->busy_ms;
         completed += pool_team->completed;
     }
@@ -137,7 +141,7 @@
 claim_weight(const struct dispatch *dispatch,
              const struct pool_team *pool_team)
 {
-    double weight = MAX(pool_team->team->share_permille, LEAST_WEIGHT);
+    double weight = MAX(pool_team->team->share_permille, WEIGHT_MIN);
     if (dispatch->unit == SERVICE_UNIT_TASK) {
         weight *= MAX(mean_run_ms(pool_team), 1);
     }
@@ -160,9 +164,10 @@
 pool_team_join(struct dispatch *dispatch, struct pool_team *pool_team)
 {
     double demand = fleet_demand(pool_team);
-    double due = pool_team->pool->level * claim_weight(dispatch, pool_team);
+    double due =
+        pool_team->pool->fill_level * claim_weight(dispatch, pool_team);
     pool_team_advance(dispatch, pool_team);
-    pool_team->slice =
+    pool_team->due_slots =
         MIN(due, demand) * own_demand(pool_team) / MAX(demand, 1);
 }
 
@@ -175,7 +180,7 @@
             i++;
             continue;
         }
-        pool_team->slice = 0;
+        pool_team->due_slots = 0;
         pool_team->in_use = false;
         g_ptr_array_remove_index_fast(pool->in_use, i);
     }
@@ -184,7 +189,8 @@
 static double
 collect_claims(struct dispatch *dispatch, const struct pool *pool)
 {
-    double wanted = pool->peers_folded.running + pool->peers_folded.queued;
+    double wanted =
+        pool->peers_aggregate.running + pool->peers_aggregate.queued;
     g_array_set_size(dispatch->claims, 0);
     for (guint i = 0; i < pool->in_use->len; i++) {
         add_claim(dispatch, g_ptr_array_index(pool->in_use, i));
@@ -197,24 +203,25 @@
     return wanted;
 }
 
-/* A gateway's part of what a team is due is as large as its part of the
+/* Each gateway gets the same fraction of a team's slots as it has of the
  * team's demand. */
 static void
-set_slices(struct dispatch *dispatch, struct pool *pool)
+set_due_slots(struct dispatch *dispatch, struct pool *pool)
 {
     struct share_claim *claims =
         (struct share_claim *)(void *)dispatch->claims->data;
-    pool->level = 0;
+    pool->fill_level = 0;
     for (guint i = 0; i < dispatch->claims->len; i++) {
         struct pool_team *pool_team = claims[i].owner;
-        pool_team->slice =
+        pool_team->due_slots =
             claims[i].allocated * own_demand(pool_team) / claims[i].demand;
-        pool->level = MAX(pool->level, claims[i].allocated / claims[i].weight);
+        pool->fill_level =
+            MAX(pool->fill_level, claims[i].allocated / claims[i].weight);
     }
 }
 
 static double
-own_part(const struct pool *pool, double wanted)
+own_fraction(const struct pool *pool, double wanted)
 {
     return wanted > 0 ? MIN((pool->running + pool->queued) / wanted, 1) : 1;
 }
@@ -231,7 +238,7 @@
 }
 
 static void
-plan_again(struct dispatch *dispatch, struct pool *pool)
+schedule_next_plan(struct dispatch *dispatch, struct pool *pool)
 {
     bool quiet = !pool->contended && pool->queued == 0;
     if (quiet && pool->running == 0) {
@@ -247,22 +254,22 @@
 pool_moves_plan(struct dispatch *dispatch, struct pool *pool)
 {
     drop_idle(pool);
-    fade_runs(dispatch, pool);
+    decay_runs(dispatch, pool);
     reserve_plan(dispatch, pool);
-    double kept_free = reserved(pool);
-    pool->slots_planned = MAX(pool->slots - kept_free, 0);
+    double reserved_slots = reserved(pool);
+    pool->slots_planned = MAX(pool->slots - reserved_slots, 0);
     double wanted = collect_claims(dispatch, pool);
-    pool->own_part = own_part(pool, wanted);
+    pool->own_fraction = own_fraction(pool, wanted);
     pool->contended = wanted > pool->slots_planned;
     if (pool->contended) {
-        double slots = pool->slots_planned * (100 - SLACK_PERCENT) / 100;
+        double slots = pool->slots_planned * (100 - UNDIVIDED_PERCENT) / 100;
         share_plan((struct share_claim *)(void *)dispatch->claims->data,
                    dispatch->claims->len,
-                   MAX(slots - pool->peers_folded.running, 0));
-        set_slices(dispatch, pool);
+                   MAX(slots - pool->peers_aggregate.running, 0));
+        set_due_slots(dispatch, pool);
     }
     update_teams(dispatch, pool);
-    plan_again(dispatch, pool);
+    schedule_next_plan(dispatch, pool);
 }
 
 void
@@ -297,7 +304,7 @@
 }
 
 bool
-pool_has_normal_room(const struct pool *pool)
+pool_has_normal_capacity(const struct pool *pool)
 {
     if (reserved(pool) <= 0) {
         return true;
--- a/core/dispatch_state.h
+++ b/core/dispatch_state.h
@@ -1,4 +1,5 @@
-/* State behind include/core/dispatch.h, shared by core/dispatch_*.c. */
+/* Internal state of the dispatcher, shared by core/dispatch_*.c, routing.c
+ * and fair_queue.c. Public interface: include/core/dispatch.h. */
 #ifndef CORE_DISPATCH_STATE_H
 #define CORE_DISPATCH_STATE_H
 
@@ -12,40 +13,41 @@
 #include "core/retry_budget.h"
 
 enum {
-    /* Added to a lease before its attempt is taken to have ended. */
+    /* Added to a lease before its attempt is assumed to have ended. */
     LEASE_MARGIN_MS = 1000,
-    /* Age at which what a peer reported is not used any more. */
+    /* Reports of peers that are older are discarded. */
     PEER_REPORT_MAX_AGE_MS = 3000,
-    PEER_CHECK_MS = 500,
-    /* Distinct hosts after which a failing task is given up. */
-    TASK_MAX_FAILED_HOSTS = 3,
-    /* Refusals by backend servers after which a task is given up. */
-    TASK_MAX_REFUSALS = 64,
-    TASK_MAX_FORWARDS = 2,
-    /* Pause between attempts on hosts that look full: doubles with every
+    PEER_CHECK_INTERVAL_MS = 500,
+    /* A task that failed on this many distinct hosts is not retried. */
+    TASK_FAILED_HOSTS_MAX = 3,
+    /* A task that backend servers refused this often is not retried. */
+    TASK_REFUSALS_MAX = 64,
+    TASK_FORWARDS_MAX = 2,
+    /* Pause between probes of hosts that seem full; doubles with every
      * refusal. */
     PROBE_PAUSE_MIN_MS = 20,
     PROBE_PAUSE_MAX_MS = 100,
-    /* Starts looked for when the task in turn fits no open host. */
+    /* Lanes tried for one start when the first task of a lane may run on no
+     * host with free capacity. */
     LANES_PER_START = 4,
 };
 
 enum task_state {
     TASK_QUEUED,
-    TASK_OUT,
+    TASK_IN_ATTEMPT,
     TASK_FORWARDED,
     TASK_REFUSED,
 };
 
 struct dc {
     char *name;
-    bool out;
+    bool out_of_service;
 };
 
 struct team {
     char *name;
     uint32_t index;
-    bool known;
+    bool configured;
     uint32_t share_permille;
     uint32_t max_running;
     uint32_t permits;
@@ -54,11 +56,12 @@
     bool permitted;
     /* Entries of struct pool_team. */
     GPtrArray *pool_teams;
-    /* Sums of running attempts and free permits that peers reported. */
+    /* Running attempts and free permits, summed over the reports of peers. */
     uint32_t peers_running;
     uint32_t peers_free;
-    /* Link in dispatch.forwards while it may have something to forward. */
-    bool forwards;
+    /* Whether a waiting task may be forwarded; linked in
+     * dispatch.forward_teams while set. */
+    bool may_forward;
     GList forward_link;
 };
 
@@ -66,8 +69,8 @@
     uint32_t outstanding;
 };
 
-/* Use of a pool by teams that are not listed one by one. */
-struct pool_use {
+/* Usage of a pool, summed over teams that are not reported one by one. */
+struct pool_usage {
     uint32_t running;
     uint32_t queued;
     uint32_t reserve_milli;
@@ -75,8 +78,8 @@
 
 struct pool {
     char *name;
-    bool known;
-    /* Slots of hosts that take part in routing, and how many hosts. */
+    bool configured;
+    /* Slots of the hosts that tasks are routed to, and numbers of hosts. */
     uint32_t slots;
     uint32_t hosts;
     uint32_t hosts_accepting;
@@ -84,36 +87,39 @@
     uint32_t running;
     uint32_t peers_running;
     uint32_t queued;
-    /* Not listed by team: here in the last report, and by peers. */
-    struct pool_use folded;
-    struct pool_use peers_folded;
+    /* Usage not reported by team: in the last report of this gateway, and
+     * in those of peers. */
+    struct pool_usage aggregate;
+    struct pool_usage peers_aggregate;
     struct outlier_pool outlier;
-    /* Hosts with room as far as is known: all, and in the own dc. */
+    /* Hosts estimated to have a free slot: all, and those in the data
+     * centre of this gateway. */
     GPtrArray *open_hosts;
     GPtrArray *open_local;
-    /* Hosts without room, the one looked at longest ago first. */
+    /* Hosts estimated to be full, least recently checked first. */
     GQueue full_hosts;
     int64_t probed_ms;
     int64_t probe_pause_ms;
-    /* Entries of struct pool_team: all, those in use, and by team. */
+    /* Entries of struct pool_team: all, those with work on any gateway, and
+     * by team index. */
     GPtrArray *pool_teams;
     GPtrArray *in_use;
     GPtrArray *by_team;
-    /* Teams with waiting work that may start: [urgent]. */
+    /* Teams with waiting tasks that may start, indexed by urgent. */
     GQueue ready[2];
     bool active;
     GList active_link;
     struct deadline_entry wake;
-    /* Division of slots among teams; in force while contended. */
+    /* Division of slots among teams; applies while demand exceeds them. */
     bool contended;
     struct deadline_entry plan;
     int64_t planned_ms;
     double slots_planned;
-    /* Slots for each unit of weight of teams that want more. */
-    double level;
-    double own_part;
+    /* Slots per unit of weight that teams get whose demand is not met. */
+    double fill_level;
+    double own_fraction;
     double mean_run_ms;
-    /* Urgent work: what it needs free, and its observed load. */
+    /* Urgent tasks: observed load, and slots kept free for them. */
     bool has_queue[2];
     uint32_t urgent_running;
     uint32_t urgent_queued;
@@ -126,7 +132,7 @@
 
 struct queue {
     char *name;
-    bool known;
+    bool configured;
     bool urgent;
     bool open;
     struct pool *pool;
@@ -141,8 +147,8 @@
     GHashTable *lanes;
 };
 
-/* One team's use of one pool. What plans go through comes first, close
- * together. */
+/* One team's use of one pool. Members that planning reads come first, for
+ * cache locality. */
 struct pool_team {
     struct team *team;
     struct pool *pool;
@@ -150,24 +156,24 @@
     uint32_t queued;
     uint32_t peers_running;
     uint32_t peers_queued;
-    /* Due slots on this gateway while the pool is contended, and the
-     * integral of what was due less what ran. */
-    double slice;
+    /* Slots that the team is due on this gateway while the pool is
+     * contended, and the time integral of due less running slots. */
+    double due_slots;
     double lag_ms;
     int64_t advanced_ms;
-    /* Slot time and completed tasks of all gateways, fading. */
+    /* Slot time and completed tasks of all gateways, decaying over time. */
     double busy_ms;
     double completed;
-    int64_t faded_ms;
+    int64_t decayed_ms;
     bool in_use;
     bool ready[2];
     uint64_t served_milli;
     int64_t served_ms;
     struct deadline_entry unblock;
-    /* What each peer reports, by the peer's index. */
+    /* Last report of each peer, by the peer's index. */
     struct peer_usage *peers;
     uint32_t n_peers;
-    /* Lanes with waiting tasks: [urgent]. */
+    /* Lanes with waiting tasks, indexed by urgent. */
     GQueue lanes[2];
     GList ready_link[2];
 };
@@ -180,7 +186,8 @@
     GList link;
 };
 
-/* What every choice looks at comes first, close together. */
+/* A backend server. Members that every routing decision reads come first,
+ * for cache locality. */
 struct host {
     struct pool *pool;
     struct dc *dc;
@@ -193,12 +200,12 @@
     struct outlier outlier;
     int64_t reported_ms;
     int64_t refused_ms;
-    /* When it came back; its slots are used bit by bit after that. */
+    /* When it became usable (again); its slots are ramped up from then. */
     int64_t returned_ms;
     bool local;
     bool listed;
     bool accepting;
-    /* Whether it counts in the pool's slots. */
+    /* Whether its slots are included in those of the pool. */
     bool counted;
     bool full;
     /* Positions in the pool's open_hosts and open_local, or -1. */
@@ -210,7 +217,7 @@
     char *rack_name;
     bool seen;
     bool usable;
-    bool once_usable;
+    bool was_usable;
     struct deadline_entry ejection;
 };
 
@@ -223,10 +230,10 @@
     bool idempotent;
     bool forwarded;
     bool cancelled;
-    /* An attempt left whose run can't be ruled out. */
+    /* An attempt was sent and may have run. */
     bool may_have_run;
-    /* The hosts that it failed on were not blamed. */
-    bool absolved;
+    /* Its failures were taken back from the hosts' failure counts. */
+    bool failures_discounted;
     int64_t submitted_ms;
     struct deadline_entry deadline;
     GList link;
@@ -236,15 +243,16 @@
     enum reason reason;
     int64_t retry_after_ms;
     uint32_t refusals;
-    /* Serial of the host that refused it last, and of those it failed on. */
+    /* Serials of the host that refused it last and of the hosts on which it
+     * failed. */
     uint32_t refused_by;
     uint32_t n_failed;
-    uint32_t failed_on[TASK_MAX_FAILED_HOSTS];
+    uint32_t failed_on[TASK_FAILED_HOSTS_MAX];
 };
 
 struct attempt {
     uint64_t id;
-    /* NULL once the task is over or tried elsewhere. */
+    /* NULL once the task has ended or is retried elsewhere. */
     struct task *task;
     struct queue *queue;
     struct pool_team *pool_team;
@@ -253,7 +261,7 @@
     bool sent;
     bool ran;
     bool lost;
-    /* Sent to a host that looked full, to find out. */
+    /* Sent to a host that seemed full, to find out if it still is. */
     bool probe;
     int64_t started_ms;
     int64_t lease_ms;
@@ -265,7 +273,7 @@
     uint32_t queued;
     uint32_t last_running;
     bool known;
-    /* When it was last listed. */
+    /* Time of the last report that contained it. */
     int64_t reported_ms;
     uint64_t served_milli;
 };
@@ -276,7 +284,7 @@
     int64_t reported_ms;
     /* Entries of struct pool_team that it reported. */
     GPtrArray *pool_teams;
-    /* Free permits by team, struct pool_use by pool. */
+    /* Free permits by team; struct pool_usage by pool. */
     GHashTable *free_permits;
     GHashTable *pools;
 };
@@ -289,7 +297,7 @@
     bool hosts_known;
     char *own_dc;
     const struct config *config;
-    int64_t standing_until_ms;
+    int64_t quorum_lease_expires_ms;
     bool draining;
     uint64_t last_attempt;
     uint32_t last_host;
@@ -312,14 +320,14 @@
     struct deadline_heap *wakes;
     GQueue refused;
     GQueue active_pools;
-    GQueue forwards;
+    GQueue forward_teams;
     GArray *usage;
     GArray *claims;
     char *action_peer;
 };
 
 static inline void
-dispatch_at(struct dispatch *dispatch, int64_t now_ms)
+dispatch_advance_clock(struct dispatch *dispatch, int64_t now_ms)
 {
     dispatch->now_ms = MAX(dispatch->now_ms, now_ms);
 }
@@ -340,7 +348,7 @@
 struct pool_team *
 pool_team_get(struct pool *pool, struct team *team);
 void
-pool_team_use(struct pool_team *pool_team);
+pool_team_activate(struct pool_team *pool_team);
 void
 pool_team_update(struct dispatch *dispatch, struct pool_team *pool_team);
 struct lane *
@@ -367,8 +375,8 @@
 /* dispatch_share.c */
 void
 pool_moves_plan(struct dispatch *dispatch, struct pool *pool);
-/* Gives a team that comes into a contended pool its part until the next
- * plan. */
+/* Assigns slots, until the next plan, to a team that gets work in a contended
+ * pool. */
 void
 pool_team_join(struct dispatch *dispatch, struct pool_team *pool_team);
 void
@@ -378,16 +386,16 @@
 void
 pool_team_advance(struct dispatch *dispatch, struct pool_team *pool_team);
 bool
-pool_team_due(struct dispatch *dispatch, struct pool_team *pool_team);
-/* Whether the team got clearly less than its part of a contended pool. */
+pool_team_may_start(struct dispatch *dispatch, struct pool_team *pool_team);
+/* Whether the team got clearly less than its share of a contended pool. */
 bool
 pool_team_behind(const struct pool_team *pool_team);
 bool
-pool_has_normal_room(const struct pool *pool);
+pool_has_normal_capacity(const struct pool *pool);
 
 /* dispatch_reserve.c */
 void
-reserve_arrived(struct dispatch *dispatch, struct pool *pool);
+reserve_count_arrival(struct dispatch *dispatch, struct pool *pool);
 void
 reserve_plan(struct dispatch *dispatch, struct pool *pool);
 
@@ -405,11 +413,13 @@
 host_destroy(void *host);
 void
 host_fail(struct dispatch *dispatch, struct host *host);
-/* The task's failures are its own fault; and after all the hosts'. */
+/* hosts_discount_failures(): the task caused its failures, so they are taken
+ * back from the hosts. hosts_restore_failures(): it succeeded later, so they
+ * are counted again. */
 void
-hosts_absolve(struct dispatch *dispatch, struct task *task);
+hosts_discount_failures(struct dispatch *dispatch, struct task *task);
 void
-hosts_blame(struct dispatch *dispatch, const struct task *task);
+hosts_restore_failures(struct dispatch *dispatch, const struct task *task);
 void
 ejections_end(struct dispatch *dispatch);
 
@@ -470,7 +480,7 @@
 host_usable(const struct host *host);
 void
 host_close(struct host *host);
-/* An attempt has ended on the host: a slot is free there. */
+/* An attempt on the host has ended, so it has a free slot. */
 void
 host_freed(struct dispatch *dispatch, struct host *host);
 void
--- a/core/dispatch_task.c
+++ b/core/dispatch_task.c
@@ -1,3 +1,4 @@
+/* Life cycle of queued tasks: creation, refusal, requeueing, end. */
 #include "dispatch_state.h"
 
 struct task *
--- a/core/dispatch_usage.c
+++ b/core/dispatch_usage.c
@@ -1,10 +1,13 @@
+/* Reports this gateway's usage to peers, and explains why a queue waits. */
 #include "dispatch_state.h"
 
 enum {
-    /* How long a team's last service in a pool is still reported. */
+    /* A team that is idle in a pool is reported for this long after its last
+     * service there. */
     SERVED_REPORT_MS = 5000,
-    /* Entries from which teams of pools with room are added up by pool. */
-    FOLD_ENTRIES = 1000,
+    /* Above this many entries, teams in uncontended pools are reported as
+     * one sum for each pool. */
+    AGGREGATE_ENTRIES_MIN = 1000,
 };
 
 static uint32_t
@@ -23,7 +26,7 @@
 }
 
 static bool
-usage_folds(const struct dispatch *dispatch)
+usage_aggregates(const struct dispatch *dispatch)
 {
     guint in_use = 0;
     GHashTableIter iter;
@@ -32,20 +35,21 @@
     while (g_hash_table_iter_next(&iter, NULL, &entry)) {
         struct pool *pool = entry;
         in_use += pool->in_use->len;
-        pool->folded = (struct pool_use){.running = 0};
+        pool->aggregate = (struct pool_usage){.running = 0};
     }
-    return in_use > FOLD_ENTRIES;
+    return in_use > AGGREGATE_ENTRIES_MIN;
 }
 
 static void
-fold(struct pool *pool, const struct pool_team *pool_team)
+aggregate_usage(struct pool *pool, const struct pool_team *pool_team)
 {
-    pool->folded.running += pool_team->running;
-    pool->folded.queued += pool_team->queued;
+    pool->aggregate.running += pool_team->running;
+    pool->aggregate.queued += pool_team->queued;
 }
 
 static void
-usage_add_team(struct dispatch *dispatch, const struct team *team, bool folds)
+usage_add_team(struct dispatch *dispatch, const struct team *team,
+               bool aggregates)
 {
     bool added = false;
     struct dispatch_usage entry = {
@@ -56,8 +60,8 @@
     for (guint i = 0; i < team->pool_teams->len; i++) {
         const struct pool_team *pool_team =
             g_ptr_array_index(team->pool_teams, i);
-        if (folds && !pool_team->pool->contended) {
-            fold(pool_team->pool, pool_team);
+        if (aggregates && !pool_team->pool->contended) {
+            aggregate_usage(pool_team->pool, pool_team);
         }
         else if (worth_reporting(dispatch, pool_team)) {
             entry.pool = pool_team->pool->name;
@@ -79,8 +83,8 @@
     struct dispatch_usage entry = {
         .team = "",
         .pool = pool->name,
-        .running = pool->folded.running,
-        .queued = pool->folded.queued,
+        .running = pool->aggregate.running,
+        .queued = pool->aggregate.queued,
         .served_milli = (uint64_t)(pool->reserve * 1000),
     };
     if (entry.running > 0 || entry.queued > 0 || entry.served_milli > 0) {
@@ -92,14 +96,14 @@
 dispatch_usage_get(struct dispatch *dispatch,
                    const struct dispatch_usage **entries, int64_t now_ms)
 {
-    dispatch_at(dispatch, now_ms);
-    bool folds = usage_folds(dispatch);
+    dispatch_advance_clock(dispatch, now_ms);
+    bool aggregates = usage_aggregates(dispatch);
     g_array_set_size(dispatch->usage, 0);
     GHashTableIter iter;
     void *entry;
     g_hash_table_iter_init(&iter, dispatch->teams);
     while (g_hash_table_iter_next(&iter, NULL, &entry)) {
-        usage_add_team(dispatch, entry, folds);
+        usage_add_team(dispatch, entry, aggregates);
     }
     g_hash_table_iter_init(&iter, dispatch->pools);
     while (g_hash_table_iter_next(&iter, NULL, &entry)) {
--- a/core/fair_queue.c
+++ b/core/fair_queue.c
@@ -1,7 +1,9 @@
+/* Queues of waiting tasks: round robin among the teams that may start, and
+ * among the lanes of each team. */
 #include "dispatch_state.h"
 
 enum {
-    LOOK_AGAIN_MS = 25,
+    POOL_RETRY_MS = 25,
 };
 
 static void
@@ -20,8 +22,8 @@
     }
 }
 
-/* Urgent work goes before other work whatever the shares; where it has the
- * pool for itself, the shares hold among the teams' urgent work too. */
+/* Urgent tasks start before others regardless of the shares. When only urgent
+ * tasks run in the pool, the shares apply among the teams' urgent tasks. */
 static bool
 urgent_by_share(const struct pool *pool)
 {
@@ -36,7 +38,7 @@
     bool other = permitted && pool_team->lanes[0].length > 0;
     bool urgent = permitted && pool_team->lanes[1].length > 0;
     bool by_share = urgent && urgent_by_share(pool_team->pool);
-    bool due = (other || by_share) && pool_team_due(dispatch, pool_team);
+    bool due = (other || by_share) && pool_team_may_start(dispatch, pool_team);
     pool_team_ready(pool_team, 1, urgent && (due || !by_share));
     pool_team_ready(pool_team, 0, other && due);
     if (pool_team->ready[0] || pool_team->ready[1]) {
@@ -45,17 +47,18 @@
 }
 
 static void
-team_forwards(struct dispatch *dispatch, struct team *team, bool forwards)
+team_set_forwarding(struct dispatch *dispatch, struct team *team,
+                    bool forwards)
 {
-    if (team->forwards == forwards) {
+    if (team->may_forward == forwards) {
         return;
     }
-    team->forwards = forwards;
+    team->may_forward = forwards;
     if (forwards) {
-        g_queue_push_tail_link(&dispatch->forwards, &team->forward_link);
+        g_queue_push_tail_link(&dispatch->forward_teams, &team->forward_link);
     }
     else {
-        g_queue_unlink(&dispatch->forwards, &team->forward_link);
+        g_queue_unlink(&dispatch->forward_teams, &team->forward_link);
     }
 }
 
@@ -63,8 +66,9 @@
 team_update(struct dispatch *dispatch, struct team *team)
 {
     bool permitted = team->running < team->permits;
-    team_forwards(dispatch, team,
-                  !permitted && team->queued > 0 && team->peers_free > 0);
+    team_set_forwarding(dispatch, team,
+                        !permitted && team->queued > 0 &&
+                            team->peers_free > 0);
     if (team->permitted == permitted) {
         return;
     }
@@ -83,12 +87,13 @@
     }
 }
 
-/* Work could start but no host has room as far as is known. */
+/* Tasks may start, but no host is known to have a free slot: tries again
+ * after a pause. */
 void
 pool_wake_later(struct dispatch *dispatch, struct pool *pool)
 {
     deadline_heap_set(dispatch->wakes, &pool->wake,
-                      dispatch->now_ms + LOOK_AGAIN_MS);
+                      dispatch->now_ms + POOL_RETRY_MS);
 }
 
 void
@@ -131,9 +136,9 @@
     return pool_team;
 }
 
-/* Takes the team into the pool's plans until it has no work any more. */
+/* Includes the team in the pool's plans until it has no more work. */
 void
-pool_team_use(struct pool_team *pool_team)
+pool_team_activate(struct pool_team *pool_team)
 {
     if (!pool_team->in_use) {
         pool_team->in_use = true;
@@ -181,12 +186,12 @@
         g_queue_push_tail_link(&lane->tasks, &task->link);
     }
     lane_count(lane, 1);
-    pool_team_use(pool_team);
+    pool_team_activate(pool_team);
     const struct pool *pool = pool_team->pool;
     if (pool->plan.index == 0) {
         pool_plan_soon(dispatch, pool_team->pool);
     }
-    else if (pool->contended && pool_team->slice <= 0) {
+    else if (pool->contended && pool_team->due_slots <= 0) {
         pool_team_join(dispatch, pool_team);
     }
     pool_team_update(dispatch, pool_team);
@@ -225,7 +230,7 @@
     to->pool->queued += n;
     to->pool->urgent_queued += urgent ? n : 0;
     lane->pool_team = to;
-    pool_team_use(to);
+    pool_team_activate(to);
     pool_team_update(dispatch, from);
     pool_team_update(dispatch, to);
 }
@@ -250,7 +255,7 @@
 pool_next_lane(struct dispatch *dispatch, struct pool *pool)
 {
     struct lane *lane = next_lane(pool, 1);
-    if (lane != NULL || !pool_has_normal_room(pool)) {
+    if (lane != NULL || !pool_has_normal_capacity(pool)) {
         return lane;
     }
     return next_lane(pool, 0);
--- a/core/routing.c
+++ b/core/routing.c
@@ -1,45 +1,51 @@
+/* Chooses a backend server for a task: the better of two random hosts, and
+ * seemingly full hosts as probes when no other has a free slot. */
 #include "dispatch_state.h"
 
 enum {
-    /* Age at which a host's report gives way to the mean of the pool. */
-    REPORT_AGE_MS = 1000,
-    /* Hosts tried until one still has room. */
-    PICKS = 4,
-    /* Full hosts looked at anew with each choice. */
+    /* A host's report loses weight with age; from this age on only the mean
+     * of the pool is used. */
+    REPORT_MAX_AGE_MS = 1000,
+    /* Random picks until one that still has a free slot. */
+    PICKS_MAX = 4,
+    /* Full hosts that are checked again with each choice. */
     FULL_HOSTS_PER_CHOICE = 2,
-    /* Pause after a refusal before the host is probed. */
+    /* Time after a refusal during which the host is not probed. */
     REFUSED_PAUSE_MS = 100,
-    /* Time in which a host that came back reaches all of its slots. */
+    /* Time over which the slots of a returned host are ramped up. */
     RAMP_MS = 4000,
-    RAMP_FIRST_PERCENT = 10,
-    /* Loads that differ by less are equal. */
+    RAMP_START_PERCENT = 10,
+    /* Loads are compared in steps of 1 / LOAD_STEPS of a host's limit, so
+     * that small differences don't override locality. */
     LOAD_STEPS = 16,
 };
 
-/* Free slots, as estimated, from which a host counts as having room. */
-static const double ROOM_SLOTS = 0.9;
+/* A host with fewer estimated free slots is treated as full. */
+static const double FREE_SLOTS_MIN = 0.9;
 
 bool
 host_usable(const struct host *host)
 {
     return host->listed && host->accepting && host->pool != NULL &&
-           host->pool->known && (host->dc == NULL || !host->dc->out);
+           host->pool->configured &&
+           (host->dc == NULL || !host->dc->out_of_service);
 }
 
-/* Attempts of other gateways on the host: its own word, or when that is
- * old, its part of what peers report for the pool. */
+/* Estimated attempts of other gateways on the host: from the host's own
+ * report, and the older that is, the more from the host's share of what peers
+ * report for the pool. */
 static double
-host_others(const struct dispatch *dispatch, const struct host *host)
+host_other_attempts(const struct dispatch *dispatch, const struct host *host)
 {
     const struct pool *pool = host->pool;
     double mean = pool->slots > 0
                       ? (double)pool->peers_running * host->slots / pool->slots
                       : 0;
     int64_t age_ms = dispatch->now_ms - host->reported_ms;
-    if (age_ms >= REPORT_AGE_MS) {
+    if (age_ms >= REPORT_MAX_AGE_MS) {
         return mean;
     }
-    double fresh = 1.0 - (double)age_ms / REPORT_AGE_MS;
+    double fresh = 1.0 - (double)age_ms / REPORT_MAX_AGE_MS;
     return host->reported_others * fresh + mean * (1.0 - fresh);
 }
 
@@ -54,12 +60,12 @@
         return host->slots;
     }
     int64_t percent =
-        RAMP_FIRST_PERCENT + (100 - RAMP_FIRST_PERCENT) * back_ms / RAMP_MS;
+        RAMP_START_PERCENT + (100 - RAMP_START_PERCENT) * back_ms / RAMP_MS;
     return MAX(1, (uint32_t)(host->slots * percent / 100));
 }
 
 static bool
-host_below_bounds(const struct dispatch *dispatch, const struct host *host)
+host_below_limits(const struct dispatch *dispatch, const struct host *host)
 {
     uint32_t connections = host->connections / live_gateways(dispatch);
     return host->outstanding < host_limit(dispatch, host) &&
@@ -67,11 +73,11 @@
 }
 
 static bool
-host_has_room(const struct dispatch *dispatch, const struct host *host)
+host_has_capacity(const struct dispatch *dispatch, const struct host *host)
 {
-    double load = host->outstanding + host_others(dispatch, host);
-    return host_below_bounds(dispatch, host) &&
-           load + ROOM_SLOTS <= host_limit(dispatch, host);
+    double load = host->outstanding + host_other_attempts(dispatch, host);
+    return host_below_limits(dispatch, host) &&
+           load + FREE_SLOTS_MIN <= host_limit(dispatch, host);
 }
 
 static void
@@ -127,7 +133,7 @@
 }
 
 static void
-host_count(struct host *host, bool counted)
+host_set_counted(struct host *host, bool counted)
 {
     if (host->counted == counted) {
         return;
@@ -150,11 +156,11 @@
         return;
     }
     bool routed = host_usable(host) && host->outlier.state != OUTLIER_EJECTED;
-    host_count(host, routed);
+    host_set_counted(host, routed);
     if (!routed) {
         host_close(host);
     }
-    else if (host_has_room(dispatch, host)) {
+    else if (host_has_capacity(dispatch, host)) {
         host_open(host);
     }
     else if (!host->full) {
@@ -165,7 +171,7 @@
 }
 
 static void
-look_at_full_hosts(struct dispatch *dispatch, struct pool *pool)
+recheck_full_hosts(struct dispatch *dispatch, struct pool *pool)
 {
     for (int i = 0; i < FULL_HOSTS_PER_CHOICE; i++) {
         struct host *host = g_queue_peek_head(&pool->full_hosts);
@@ -178,7 +184,8 @@
     }
 }
 
-/* A random host; at most as many as the task avoids are passed over. */
+/* A random host that the task does not avoid. The task avoids at most
+ * n_failed + 1 hosts, so n_failed + 2 are enough to look at. */
 static struct host *
 pick_any(struct dispatch *dispatch, const GPtrArray *hosts,
          const struct task *task)
@@ -197,14 +204,15 @@
     return NULL;
 }
 
-/* What peers report may have filled a host since it was found open. */
+/* Checks the picked host again: reports of peers may have filled it since it
+ * was put among the open hosts. */
 static struct host *
 pick(struct dispatch *dispatch, const GPtrArray *hosts,
      const struct task *task)
 {
-    for (int i = 0; i < PICKS; i++) {
+    for (int i = 0; i < PICKS_MAX; i++) {
         struct host *host = pick_any(dispatch, hosts, task);
-        if (host == NULL || host_has_room(dispatch, host)) {
+        if (host == NULL || host_has_capacity(dispatch, host)) {
             return host;
         }
         host_update(dispatch, host);
@@ -212,11 +220,11 @@
     return NULL;
 }
 
-/* Load in LOAD_STEPS parts of what the host takes. */
+/* Load in units of 1 / LOAD_STEPS of the host's limit. */
 static uint32_t
 host_load(const struct dispatch *dispatch, const struct host *host)
 {
-    double load = host->outstanding + host_others(dispatch, host);
+    double load = host->outstanding + host_other_attempts(dispatch, host);
     return (uint32_t)(load * LOAD_STEPS / host_limit(dispatch, host));
 }
 
@@ -227,8 +235,8 @@
 }
 
 static bool
-better(const struct dispatch *dispatch, const struct host *a,
-       const struct host *b)
+prefer_host(const struct dispatch *dispatch, const struct host *a,
+            const struct host *b)
 {
     if (host_suspect(a) != host_suspect(b)) {
         return host_suspect(b);
@@ -247,7 +255,7 @@
     return false;
 }
 
-/* A host that looks full but may have room by now. */
+/* A host that seems full but may have a free slot by now, or NULL. */
 static struct host *
 probe_full(struct dispatch *dispatch, struct pool *pool,
            const struct task *task)
@@ -263,7 +271,7 @@
         struct host *host = g_queue_peek_head(&pool->full_hosts);
         g_queue_unlink(&pool->full_hosts, &host->full_link);
         g_queue_push_tail_link(&pool->full_hosts, &host->full_link);
-        if (host_below_bounds(dispatch, host) && !task_avoids(task, host) &&
+        if (host_below_limits(dispatch, host) && !task_avoids(task, host) &&
             dispatch->now_ms - host->refused_ms >= REFUSED_PAUSE_MS) {
             pool->probed_ms = dispatch->now_ms;
             return host;
@@ -276,7 +284,7 @@
 host_choose(struct dispatch *dispatch, struct pool *pool,
             const struct task *task, bool *probe)
 {
-    look_at_full_hosts(dispatch, pool);
+    recheck_full_hosts(dispatch, pool);
     struct host *first = pick(dispatch, pool->open_local, task);
     struct host *second = pick(dispatch, pool->open_hosts, task);
     *probe = false;
@@ -287,7 +295,7 @@
         *probe = true;
         return probe_full(dispatch, pool, task);
     }
-    if (second != NULL && better(dispatch, second, first)) {
+    if (second != NULL && prefer_host(dispatch, second, first)) {
         return second;
     }
     return first;
@@ -308,12 +316,12 @@
 dispatch_host_load(struct dispatch *dispatch, const char *name,
                    uint32_t running, int64_t now_ms)
 {
-    dispatch_at(dispatch, now_ms);
+    dispatch_advance_clock(dispatch, now_ms);
     struct host *host = g_hash_table_lookup(dispatch->hosts, name);
     if (host == NULL) {
         return;
     }
-    /* The attempt whose answer this is does not run any more. */
+    /* The attempt whose answer carried the report has ended. */
     uint32_t own = host->outstanding > 0 ? host->outstanding - 1 : 0;
     host->reported_others = running - MIN(running, own);
     host->reported_ms = dispatch->now_ms;
