--- a/egretd/claims.c
+++ b/egretd/claims.c
@@ -121,16 +121,16 @@
 }
 
 static void
-on_reported(void *ctx, const char *team, const char *id, const char *peer,
-            const struct id_query_reply *report)
+on_reply(void *ctx, const char *team, const char *id, const char *peer,
+         const struct id_query_reply *reply)
 {
     struct claims *claims = ctx;
     struct request_decision decision;
-    request_ids_query_answered(claims->ids, team, id, peer, report,
+    request_ids_query_answered(claims->ids, team, id, peer, reply,
                                now_ms(claims), &decision);
     log_line(LOG_LEVEL_INFO, "id-told",
              "team=%s request=%s peer=%s knowledge=%d verdict=%d", team, id,
-             peer, report->result, decision.verdict);
+             peer, reply->result, decision.verdict);
     carry_out(claims, team, id, &decision, NULL);
 }
 
@@ -234,9 +234,9 @@
 claims_answer_query(struct claims *claims, const char *team, const char *id,
                     const char *querier)
 {
-    struct id_query_reply report;
-    request_ids_query(claims->ids, team, id, querier, now_ms(claims), &report);
-    return id_report_format(&report);
+    struct id_query_reply reply;
+    request_ids_query(claims->ids, team, id, querier, now_ms(claims), &reply);
+    return id_query_reply_format(&reply);
 }
 
 void
@@ -269,7 +269,7 @@
     claims->querier = id_querier_create(&(struct id_querier_options){
         .secret = options->secret,
         .timeout_ms = options->timeout_ms,
-        .reported = on_reported,
+        .replied = on_reply,
         .ctx = claims,
     });
     return claims;
--- a/egretd/id_querier.c
+++ b/egretd/id_querier.c
@@ -33,19 +33,19 @@
 }
 
 char *
-id_report_format(const struct id_query_reply *report)
+id_query_reply_format(const struct id_query_reply *reply)
 {
     JsonBuilder *builder = json_builder_new();
     json_builder_begin_object(builder);
     json_builder_set_member_name(builder, "knowledge");
-    json_builder_add_int_value(builder, report->result);
+    json_builder_add_int_value(builder, reply->result);
     json_builder_set_member_name(builder, "outcome");
-    json_builder_add_int_value(builder, report->outcome);
+    json_builder_add_int_value(builder, reply->outcome);
     json_builder_set_member_name(builder, "reason");
-    json_builder_add_int_value(builder, report->reason);
-    if (report->answer != NULL) {
+    json_builder_add_int_value(builder, reply->reason);
+    if (reply->answer != NULL) {
         gsize size_bytes;
-        const guchar *data = g_bytes_get_data(report->answer, &size_bytes);
+        const guchar *data = g_bytes_get_data(reply->answer, &size_bytes);
         char *text = g_base64_encode(data, size_bytes);
         json_builder_set_member_name(builder, "answer");
         json_builder_add_string_value(builder, text);
@@ -53,8 +53,8 @@
     }
     json_builder_set_member_name(builder, "earlier");
     json_builder_begin_array(builder);
-    for (size_t i = 0; i < report->n_earlier_owners; i++) {
-        json_builder_add_string_value(builder, report->earlier_owners[i]);
+    for (size_t i = 0; i < reply->n_earlier_owners; i++) {
+        json_builder_add_string_value(builder, reply->earlier_owners[i]);
     }
     json_builder_end_array(builder);
     json_builder_end_object(builder);
@@ -70,7 +70,7 @@
 }
 
 static void
-read_earlier(JsonObject *object, struct id_query_reply *report)
+read_earlier_owners(JsonObject *object, struct id_query_reply *reply)
 {
     JsonNode *node = json_object_get_member(object, "earlier");
     if (node == NULL || !JSON_NODE_HOLDS_ARRAY(node)) {
@@ -82,42 +82,42 @@
     for (guint i = 0; i < n; i++) {
         const char *name = json_array_get_string_element(names, i);
         if (name != NULL) {
-            report->earlier_owners[report->n_earlier_owners++] = name;
+            reply->earlier_owners[reply->n_earlier_owners++] = name;
         }
     }
 }
 
 static bool
-read_report(JsonObject *object, struct id_query_reply *report)
+read_reply(JsonObject *object, struct id_query_reply *reply)
 {
-    int64_t knowledge = read_int(object, "knowledge", ID_QUERY_OWNER_GONE);
+    int64_t result = read_int(object, "knowledge", ID_QUERY_OWNER_GONE);
     int64_t outcome = read_int(object, "outcome", OUTCOME_UNKNOWN);
     int64_t reason = read_int(object, "reason", REASON_COUNT - 1);
-    if (knowledge < 0 || outcome < 0 || reason < 0) {
+    if (result < 0 || outcome < 0 || reason < 0) {
         return false;
     }
-    report->result = (enum id_query_result)knowledge;
-    report->outcome = (enum outcome)outcome;
-    report->reason = (enum reason)reason;
+    reply->result = (enum id_query_result)result;
+    reply->outcome = (enum outcome)outcome;
+    reply->reason = (enum reason)reason;
     const char *text =
         json_object_get_string_member_with_default(object, "answer", NULL);
     if (text != NULL) {
         gsize size_bytes;
         guchar *data = g_base64_decode(text, &size_bytes);
-        report->answer = g_bytes_new_take(data, size_bytes);
+        reply->answer = g_bytes_new_take(data, size_bytes);
     }
-    read_earlier(object, report);
+    read_earlier_owners(object, reply);
     return true;
 }
 
 static void
-finish_call(struct call *call, const struct id_query_reply *report)
+finish_call(struct call *call, const struct id_query_reply *reply)
 {
     struct id_querier *querier = call->querier;
     if (querier != NULL) {
         g_hash_table_remove(querier->calls, call);
-        querier->options.reported(querier->options.ctx, call->team, call->id,
-                                  call->peer, report);
+        querier->options.replied(querier->options.ctx, call->team, call->id,
+                                 call->peer, reply);
     }
     call_destroy(call);
 }
@@ -126,7 +126,7 @@
 on_answer(GObject *source, GAsyncResult *result, void *data)
 {
     struct call *call = data;
-    struct id_query_reply report = {.result = ID_QUERY_UNREACHABLE};
+    struct id_query_reply reply = {.result = ID_QUERY_UNREACHABLE};
     GBytes *body =
         soup_session_send_and_read_finish(SOUP_SESSION(source), result, NULL);
     JsonParser *parser = json_parser_new();
@@ -136,12 +136,12 @@
     if (text == NULL ||
         !json_parser_load_from_data(parser, text, (gssize)size_bytes, NULL) ||
         !JSON_NODE_HOLDS_OBJECT(json_parser_get_root(parser)) ||
-        !read_report(json_node_get_object(json_parser_get_root(parser)),
-                     &report)) {
-        report.result = ID_QUERY_UNREACHABLE;
+        !read_reply(json_node_get_object(json_parser_get_root(parser)),
+                    &reply)) {
+        reply.result = ID_QUERY_UNREACHABLE;
     }
-    finish_call(call, &report);
-    g_clear_pointer(&report.answer, g_bytes_unref);
+    finish_call(call, &reply);
+    g_clear_pointer(&reply.answer, g_bytes_unref);
     g_object_unref(parser);
     g_clear_pointer(&body, g_bytes_unref);
 }
--- a/egretd/registration.c
+++ b/egretd/registration.c
@@ -22,7 +22,7 @@
 {
     struct registration *registration = data;
     members_destroy(registration->members);
-    quorum_lease_destroy(registration->freshness);
+    quorum_lease_destroy(registration->quorum_lease);
     members_record_destroy(registration->stored.proposal);
     g_hash_table_unref(registration->reclaims_started);
     g_free(registration->stored.deleting_renewal);
@@ -72,7 +72,7 @@
     const struct registration_options *options = &registration->options;
     if (options->config_confirmed_ms(options->ctx) >=
         registration->config_confirm_after_ms) {
-        quorum_lease_renewed(registration->freshness,
+        quorum_lease_renewed(registration->quorum_lease,
                              registration->renewal.renewed_ms);
     }
 }
@@ -88,7 +88,7 @@
 report_lease(struct registration *registration)
 {
     apply_renewal(registration);
-    int64_t until_ms = quorum_lease_expires_ms(registration->freshness);
+    int64_t until_ms = quorum_lease_expires_ms(registration->quorum_lease);
     if (until_ms != registration->lease_until_ms) {
         registration->lease_until_ms = until_ms;
         registration->options.listener.lease_changed(
@@ -99,7 +99,7 @@
 void
 registration_fence(struct registration *registration)
 {
-    quorum_lease_fence(registration->freshness);
+    quorum_lease_fence(registration->quorum_lease);
     report_lease(registration);
     if (!registration->fenced_reported && !registration->leaving) {
         registration->fenced_reported = true;
@@ -145,7 +145,7 @@
             voters[n_voters++] = record->entries[i].incarnation;
         }
     }
-    quorum_lease_set_voters(registration->freshness, voters, n_voters);
+    quorum_lease_set_voters(registration->quorum_lease, voters, n_voters);
     g_free(voters);
 }
 
@@ -155,7 +155,7 @@
     int64_t now_ms = registration_now(registration);
     uint64_t number = ++registration->heartbeat_number;
     registration->heartbeat_sent_ms[number % HEARTBEATS_REMEMBERED] = now_ms;
-    quorum_lease_granted(registration->freshness, registration->incarnation,
+    quorum_lease_granted(registration->quorum_lease, registration->incarnation,
                          now_ms);
     return (struct message){
         .type = MESSAGE_BEAT,
@@ -351,7 +351,7 @@
                    registration->options.generation(registration->options.ctx);
     if (heartbeat->supports && recent && current) {
         quorum_lease_granted(
-            registration->freshness, peer,
+            registration->quorum_lease, peer,
             registration->heartbeat_sent_ms[heartbeat->number %
                                             HEARTBEATS_REMEMBERED]);
     }
@@ -445,7 +445,7 @@
     registration->renewal.renewed_ms = INT64_MIN;
     registration->last_tick_ms = registration_now(registration);
     registration->members = create_members(options);
-    registration->freshness = quorum_lease_create(
+    registration->quorum_lease = quorum_lease_create(
         options->incarnation, options->settings->support_ms);
     registration->reclaims_started =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
--- a/egretd/registration_internal.h
+++ b/egretd/registration_internal.h
@@ -81,7 +81,7 @@
     char *incarnation;
     bool closed;
     struct members *members;
-    struct quorum_lease *freshness;
+    struct quorum_lease *quorum_lease;
     struct stored_members stored;
     struct registration_renewal renewal;
     struct store_watch *watch;
--- a/include/egretd/id_querier.h
+++ b/include/egretd/id_querier.h
@@ -24,13 +24,13 @@
 /**
  * struct id_querier_options - how to send queries
  * @timeout_ms: deadline of one query
- * @reported: called once for each query, after id_querier_send() returned
+ * @replied: called once for each query, after id_querier_send() returned
  */
 struct id_querier_options {
     const char *secret;
     int64_t timeout_ms;
-    void (*reported)(void *ctx, const char *team, const char *id,
-                     const char *peer, const struct id_query_reply *report);
+    void (*replied)(void *ctx, const char *team, const char *id,
+                    const char *peer, const struct id_query_reply *reply);
     void *ctx;
 };
 
@@ -46,9 +46,9 @@
 void
 id_querier_send(struct id_querier *querier, const struct id_query *query);
 
-/** id_report_format() - @report as the JSON answer to a query; free it with
- * g_free(). */
+/** id_query_reply_format() - @reply as the JSON answer to a query; free it
+ * with g_free(). */
 char *
-id_report_format(const struct id_query_reply *report);
+id_query_reply_format(const struct id_query_reply *reply);
 
 #endif
--- a/include/egretd/registration.h
+++ b/include/egretd/registration.h
@@ -16,7 +16,7 @@
 
 /**
  * struct gateway_member - a registered gateway, as in the members record
- * @live: neither fenced nor declared gone by an operator
+ * @live: neither fenced nor declared dead by an operator
  */
 struct gateway_member {
     char *incarnation;
