--- a/core/members.c
+++ b/core/members.c
@@ -1,49 +1,53 @@
+/* Membership of the gateways: registration, fencing, removal. */
 #include "core/members.h"
 
 #include <glib.h>
 #include <string.h>
 
 enum {
-    /* Part of a wait that is added for clocks of unequal rate. */
+    /* A wait is extended by 1 / CLOCK_MARGIN_DIVISOR, since the clocks of
+     * hosts may run at different rates. */
     CLOCK_MARGIN_DIVISOR = 64,
     NEVER_MS = -1,
 };
 
 /**
- * struct peer_view - what is known of one incarnation
- * @acked_epoch: newest epoch it said it knows
- * @heard_ms: when it was last heard, or first stood in the record
- * @beat_version: of its renewal record, when last read
- * @beat_first_ms: when that version was first read
- * @beat_last_ms: when it was last read
- * @beat_lease_ms: longest lease named in it
- * @fenced_ms: when it was first known to be fenced
- * @beat_cleared: its renewal record was gone after that
- * @settled_ms: when fencing was acknowledged and the renewal record gone
+ * struct peer_state - what is known of one incarnation
+ * @acked_epoch: newest epoch that it acknowledged
+ * @last_seen_ms: time of its last message, or of its first appearance in the
+ *                members record
+ * @renewal_version: version of its renewal record when last read
+ * @renewal_first_read_ms: when that version was first read
+ * @renewal_last_read_ms: when that version was last read
+ * @renewal_lease_ms: longest lease named in its renewal records
+ * @fenced_ms: when this gateway first knew that it is fenced
+ * @renewal_gone: its renewal record was found absent after @fenced_ms
+ * @fencing_confirmed_ms: when a majority had acknowledged the fencing and the
+ *                        renewal record was gone
  * @ended: its process is known to have ended
  * @reclaimed: no permits are left in its name
  */
-struct peer_view {
+struct peer_state {
     uint64_t acked_epoch;
-    int64_t heard_ms;
-    uint64_t beat_version;
-    int64_t beat_first_ms;
-    int64_t beat_last_ms;
-    int64_t beat_lease_ms;
+    int64_t last_seen_ms;
+    uint64_t renewal_version;
+    int64_t renewal_first_read_ms;
+    int64_t renewal_last_read_ms;
+    int64_t renewal_lease_ms;
     int64_t fenced_ms;
-    int64_t settled_ms;
-    bool beat_cleared;
+    int64_t fencing_confirmed_ms;
+    bool renewal_gone;
     bool ended;
     bool reclaimed;
 };
 
 struct members {
     struct members_entry self;
-    int64_t support_ms;
-    int64_t silent_ms;
+    int64_t quorum_lease_ms;
+    int64_t fence_after_ms;
     struct members_record *record;
     struct members_record *proposal;
-    GHashTable *views;
+    GHashTable *peer_states;
     int64_t last_next_ms;
     bool was_live;
     bool leaving;
@@ -60,11 +64,11 @@
     members->self.address = g_strdup(options->self->address);
     members->self.dc = g_strdup(options->self->dc);
     members->self.state = MEMBERS_LIVE;
-    members->support_ms = options->quorum_lease_ms;
-    members->silent_ms = options->fence_after_ms;
+    members->quorum_lease_ms = options->quorum_lease_ms;
+    members->fence_after_ms = options->fence_after_ms;
     members->record = members_record_create(0);
     members->last_next_ms = NEVER_MS;
-    members->views =
+    members->peer_states =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     return members;
 }
@@ -77,7 +81,7 @@
     }
     members_record_destroy(members->record);
     members_record_destroy(members->proposal);
-    g_hash_table_unref(members->views);
+    g_hash_table_unref(members->peer_states);
     g_free(members->self.incarnation);
     g_free(members->self.name);
     g_free(members->self.address);
@@ -97,11 +101,11 @@
     return members->record;
 }
 
-/* View of an incarnation that the record names, or NULL. */
-static struct peer_view *
-view_of(const struct members *members, const char *incarnation)
+/* State of an incarnation that the record contains, or NULL. */
+static struct peer_state *
+peer_state_of(const struct members *members, const char *incarnation)
 {
-    return g_hash_table_lookup(members->views, incarnation);
+    return g_hash_table_lookup(members->peer_states, incarnation);
 }
 
 static bool
@@ -119,10 +123,10 @@
 static bool
 has_acked(const struct members *members, const struct members_entry *entry)
 {
-    const struct peer_view *view = view_of(members, entry->incarnation);
+    const struct peer_state *peer = peer_state_of(members, entry->incarnation);
     return entry->state == MEMBERS_DECLARED_DEAD ||
-           is_self(members, entry->incarnation) || view->ended ||
-           view->acked_epoch >= members->record->epoch;
+           is_self(members, entry->incarnation) || peer->ended ||
+           peer->acked_epoch >= members->record->epoch;
 }
 
 bool
@@ -143,36 +147,38 @@
     return n_votes == 0 || n_acked > n_votes / 2;
 }
 
-/* Notes fenced incarnations that can have no standing after support_ms. */
+/* Records the time for fenced incarnations that can hold no quorum lease once
+ * quorum_lease_ms have passed from now. */
 static void
-settle(struct members *members, int64_t now_ms)
+confirm_fencings(struct members *members, int64_t now_ms)
 {
     if (!members_committed(members)) {
         return;
     }
     for (size_t i = 0; i < members->record->n_entries; i++) {
         const struct members_entry *entry = &members->record->entries[i];
-        struct peer_view *view = view_of(members, entry->incarnation);
-        if (entry->state == MEMBERS_FENCED && view->beat_cleared &&
-            view->settled_ms == NEVER_MS) {
-            view->settled_ms = now_ms;
+        struct peer_state *peer = peer_state_of(members, entry->incarnation);
+        if (entry->state == MEMBERS_FENCED && peer->renewal_gone &&
+            peer->fencing_confirmed_ms == NEVER_MS) {
+            peer->fencing_confirmed_ms = now_ms;
         }
     }
 }
 
-static struct peer_view *
-view_create(int64_t now_ms)
+static struct peer_state *
+peer_state_create(int64_t now_ms)
 {
-    struct peer_view *view = g_new0(struct peer_view, 1);
-    view->heard_ms = now_ms;
-    view->beat_first_ms = now_ms;
-    view->beat_last_ms = now_ms;
-    view->fenced_ms = NEVER_MS;
-    view->settled_ms = NEVER_MS;
-    return view;
+    struct peer_state *peer = g_new0(struct peer_state, 1);
+    peer->last_seen_ms = now_ms;
+    peer->renewal_first_read_ms = now_ms;
+    peer->renewal_last_read_ms = now_ms;
+    peer->fenced_ms = NEVER_MS;
+    peer->fencing_confirmed_ms = NEVER_MS;
+    return peer;
 }
 
-/* Whether the process of @entry must have ended for this one to listen. */
+/* Whether this process listens on the address and port of @entry, so that the
+ * process of @entry must have ended. */
 static bool
 replaced_by_self(const struct members *members,
                  const struct members_entry *entry)
@@ -186,20 +192,20 @@
 follow_entry(struct members *members, const struct members_entry *entry,
              int64_t now_ms)
 {
-    struct peer_view *view = view_of(members, entry->incarnation);
-    if (view == NULL) {
-        view = view_create(now_ms);
-        view->ended = replaced_by_self(members, entry);
-        g_hash_table_insert(members->views, g_strdup(entry->incarnation),
-                            view);
+    struct peer_state *peer = peer_state_of(members, entry->incarnation);
+    if (peer == NULL) {
+        peer = peer_state_create(now_ms);
+        peer->ended = replaced_by_self(members, entry);
+        g_hash_table_insert(members->peer_states, g_strdup(entry->incarnation),
+                            peer);
     }
-    if (entry->state == MEMBERS_FENCED && view->fenced_ms == NEVER_MS) {
-        view->fenced_ms = now_ms;
+    if (entry->state == MEMBERS_FENCED && peer->fenced_ms == NEVER_MS) {
+        peer->fenced_ms = now_ms;
     }
 }
 
 static gboolean
-is_not_named(void *incarnation, void *view, void *record)
+is_not_in_record(void *incarnation, void *peer, void *record)
 {
     return members_record_find(record, incarnation) == NULL;
 }
@@ -213,63 +219,65 @@
     }
     members_record_destroy(members->record);
     members->record = members_record_copy(record);
-    g_hash_table_foreach_remove(members->views, is_not_named, members->record);
+    g_hash_table_foreach_remove(members->peer_states, is_not_in_record,
+                                members->record);
     for (size_t i = 0; i < record->n_entries; i++) {
         follow_entry(members, &record->entries[i], now_ms);
     }
     members->was_live = members->was_live || members_self_live(members);
-    settle(members, now_ms);
+    confirm_fencings(members, now_ms);
     return true;
 }
 
 void
-members_peer_seen(struct members *members, const char *peer, uint64_t epoch,
-                  int64_t now_ms)
+members_peer_seen(struct members *members, const char *incarnation,
+                  uint64_t epoch, int64_t now_ms)
 {
-    struct peer_view *view = view_of(members, peer);
-    if (view == NULL) {
+    struct peer_state *peer = peer_state_of(members, incarnation);
+    if (peer == NULL) {
         return;
     }
-    view->heard_ms = now_ms;
-    view->acked_epoch = MAX(view->acked_epoch, epoch);
-    settle(members, now_ms);
+    peer->last_seen_ms = now_ms;
+    peer->acked_epoch = MAX(peer->acked_epoch, epoch);
+    confirm_fencings(members, now_ms);
 }
 
 void
 members_process_ended(struct members *members, const char *incarnation,
                       int64_t now_ms)
 {
-    struct peer_view *view = view_of(members, incarnation);
-    if (view == NULL || is_self(members, incarnation)) {
+    struct peer_state *peer = peer_state_of(members, incarnation);
+    if (peer == NULL || is_self(members, incarnation)) {
         return;
     }
-    view->ended = true;
-    settle(members, now_ms);
+    peer->ended = true;
+    confirm_fencings(members, now_ms);
 }
 
 void
 members_renewal_read(struct members *members, const char *incarnation,
-                     uint64_t version, int64_t lease_ms, int64_t asked_ms,
+                     uint64_t version, int64_t lease_ms, int64_t sent_ms,
                      int64_t now_ms)
 {
-    struct peer_view *view = view_of(members, incarnation);
-    if (view == NULL) {
+    struct peer_state *peer = peer_state_of(members, incarnation);
+    if (peer == NULL) {
         return;
     }
     if (version == 0) {
-        /* Reads sent before the fencing was known may be older than it. */
-        view->beat_cleared =
-            view->beat_cleared ||
-            (view->fenced_ms != NEVER_MS && asked_ms >= view->fenced_ms);
-        settle(members, now_ms);
+        /* The result of a read that was sent before the fencing was known may
+         * be older than the fencing. */
+        peer->renewal_gone =
+            peer->renewal_gone ||
+            (peer->fenced_ms != NEVER_MS && sent_ms >= peer->fenced_ms);
+        confirm_fencings(members, now_ms);
         return;
     }
-    if (version != view->beat_version) {
-        view->beat_version = version;
-        view->beat_first_ms = now_ms;
+    if (version != peer->renewal_version) {
+        peer->renewal_version = version;
+        peer->renewal_first_read_ms = now_ms;
     }
-    view->beat_last_ms = now_ms;
-    view->beat_lease_ms = MAX(view->beat_lease_ms, lease_ms);
+    peer->renewal_last_read_ms = now_ms;
+    peer->renewal_lease_ms = MAX(peer->renewal_lease_ms, lease_ms);
 }
 
 bool
@@ -304,13 +312,14 @@
 }
 
 static bool
-is_silent(const struct members *members, const struct peer_view *view,
-          int64_t now_ms)
+is_unresponsive(const struct members *members, const struct peer_state *peer,
+                int64_t now_ms)
 {
-    int64_t unchanged_ms = view->beat_last_ms - view->beat_first_ms;
-    int64_t unheard_ms = now_ms - view->heard_ms;
-    return unchanged_ms >= members->silent_ms &&
-           unheard_ms >= members->silent_ms;
+    int64_t unchanged_ms =
+        peer->renewal_last_read_ms - peer->renewal_first_read_ms;
+    int64_t unseen_ms = now_ms - peer->last_seen_ms;
+    return unchanged_ms >= members->fence_after_ms &&
+           unseen_ms >= members->fence_after_ms;
 }
 
 bool
@@ -318,16 +327,17 @@
 {
     for (size_t i = 0; i < members->record->n_entries; i++) {
         const struct members_entry *entry = &members->record->entries[i];
-        const struct peer_view *view = view_of(members, entry->incarnation);
+        const struct peer_state *peer =
+            peer_state_of(members, entry->incarnation);
         if (is_self(members, entry->incarnation)) {
             continue;
         }
         if (entry->state == MEMBERS_FENCED) {
-            if (!view->beat_cleared) {
+            if (!peer->renewal_gone) {
                 return true;
             }
         }
-        else if (now_ms - view->heard_ms >= members->support_ms) {
+        else if (now_ms - peer->last_seen_ms >= members->quorum_lease_ms) {
             return true;
         }
     }
@@ -363,9 +373,9 @@
 {
     struct members_record *proposal = members_record_copy(members->record);
     struct members_entry *entry = members_record_find(proposal, incarnation);
-    const struct peer_view *view = view_of(members, incarnation);
+    const struct peer_state *peer = peer_state_of(members, incarnation);
     entry->state = MEMBERS_FENCED;
-    entry->lease_ms = MAX(entry->lease_ms, view->beat_lease_ms);
+    entry->lease_ms = MAX(entry->lease_ms, peer->renewal_lease_ms);
     return propose(members, proposal, reason, incarnation, action);
 }
 
@@ -379,33 +389,35 @@
 }
 
 static bool
-clear_beat(const struct members *members, const struct members_entry *entry,
-           struct members_action *action)
+delete_renewal(const struct members *members,
+               const struct members_entry *entry,
+               struct members_action *action)
 {
-    const struct peer_view *view = view_of(members, entry->incarnation);
-    if (entry->state != MEMBERS_FENCED || view->beat_cleared ||
-        view->beat_version == 0) {
+    const struct peer_state *peer = peer_state_of(members, entry->incarnation);
+    if (entry->state != MEMBERS_FENCED || peer->renewal_gone ||
+        peer->renewal_version == 0) {
         return false;
     }
     *action = (struct members_action){
         .step = MEMBERS_DELETE_RENEWAL,
         .reason = "clear",
         .incarnation = entry->incarnation,
-        .version = view->beat_version,
+        .version = peer->renewal_version,
     };
     return true;
 }
 
 static bool
-change_entry(struct members *members, const struct members_entry *entry,
-             int64_t now_ms, struct members_action *action)
+propose_entry_change(struct members *members,
+                     const struct members_entry *entry, int64_t now_ms,
+                     struct members_action *action)
 {
-    const struct peer_view *view = view_of(members, entry->incarnation);
+    const struct peer_state *peer = peer_state_of(members, entry->incarnation);
     if (is_self(members, entry->incarnation)) {
         return false;
     }
     if (entry->state == MEMBERS_FENCED) {
-        if (!view->reclaimed) {
+        if (!peer->reclaimed) {
             return false;
         }
         struct members_record *proposal = members_record_copy(members->record);
@@ -413,41 +425,42 @@
         return propose(members, proposal, "remove", entry->incarnation,
                        action);
     }
-    if (entry->state == MEMBERS_DECLARED_DEAD || view->ended ||
-        is_silent(members, view, now_ms)) {
+    if (entry->state == MEMBERS_DECLARED_DEAD || peer->ended ||
+        is_unresponsive(members, peer, now_ms)) {
         return propose_fence(members, entry->incarnation, "fence", action);
     }
     return false;
 }
 
-/* A process that was stopped for a while has not observed any silence. */
+/* After a pause of this process (stopped or suspended), the time in which no
+ * peer was seen must not count against the peers. */
 static void
-forgive_pause(struct members *members, int64_t now_ms)
+reset_after_pause(struct members *members, int64_t now_ms)
 {
     int64_t gap_ms =
         members->last_next_ms == NEVER_MS ? 0 : now_ms - members->last_next_ms;
     members->last_next_ms = now_ms;
-    if (gap_ms < members->silent_ms / 2) {
+    if (gap_ms < members->fence_after_ms / 2) {
         return;
     }
     GHashTableIter iter;
     void *item;
-    g_hash_table_iter_init(&iter, members->views);
+    g_hash_table_iter_init(&iter, members->peer_states);
     while (g_hash_table_iter_next(&iter, NULL, &item)) {
-        struct peer_view *view = item;
-        view->heard_ms = now_ms;
-        view->beat_first_ms = now_ms;
-        view->beat_last_ms = now_ms;
+        struct peer_state *peer = item;
+        peer->last_seen_ms = now_ms;
+        peer->renewal_first_read_ms = now_ms;
+        peer->renewal_last_read_ms = now_ms;
     }
 }
 
 static bool
-next_change(struct members *members, int64_t now_ms,
-            struct members_action *action)
+propose_next_change(struct members *members, int64_t now_ms,
+                    struct members_action *action)
 {
     for (size_t i = 0; i < members->record->n_entries; i++) {
-        if (change_entry(members, &members->record->entries[i], now_ms,
-                         action)) {
+        if (propose_entry_change(members, &members->record->entries[i], now_ms,
+                                 action)) {
             return true;
         }
     }
@@ -458,12 +471,12 @@
 members_next(struct members *members, int64_t now_ms,
              struct members_action *action)
 {
-    forgive_pause(members, now_ms);
+    reset_after_pause(members, now_ms);
     if (members_self_fenced(members)) {
         return false;
     }
     for (size_t i = 0; i < members->record->n_entries; i++) {
-        if (clear_beat(members, &members->record->entries[i], action)) {
+        if (delete_renewal(members, &members->record->entries[i], action)) {
             return true;
         }
     }
@@ -477,7 +490,7 @@
         return propose_fence(members, members->self.incarnation, "leave",
                              action);
     }
-    return next_change(members, now_ms, action);
+    return propose_next_change(members, now_ms, action);
 }
 
 bool
@@ -489,23 +502,24 @@
     if (entry == NULL || entry->state != MEMBERS_FENCED) {
         return false;
     }
-    const struct peer_view *view = view_of(members, incarnation);
-    if (view->settled_ms == NEVER_MS) {
+    const struct peer_state *peer = peer_state_of(members, incarnation);
+    if (peer->fencing_confirmed_ms == NEVER_MS) {
         return false;
     }
     if ((members->faults & MEMBERS_FAULT_NO_WAIT) != 0) {
         return true;
     }
-    int64_t wait_ms = members->support_ms + MAX(lease_ms, entry->lease_ms);
+    int64_t wait_ms =
+        members->quorum_lease_ms + MAX(lease_ms, entry->lease_ms);
     wait_ms += wait_ms / CLOCK_MARGIN_DIVISOR;
-    return now_ms - view->settled_ms >= wait_ms;
+    return now_ms - peer->fencing_confirmed_ms >= wait_ms;
 }
 
 void
 members_reclaimed(struct members *members, const char *incarnation)
 {
-    struct peer_view *view = view_of(members, incarnation);
-    if (view != NULL) {
-        view->reclaimed = true;
+    struct peer_state *peer = peer_state_of(members, incarnation);
+    if (peer != NULL) {
+        peer->reclaimed = true;
     }
 }
--- a/core/members_record.c
+++ b/core/members_record.c
@@ -1,3 +1,4 @@
+/* The members record: a list of entries sorted by incarnation. */
 #include "core/members.h"
 
 #include <glib.h>
--- a/core/quorum_lease.c
+++ b/core/quorum_lease.c
@@ -1,18 +1,20 @@
+/* Computes how long a gateway may start work. */
 #include "core/quorum_lease.h"
 
 #include <glib.h>
 #include <stdlib.h>
 #include <string.h>
 
-/** struct voter - a registered incarnation and its last support */
+/** struct voter - a registered incarnation, and when the last heartbeat was
+ * sent that it answered with a grant */
 struct voter {
     char *incarnation;
-    int64_t asked_ms;
+    int64_t sent_ms;
 };
 
 struct quorum_lease {
     char *self;
-    int64_t support_ms;
+    int64_t duration_ms;
     struct voter *voters;
     size_t n_voters;
     int64_t renewed_ms;
@@ -20,11 +22,11 @@
 };
 
 struct quorum_lease *
-quorum_lease_create(const char *self, int64_t support_ms)
+quorum_lease_create(const char *self, int64_t duration_ms)
 {
     struct quorum_lease *lease = g_new0(struct quorum_lease, 1);
     lease->self = g_strdup(self);
-    lease->support_ms = support_ms;
+    lease->duration_ms = duration_ms;
     lease->renewed_ms = INT64_MIN;
     return lease;
 }
@@ -64,30 +66,30 @@
 quorum_lease_set_voters(struct quorum_lease *lease, const char *const *voters,
                         size_t n_voters)
 {
-    struct voter *kept = g_new0(struct voter, n_voters);
+    struct voter *updated = g_new0(struct voter, n_voters);
     for (size_t i = 0; i < n_voters; i++) {
-        const struct voter *known = find_voter(lease, voters[i]);
-        kept[i].incarnation = g_strdup(voters[i]);
-        kept[i].asked_ms = known == NULL ? INT64_MIN : known->asked_ms;
+        const struct voter *previous = find_voter(lease, voters[i]);
+        updated[i].incarnation = g_strdup(voters[i]);
+        updated[i].sent_ms = previous == NULL ? INT64_MIN : previous->sent_ms;
     }
     free_voters(lease->voters, lease->n_voters);
-    lease->voters = kept;
+    lease->voters = updated;
     lease->n_voters = n_voters;
 }
 
 void
-quorum_lease_renewed(struct quorum_lease *lease, int64_t asked_ms)
+quorum_lease_renewed(struct quorum_lease *lease, int64_t sent_ms)
 {
-    lease->renewed_ms = MAX(lease->renewed_ms, asked_ms);
+    lease->renewed_ms = MAX(lease->renewed_ms, sent_ms);
 }
 
 void
 quorum_lease_granted(struct quorum_lease *lease, const char *peer,
-                     int64_t asked_ms)
+                     int64_t sent_ms)
 {
     struct voter *voter = find_voter(lease, peer);
     if (voter != NULL) {
-        voter->asked_ms = MAX(voter->asked_ms, asked_ms);
+        voter->sent_ms = MAX(voter->sent_ms, sent_ms);
     }
 }
 
@@ -105,17 +107,18 @@
     return (left < right) - (left > right);
 }
 
-/* Time since which a majority of the voters supports this incarnation. */
+/* Latest time such that a majority of the voters granted the lease for a
+ * heartbeat sent then or later. */
 static int64_t
-majority_asked_ms(const struct quorum_lease *lease)
+majority_sent_ms(const struct quorum_lease *lease)
 {
-    int64_t *asked_ms = g_new(int64_t, lease->n_voters);
+    int64_t *sent_ms = g_new(int64_t, lease->n_voters);
     for (size_t i = 0; i < lease->n_voters; i++) {
-        asked_ms[i] = lease->voters[i].asked_ms;
+        sent_ms[i] = lease->voters[i].sent_ms;
     }
-    qsort(asked_ms, lease->n_voters, sizeof(*asked_ms), compare_latest_first);
-    int64_t oldest_ms = asked_ms[lease->n_voters / 2];
-    g_free(asked_ms);
+    qsort(sent_ms, lease->n_voters, sizeof(*sent_ms), compare_latest_first);
+    int64_t oldest_ms = sent_ms[lease->n_voters / 2];
+    g_free(sent_ms);
     return oldest_ms;
 }
 
@@ -125,6 +128,6 @@
     if (lease->fenced || find_voter(lease, lease->self) == NULL) {
         return INT64_MIN;
     }
-    int64_t asked_ms = MAX(lease->renewed_ms, majority_asked_ms(lease));
-    return asked_ms == INT64_MIN ? INT64_MIN : asked_ms + lease->support_ms;
+    int64_t sent_ms = MAX(lease->renewed_ms, majority_sent_ms(lease));
+    return sent_ms == INT64_MIN ? INT64_MIN : sent_ms + lease->duration_ms;
 }
--- a/include/core/members.h
+++ b/include/core/members.h
@@ -1,4 +1,5 @@
-/* The members record: who is registered, who is fenced, what may change. */
+/* The members record: which gateways are registered or fenced, and which
+ * changes of the record are allowed. */
 #ifndef CORE_MEMBERS_H
 #define CORE_MEMBERS_H
 
@@ -7,12 +8,13 @@
 #include <stdint.h>
 
 /**
- * enum members_state - what an entry of the record stands for
+ * enum members_state - state of an entry of the record
  * @MEMBERS_LIVE: registered; has a vote and may hold permits
- * @MEMBERS_FENCED: has no vote and no support; its permits may be reclaimed
- *                  once its last task has ended
- * @MEMBERS_DECLARED_DEAD: an operator vouches that the process has ended; it
- * still counts among the votes, as one that never supports anybody
+ * @MEMBERS_FENCED: has no vote and is granted no quorum lease; its permits may
+ *                  be reclaimed once its last task has ended
+ * @MEMBERS_DECLARED_DEAD: an operator declared that the process has ended; it
+ *                         still counts among the votes, as one that grants
+ *                         no lease
  */
 enum members_state {
     MEMBERS_LIVE,
@@ -22,7 +24,8 @@
 
 /**
  * struct members_entry - one registered gateway
- * @lease_ms: longest lease it can have handed out; set when it is fenced
+ * @lease_ms: longest lease that it can have given to an attempt; set when it
+ *            is fenced
  */
 struct members_entry {
     char *incarnation;
@@ -37,7 +40,7 @@
 
 /**
  * struct members_record - the record as stored
- * @epoch: 0 while there is no record; rises by one with every change
+ * @epoch: 0 while there is no record; incremented with every change
  * @entries: sorted by incarnation
  */
 struct members_record {
@@ -63,25 +66,26 @@
 members_record_add(struct members_record *record,
                    const struct members_entry *entry);
 
-/** members_record_remove() - drop an entry, if it is there. */
+/** members_record_remove() - remove the entry of @incarnation, if any. */
 void
 members_record_remove(struct members_record *record, const char *incarnation);
 
 /**
- * struct members - one gateway's knowledge of the record
+ * struct members - the record as known to one gateway
  *
- * A change of the record takes at most one vote in or out, and is proposed
- * only when a majority of the votes of the present epoch has acknowledged
- * that epoch. Who has acknowledged an epoch supports nobody that knows only
- * an older one. So any majority by which an incarnation could keep standing
- * shares a voter with the majority that acknowledged its fencing.
+ * A change of the record adds or removes at most one vote, and is proposed
+ * only when a majority of the votes of the current epoch has acknowledged
+ * that epoch. A voter that has acknowledged an epoch grants no lease to an
+ * incarnation that knows only an older epoch. So any majority that could
+ * grant a quorum lease to a fenced incarnation shares a voter with the
+ * majority that acknowledged its fencing, and that voter refuses.
  */
 struct members;
 
 /**
  * struct members_options - how to create one
  * @self: entry to register
- * @quorum_lease_ms: support period
+ * @quorum_lease_ms: duration of a quorum lease
  * @fence_after_ms: how long an incarnation neither renews nor is heard before
  * it is fenced
  */
@@ -96,8 +100,8 @@
 void
 members_destroy(struct members *members);
 
-/** members_update() - a record from the store or a peer; older ones are
- * ignored. Returns whether it is newer than what was known. */
+/** members_update() - apply a record from the store or a peer. Returns whether
+ * it is newer than the known one; otherwise it is ignored. */
 bool
 members_update(struct members *members, const struct members_record *record,
                int64_t now_ms);
@@ -106,10 +110,10 @@
 const struct members_record *
 members_current(const struct members *members);
 
-/** members_peer_seen() - @peer said that it knows @epoch. */
+/** members_peer_seen() - a message of @incarnation acknowledged @epoch. */
 void
-members_peer_seen(struct members *members, const char *peer, uint64_t epoch,
-                  int64_t now_ms);
+members_peer_seen(struct members *members, const char *incarnation,
+                  uint64_t epoch, int64_t now_ms);
 
 /** members_process_ended() - proof that the process of @incarnation has ended.
  */
@@ -118,14 +122,15 @@
                       int64_t now_ms);
 
 /**
- * members_renewal_read() - the store's renewal record of @incarnation
+ * members_renewal_read() - the renewal record of @incarnation was read from
+ * the store, or deleted there
  * @version: its version, 0 when there is none
- * @lease_ms: longest lease it names
- * @asked_ms: when the read or the delete was sent
+ * @lease_ms: longest lease that the record names
+ * @sent_ms: when the read or the delete was sent
  */
 void
 members_renewal_read(struct members *members, const char *incarnation,
-                     uint64_t version, int64_t lease_ms, int64_t asked_ms,
+                     uint64_t version, int64_t lease_ms, int64_t sent_ms,
                      int64_t now_ms);
 
 /** members_self_live() - whether this incarnation is registered and not
@@ -137,13 +142,14 @@
 bool
 members_self_fenced(const struct members *members);
 
-/** members_grants_lease() - whether a beat of @peer that knows @epoch is
- * answered with support. */
+/** members_grants_lease() - whether a heartbeat of @peer that knows @epoch is
+ * answered with a lease grant. */
 bool
 members_grants_lease(const struct members *members, const char *peer,
                      uint64_t epoch);
 
-/** members_committed() - whether a majority acknowledged this epoch. */
+/** members_committed() - whether a majority of the votes acknowledged the
+ * current epoch. */
 bool
 members_committed(const struct members *members);
 
@@ -152,12 +158,12 @@
 bool
 members_renewal_reads_due(const struct members *members, int64_t now_ms);
 
-/** members_leave() - propose to take this incarnation out. */
+/** members_leave() - from now on propose to fence this incarnation. */
 void
 members_leave(struct members *members);
 
 /**
- * enum members_write - next write
+ * enum members_write - kind of write to the store
  * @MEMBERS_PROPOSE: CAS the record to @proposal, from the current epoch
  * @MEMBERS_DELETE_RENEWAL: delete the renewal record of @incarnation at
  * @version
@@ -201,7 +207,10 @@
 members_reclaimed(struct members *members, const char *incarnation);
 
 /**
- * enum members_fault - mechanisms that a test can switch off
+ * enum members_fault - safety mechanisms that a test can switch off
+ * @MEMBERS_FAULT_NO_WAIT: reclaim permits without waiting for leases to expire
+ * @MEMBERS_FAULT_ANY_EPOCH: grant leases whatever epoch the peer knows
+ * @MEMBERS_FAULT_NO_MAJORITY: take every epoch for committed
  */
 enum members_fault {
     MEMBERS_FAULT_NONE = 0,
@@ -210,7 +219,8 @@
     MEMBERS_FAULT_NO_MAJORITY = 1 << 2,
 };
 
-/** members_set_faults() - for tests only: run without some mechanisms. */
+/** members_set_faults() - for tests only: switch off the mechanisms in
+ * @faults, a bit mask of enum members_fault. */
 void
 members_set_faults(struct members *members, unsigned faults);
 
