--- a/soak/soak_main.c
+++ b/soak/soak_main.c
@@ -17,30 +17,30 @@
 
 enum {
     BACKENDS = 12,
-    LENGTH_MS = 10000,
+    RUN_MS = 10000,
     SLICE_MS = 50,
-    LASTING_JOBS = 4,
+    SERVICE_JOBS = 4,
 };
 
 static uint32_t seed;
 static int first_port;
-static const char *broken;
+static const char *violated_invariant;
 
 static void
 set_link(int entry, const char *faults)
 {
     char *body =
         g_strdup_printf("{\"routes\":\"store-%d\",%s}", entry, faults);
-    http_ask(fixture.base, fixture.proxy_admin, "POST", "/standin/faults",
-             NULL, body, NULL);
+    http_call_sync(fixture.base, fixture.proxy_admin, "POST",
+                   "/standin/faults", NULL, body, NULL);
     g_free(body);
 }
 
 static void
-switch_dark(int backend)
+toggle_reachable(int backend)
 {
     char *path = g_strdup_printf("/dark/%d", backend);
-    ask(fixture.admin, "POST", path);
+    send_request(fixture.admin, "POST", path);
     g_free(path);
 }
 
@@ -51,24 +51,24 @@
     int target = fault->target;
     switch (fault->kind) {
     case FAULT_KILL:
-        end_process(&fixture.entries[target], SIGKILL);
+        end_process(&fixture.entry_pids[target], SIGKILL);
         break;
     case FAULT_PAUSE:
-        kill(fixture.entries[target], SIGSTOP);
+        kill(fixture.entry_pids[target], SIGSTOP);
         break;
     case FAULT_LEAVE:
-        kill(fixture.entries[target], SIGTERM);
+        kill(fixture.entry_pids[target], SIGTERM);
         break;
     case FAULT_STORE_DOWN:
-        ask(fixture.admin, "POST", "/store/down");
+        send_request(fixture.admin, "POST", "/store/down");
         break;
-    case FAULT_STORE_SILENT:
-        ask(fixture.admin, "POST", "/store/silent");
+    case FAULT_STORE_UNRESPONSIVE:
+        send_request(fixture.admin, "POST", "/store/silent");
         break;
     case FAULT_LINK_REFUSED:
         set_link(target, "\"refuse\":true,\"cut\":true");
         break;
-    case FAULT_LINK_SILENT:
+    case FAULT_LINK_UNRESPONSIVE:
         set_link(target, "\"silence\":true");
         break;
     case FAULT_LINK_ONE_WAY:
@@ -80,12 +80,12 @@
     case FAULT_LINK_RESET:
         set_link(target, "\"kill\":\"any\",\"kill_permille\":200");
         break;
-    case FAULT_BACKEND_DARK:
-        switch_dark(target);
+    case FAULT_BACKEND_UNREACHABLE:
+        toggle_reachable(target);
         break;
     case FAULT_HOST_CRASH:
         g_snprintf(path, sizeof(path), "/crash/%d", target);
-        ask(fixture.admin, "POST", path);
+        send_request(fixture.admin, "POST", path);
         break;
     case FAULT_KINDS:
         break;
@@ -98,28 +98,28 @@
     int target = fault->target;
     switch (fault->kind) {
     case FAULT_KILL:
-        start_entry(target);
+        start_entry_host(target);
         break;
     case FAULT_PAUSE:
-        kill(fixture.entries[target], SIGCONT);
+        kill(fixture.entry_pids[target], SIGCONT);
         break;
     case FAULT_LEAVE:
-        waitpid(fixture.entries[target], NULL, 0);
-        start_entry(target);
+        waitpid(fixture.entry_pids[target], NULL, 0);
+        start_entry_host(target);
         break;
     case FAULT_STORE_DOWN:
-    case FAULT_STORE_SILENT:
-        ask(fixture.admin, "POST", "/store/up");
+    case FAULT_STORE_UNRESPONSIVE:
+        send_request(fixture.admin, "POST", "/store/up");
         break;
     case FAULT_LINK_REFUSED:
-    case FAULT_LINK_SILENT:
+    case FAULT_LINK_UNRESPONSIVE:
     case FAULT_LINK_ONE_WAY:
     case FAULT_LINK_SLOW:
     case FAULT_LINK_RESET:
         set_link(target, "\"clear\":true,\"cut\":true");
         break;
-    case FAULT_BACKEND_DARK:
-        switch_dark(target);
+    case FAULT_BACKEND_UNREACHABLE:
+        toggle_reachable(target);
         break;
     case FAULT_HOST_CRASH:
     case FAULT_KINDS:
@@ -129,14 +129,14 @@
 
 /* Plays the series; faults begin and end while callers go on. */
 static void
-play_series(const GArray *plan)
+run_plan(const GArray *plan)
 {
     bool *begun = g_new0(bool, plan->len + 1);
     bool *ended = g_new0(bool, plan->len + 1);
     guint n_ended = 0;
     int64_t start_ms = g_get_monotonic_time() / 1000;
     int64_t now_ms = 0;
-    while (now_ms < LENGTH_MS || n_ended < plan->len) {
+    while (now_ms < RUN_MS || n_ended < plan->len) {
         for (guint i = 0; i < plan->len; i++) {
             const struct soak_fault *fault =
                 &g_array_index(plan, struct soak_fault, i);
@@ -145,13 +145,13 @@
                 begin_fault(fault);
             }
             if (begun[i] && !ended[i] &&
-                now_ms >= fault->at_ms + fault->for_ms) {
+                now_ms >= fault->at_ms + fault->duration_ms) {
                 ended[i] = true;
                 n_ended++;
                 end_fault(fault);
             }
         }
-        play(SLICE_MS * 3, now_ms < LENGTH_MS);
+        run_for(SLICE_MS * 3, now_ms < RUN_MS);
         now_ms = g_get_monotonic_time() / 1000 - start_ms;
     }
     g_free(begun);
@@ -164,9 +164,9 @@
 {
     const GPtrArray *refused = job_caller_refused(fixture.caller);
     for (guint i = 0; i < refused->len; i++) {
-        int status =
-            http_ask(fixture.base, fixture.fronts[i % ENTRIES], "GET",
-                     g_ptr_array_index(refused, i), "key-skela", NULL, NULL);
+        int status = http_call_sync(
+            fixture.base, fixture.frontends[i % ENTRY_HOST_COUNT], "GET",
+            g_ptr_array_index(refused, i), "key-skela", NULL, NULL);
         CU_ASSERT_EQUAL(status, 410);
     }
 }
@@ -176,37 +176,37 @@
 {
     fixture_set_up(first_port, true);
     GArray *plan =
-        soak_plan_create(seed, ENTRIES, BACKENDS, LENGTH_MS * 8 / 10);
+        soak_plan_create(seed, ENTRY_HOST_COUNT, BACKENDS, RUN_MS * 8 / 10);
     for (guint i = 0; i < plan->len; i++) {
         const struct soak_fault *fault =
             &g_array_index(plan, struct soak_fault, i);
         printf("\n  %5ld ms for %4ld ms: %s %d", (long)fault->at_ms,
-               (long)fault->for_ms, soak_fault_name(fault->kind),
+               (long)fault->duration_ms, soak_fault_name(fault->kind),
                fault->target);
     }
     printf("\n");
-    if (broken != NULL) {
-        char *path = g_strdup_printf("/break/%s", broken);
-        ask(fixture.admin, "POST", path);
+    if (violated_invariant != NULL) {
+        char *path = g_strdup_printf("/break/%s", violated_invariant);
+        send_request(fixture.admin, "POST", path);
         g_free(path);
     }
-    for (int i = 0; i < LASTING_JOBS; i++) {
-        job_caller_submit_to_cancel(fixture.caller, &fixture.lasting,
-                                    lasting_body, 4000 + 1500 * i);
+    for (int i = 0; i < SERVICE_JOBS; i++) {
+        job_caller_submit_to_cancel(fixture.caller, &fixture.service,
+                                    service_job_body, 4000 + 1500 * i);
     }
-    if (g_strcmp0(broken, "ends") == 0) {
-        job_caller_submit(fixture.caller, &fixture.lasting, lasting_body);
+    if (g_strcmp0(violated_invariant, "ends") == 0) {
+        job_caller_submit(fixture.caller, &fixture.service, service_job_body);
     }
-    play_series(plan);
-    for (int i = 0; i < ENTRIES; i++) {
+    run_plan(plan);
+    for (int i = 0; i < ENTRY_HOST_COUNT; i++) {
         wait_ready(i);
     }
-    play_to_end();
-    if (g_strcmp0(broken, "refused") == 0) {
+    run_until_finished();
+    if (g_strcmp0(violated_invariant, "refused") == 0) {
         char *body = NULL;
-        CU_ASSERT_EQUAL(
-            post("/draft/00000000000000ff", "key-skela", job_body, &body),
-            200);
+        CU_ASSERT_EQUAL(submit_job("/draft/00000000000000ff", "key-skela",
+                                   job_body, &body),
+                        200);
         g_free(body);
         g_ptr_array_add((GPtrArray *)job_caller_refused(fixture.caller),
                         g_strdup("/draft/00000000000000ff"));
@@ -215,13 +215,14 @@
            "%ld starts checked; logs in %s\n",
            fixture.quick.submitted, fixture.quick.accepted,
            fixture.quick.completed, fixture.quick.failed,
-           fixture.quick.refused, (long)figure("checks"), fixture.directory);
-    CU_ASSERT_EQUAL(figure("violations"), 0);
-    CU_ASSERT(figure("checks") > 0);
-    CU_ASSERT_EQUAL(job_caller_open(fixture.caller), 0);
+           fixture.quick.refused, (long)emulator_stat("checks"),
+           fixture.directory);
+    CU_ASSERT_EQUAL(emulator_stat("violations"), 0);
+    CU_ASSERT(emulator_stat("checks") > 0);
+    CU_ASSERT_EQUAL(job_caller_pending(fixture.caller), 0);
     CU_ASSERT_EQUAL(fixture.quick.failed, 0);
     CU_ASSERT_EQUAL(fixture.quick.completed, fixture.quick.accepted);
-    CU_ASSERT_EQUAL(fixture.lasting.cancelled, fixture.lasting.accepted);
+    CU_ASSERT_EQUAL(fixture.service.cancelled, fixture.service.accepted);
     check_refused();
     g_array_unref(plan);
     fixture_tear_down();
@@ -238,7 +239,7 @@
     build_root = argv[1];
     first_port = atoi(argv[2]);
     seed = (uint32_t)strtoul(argv[3], NULL, 10);
-    broken = argc > 4 ? argv[4] : NULL;
+    violated_invariant = argc > 4 ? argv[4] : NULL;
     char name[32];
     snprintf(name, sizeof(name), "seed %u", seed);
     const struct suite_test test = {name, run_seed};
--- a/soak/soak_plan.c
+++ b/soak/soak_plan.c
@@ -3,19 +3,19 @@
 #include <stdbool.h>
 
 enum {
-    FAULTS_LEAST = 5,
-    FAULTS_MOST = 9,
-    FOR_LEAST_MS = 300,
-    FOR_MOST_MS = 5000,
+    FAULTS_MIN = 5,
+    FAULTS_MAX = 9,
+    DURATION_MIN_MS = 300,
+    DURATION_MAX_MS = 5000,
     /* Time before the first fault: jobs are under way by then. */
-    CALM_MS = 1000,
+    FIRST_FAULT_MS = 1000,
 };
 
 static bool
-hits_entry(enum soak_fault_kind kind)
+hits_entry_host(enum soak_fault_kind kind)
 {
-    return kind != FAULT_STORE_DOWN && kind != FAULT_STORE_SILENT &&
-           kind != FAULT_BACKEND_DARK && kind != FAULT_HOST_CRASH;
+    return kind != FAULT_STORE_DOWN && kind != FAULT_STORE_UNRESPONSIVE &&
+           kind != FAULT_BACKEND_UNREACHABLE && kind != FAULT_HOST_CRASH;
 }
 
 static bool
@@ -27,12 +27,12 @@
 static bool
 hits_store(enum soak_fault_kind kind)
 {
-    return kind == FAULT_STORE_DOWN || kind == FAULT_STORE_SILENT;
+    return kind == FAULT_STORE_DOWN || kind == FAULT_STORE_UNRESPONSIVE;
 }
 
 /* Two faults that undo each other do not overlap; all others may. */
 static bool
-same_thing(const struct soak_fault *a, const struct soak_fault *b)
+same_target(const struct soak_fault *a, const struct soak_fault *b)
 {
     if (hits_store(a->kind) && hits_store(b->kind)) {
         return true;
@@ -43,20 +43,20 @@
     if (hits_process(a->kind) && hits_process(b->kind)) {
         return true;
     }
-    bool links = hits_entry(a->kind) && !hits_process(a->kind) &&
-                 hits_entry(b->kind) && !hits_process(b->kind);
+    bool links = hits_entry_host(a->kind) && !hits_process(a->kind) &&
+                 hits_entry_host(b->kind) && !hits_process(b->kind);
     return links || a->kind == b->kind;
 }
 
 static bool
-fits(const GArray *plan, const struct soak_fault *fault)
+can_add(const GArray *plan, const struct soak_fault *fault)
 {
     for (guint i = 0; i < plan->len; i++) {
         const struct soak_fault *other =
             &g_array_index(plan, struct soak_fault, i);
-        bool apart = fault->at_ms > other->at_ms + other->for_ms ||
-                     other->at_ms > fault->at_ms + fault->for_ms;
-        if (!apart && same_thing(fault, other)) {
+        bool apart = fault->at_ms > other->at_ms + other->duration_ms ||
+                     other->at_ms > fault->at_ms + fault->duration_ms;
+        if (!apart && same_target(fault, other)) {
             return false;
         }
     }
@@ -75,23 +75,24 @@
 soak_plan_create(uint32_t seed, int n_entries, int n_backends,
                  int64_t length_ms)
 {
-    GRand *chance = g_rand_new_with_seed(seed);
+    GRand *rng = g_rand_new_with_seed(seed);
     GArray *plan = g_array_new(FALSE, FALSE, sizeof(struct soak_fault));
-    int n_faults = g_rand_int_range(chance, FAULTS_LEAST, FAULTS_MOST + 1);
+    int n_faults = g_rand_int_range(rng, FAULTS_MIN, FAULTS_MAX + 1);
     for (int i = 0; i < n_faults; i++) {
         struct soak_fault fault = {
             .kind =
-                (enum soak_fault_kind)g_rand_int_range(chance, 0, FAULT_KINDS),
-            .at_ms = g_rand_int_range(chance, CALM_MS, (gint32)length_ms),
-            .for_ms = g_rand_int_range(chance, FOR_LEAST_MS, FOR_MOST_MS),
+                (enum soak_fault_kind)g_rand_int_range(rng, 0, FAULT_KINDS),
+            .at_ms = g_rand_int_range(rng, FIRST_FAULT_MS, (gint32)length_ms),
+            .duration_ms =
+                g_rand_int_range(rng, DURATION_MIN_MS, DURATION_MAX_MS),
         };
         fault.target = g_rand_int_range(
-            chance, 0, hits_entry(fault.kind) ? n_entries : n_backends);
-        if (fits(plan, &fault)) {
+            rng, 0, hits_entry_host(fault.kind) ? n_entries : n_backends);
+        if (can_add(plan, &fault)) {
             g_array_append_val(plan, fault);
         }
     }
-    g_rand_free(chance);
+    g_rand_free(rng);
     g_array_sort(plan, compare_times);
     return plan;
 }
@@ -104,13 +105,13 @@
         [FAULT_PAUSE] = "pause",
         [FAULT_LEAVE] = "leave",
         [FAULT_STORE_DOWN] = "store down",
-        [FAULT_STORE_SILENT] = "store silent",
+        [FAULT_STORE_UNRESPONSIVE] = "store silent",
         [FAULT_LINK_REFUSED] = "link refused",
-        [FAULT_LINK_SILENT] = "link silent",
+        [FAULT_LINK_UNRESPONSIVE] = "link silent",
         [FAULT_LINK_ONE_WAY] = "link one way",
         [FAULT_LINK_SLOW] = "link slow",
         [FAULT_LINK_RESET] = "link reset",
-        [FAULT_BACKEND_DARK] = "backend dark",
+        [FAULT_BACKEND_UNREACHABLE] = "backend dark",
         [FAULT_HOST_CRASH] = "host crash",
     };
     return names[kind];
--- a/soak/soak_plan.h
+++ b/soak/soak_plan.h
@@ -11,13 +11,13 @@
  * @FAULT_PAUSE: an entry host stands still
  * @FAULT_LEAVE: an entry host is told to stop and started again
  * @FAULT_STORE_DOWN: the store refuses everybody
- * @FAULT_STORE_SILENT: the store answers nobody
+ * @FAULT_STORE_UNRESPONSIVE: the store answers nobody
  * @FAULT_LINK_REFUSED: connections of an entry host to the store are closed
- * @FAULT_LINK_SILENT: its open connections go silent, new ones work
+ * @FAULT_LINK_UNRESPONSIVE: its open connections go silent, new ones work
  * @FAULT_LINK_ONE_WAY: answers of the store to it are lost
  * @FAULT_LINK_SLOW: its calls to the store are late
  * @FAULT_LINK_RESET: some of its calls lose their connection, done or not
- * @FAULT_BACKEND_DARK: a backend server is not reachable and runs on
+ * @FAULT_BACKEND_UNREACHABLE: a backend server is not reachable and runs on
  * @FAULT_HOST_CRASH: a host starts anew
  */
 enum soak_fault_kind {
@@ -25,13 +25,13 @@
     FAULT_PAUSE,
     FAULT_LEAVE,
     FAULT_STORE_DOWN,
-    FAULT_STORE_SILENT,
+    FAULT_STORE_UNRESPONSIVE,
     FAULT_LINK_REFUSED,
-    FAULT_LINK_SILENT,
+    FAULT_LINK_UNRESPONSIVE,
     FAULT_LINK_ONE_WAY,
     FAULT_LINK_SLOW,
     FAULT_LINK_RESET,
-    FAULT_BACKEND_DARK,
+    FAULT_BACKEND_UNREACHABLE,
     FAULT_HOST_CRASH,
     FAULT_KINDS,
 };
@@ -39,13 +39,13 @@
 /**
  * struct soak_fault - one fault
  * @at_ms: from the start of the run
- * @for_ms: how long
+ * @duration_ms: how long
  * @target: entry host or backend server
  */
 struct soak_fault {
     enum soak_fault_kind kind;
     int64_t at_ms;
-    int64_t for_ms;
+    int64_t duration_ms;
     int target;
 };
 
--- a/standins/jobs/backend_model.c
+++ b/standins/jobs/backend_model.c
@@ -12,11 +12,11 @@
 }
 
 static void
-end_free(void *data)
+completion_free(void *data)
 {
-    struct model_end *end = data;
-    g_free(end->task);
-    g_free(end);
+    struct model_completion *completion = data;
+    g_free(completion->task);
+    g_free(completion);
 }
 
 void
@@ -26,12 +26,12 @@
     *backend = (struct model_backend){
         .speed_percent = speed_percent,
         .offset_ms = offset_ms,
-        .next_end = 1,
+        .next_completion = 1,
     };
     snprintf(backend->id, sizeof(backend->id), "b%d", index);
     backend->runs = g_ptr_array_new_with_free_func(run_free);
-    backend->ends = g_ptr_array_new_with_free_func(end_free);
-    backend->barred =
+    backend->completions = g_ptr_array_new_with_free_func(completion_free);
+    backend->stale_upto =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 }
 
@@ -39,8 +39,8 @@
 model_backend_clear(struct model_backend *backend)
 {
     g_ptr_array_unref(backend->runs);
-    g_ptr_array_unref(backend->ends);
-    g_hash_table_unref(backend->barred);
+    g_ptr_array_unref(backend->completions);
+    g_hash_table_unref(backend->stale_upto);
 }
 
 int64_t
@@ -50,16 +50,16 @@
 }
 
 static uint32_t
-barred_upto(const struct model_backend *backend, const char *task)
+stale_run_upto(const struct model_backend *backend, const char *task)
 {
-    return GPOINTER_TO_UINT(g_hash_table_lookup(backend->barred, task));
+    return GPOINTER_TO_UINT(g_hash_table_lookup(backend->stale_upto, task));
 }
 
 static void
-bar(struct model_backend *backend, const char *task, uint32_t number)
+mark_stale(struct model_backend *backend, const char *task, uint32_t number)
 {
-    if (number > barred_upto(backend, task)) {
-        g_hash_table_replace(backend->barred, g_strdup(task),
+    if (number > stale_run_upto(backend, task)) {
+        g_hash_table_replace(backend->stale_upto, g_strdup(task),
                              GUINT_TO_POINTER(number));
     }
 }
@@ -69,24 +69,25 @@
         enum completion_reason reason)
 {
     struct model_task_run *run = g_ptr_array_index(backend->runs, index);
-    struct model_end *end = g_new0(struct model_end, 1);
-    end->number = backend->next_end++;
-    end->task = g_strdup(run->task);
-    end->run = run->number;
-    end->reason = reason;
-    g_ptr_array_add(backend->ends, end);
-    bar(backend, run->task, run->number);
+    struct model_completion *completion = g_new0(struct model_completion, 1);
+    completion->number = backend->next_completion++;
+    completion->task = g_strdup(run->task);
+    completion->run = run->number;
+    completion->reason = reason;
+    g_ptr_array_add(backend->completions, completion);
+    mark_stale(backend, run->task, run->number);
     g_ptr_array_remove_index_fast(backend->runs, index);
 }
 
 void
 model_backend_advance(struct model_backend *backend, int64_t now_ms)
 {
-    bool lapsed = !backend->no_lapse &&
-                  model_backend_clock(backend, now_ms) > backend->until_ms;
-    for (guint i = 0; lapsed && i < backend->ends->len; i++) {
-        ((struct model_end *)g_ptr_array_index(backend->ends, i))->lapsed =
-            true;
+    bool lease_expired =
+        !backend->no_lease_expiry &&
+        model_backend_clock(backend, now_ms) > backend->until_ms;
+    for (guint i = 0; lease_expired && i < backend->completions->len; i++) {
+        ((struct model_completion *)g_ptr_array_index(backend->completions, i))
+            ->lease_expired = true;
     }
     for (guint i = backend->runs->len; i > 0; i--) {
         const struct model_task_run *run =
@@ -94,7 +95,7 @@
         if (now_ms >= run->ends_ms) {
             end_run(backend, i - 1, run->fails ? END_FAILED : END_DONE);
         }
-        else if (lapsed) {
+        else if (lease_expired) {
             end_run(backend, i - 1, END_LEASE_EXPIRED);
         }
         else if (run->stops_ms != 0 && now_ms >= run->stops_ms) {
@@ -131,18 +132,19 @@
 enum start_answer
 model_backend_start(struct model_backend *backend, const char *task,
                     uint32_t number, int64_t until_ms, int64_t token,
-                    int64_t run_ms, bool fails, int64_t now_ms, bool *began)
+                    int64_t run_ms, bool fails, int64_t now_ms, bool *started)
 {
-    *began = false;
+    *started = false;
     if (fenced(backend, token)) {
         return START_FENCED;
     }
     backend->until_ms = MAX(backend->until_ms, until_ms);
-    const struct model_task_run *there = find_run(backend, task);
-    if (there != NULL) {
-        return there->number == number ? START_DONE : START_STALE_RUN_NUMBER;
+    const struct model_task_run *existing = find_run(backend, task);
+    if (existing != NULL) {
+        return existing->number == number ? START_DONE
+                                          : START_STALE_RUN_NUMBER;
     }
-    if (number <= barred_upto(backend, task)) {
+    if (number <= stale_run_upto(backend, task)) {
         return START_STALE_RUN_NUMBER;
     }
     if (until_ms <= model_backend_clock(backend, now_ms)) {
@@ -154,7 +156,7 @@
     run->ends_ms = now_ms + run_ms;
     run->fails = fails;
     g_ptr_array_add(backend->runs, run);
-    *began = true;
+    *started = true;
     return START_DONE;
 }
 
@@ -166,7 +168,7 @@
     if (fenced(backend, token)) {
         return false;
     }
-    bar(backend, task, number);
+    mark_stale(backend, task, number);
     struct model_task_run *run = find_run(backend, task);
     if (run != NULL && run->number <= number && run->stops_ms == 0) {
         run->stops_ms = now_ms + stop_ms;
@@ -175,18 +177,19 @@
 }
 
 bool
-model_backend_hold(struct model_backend *backend, int64_t until_ms,
-                   int64_t seen_upto, int64_t token, int64_t now_ms)
+model_backend_renew(struct model_backend *backend, int64_t until_ms,
+                    int64_t acked_completion, int64_t token, int64_t now_ms)
 {
     (void)now_ms;
     if (fenced(backend, token)) {
         return false;
     }
     backend->until_ms = MAX(backend->until_ms, until_ms);
-    for (guint i = backend->ends->len; i > 0; i--) {
-        const struct model_end *end = g_ptr_array_index(backend->ends, i - 1);
-        if (end->number <= seen_upto) {
-            g_ptr_array_remove_index(backend->ends, i - 1);
+    for (guint i = backend->completions->len; i > 0; i--) {
+        const struct model_completion *completion =
+            g_ptr_array_index(backend->completions, i - 1);
+        if (completion->number <= acked_completion) {
+            g_ptr_array_remove_index(backend->completions, i - 1);
         }
     }
     return true;
--- a/standins/jobs/backend_model.h
+++ b/standins/jobs/backend_model.h
@@ -23,15 +23,15 @@
 };
 
 /**
- * struct model_end - an end that is listed until it is acknowledged
- * @lapsed: the lease ran out after it, so that it counts as not noted
+ * struct model_completion - an end that is listed until it is acknowledged
+ * @lease_expired: the lease ran out after it, so that it counts as not noted
  */
-struct model_end {
+struct model_completion {
     int64_t number;
     char *task;
     uint32_t run;
     enum completion_reason reason;
-    bool lapsed;
+    bool lease_expired;
 };
 
 /**
@@ -39,7 +39,7 @@
  * @speed_percent: its clock against true time, 98 to 100
  * @offset_ms: its clock at time 0
  * @until_ms: end of the lease, on its clock; 0: none
- * @barred: highest number of a run stopped or ended here, by task
+ * @stale_upto: highest number of a run stopped or ended here, by task
  */
 struct model_backend {
     char id[16];
@@ -48,11 +48,11 @@
     int64_t token;
     int64_t until_ms;
     GPtrArray *runs;
-    GPtrArray *ends;
-    GHashTable *barred;
-    int64_t next_end;
+    GPtrArray *completions;
+    GHashTable *stale_upto;
+    int64_t next_completion;
     bool no_fence;
-    bool no_lapse;
+    bool no_lease_expiry;
 };
 
 void
@@ -68,20 +68,20 @@
 void
 model_backend_advance(struct model_backend *backend, int64_t now_ms);
 
-/** model_backend_start() - an order arrives; @began tells whether a run
+/** model_backend_start() - an order arrives; @started tells whether a run
  * began. */
 enum start_answer
 model_backend_start(struct model_backend *backend, const char *task,
                     uint32_t number, int64_t until_ms, int64_t token,
-                    int64_t run_ms, bool fails, int64_t now_ms, bool *began);
+                    int64_t run_ms, bool fails, int64_t now_ms, bool *started);
 bool
 model_backend_stop(struct model_backend *backend, const char *task,
                    uint32_t number, int64_t token, int64_t stop_ms,
                    int64_t now_ms);
 
-/** model_backend_hold() - a list call arrives; false if fenced. */
+/** model_backend_renew() - a list call arrives; false if fenced. */
 bool
-model_backend_hold(struct model_backend *backend, int64_t until_ms,
-                   int64_t seen_upto, int64_t token, int64_t now_ms);
+model_backend_renew(struct model_backend *backend, int64_t until_ms,
+                    int64_t acked_completion, int64_t token, int64_t now_ms);
 
 #endif
--- a/standins/jobs/emulator.h
+++ b/standins/jobs/emulator.h
@@ -15,7 +15,7 @@
 
 /**
  * struct emulated_host - a host and its present backend server
- * @away_until_ms: it moves or reboots until then; 0: it is up
+ * @unavailable_until_ms: it moves or reboots until then; 0: it is up
  * @incarnation: counts its backend servers
  */
 struct emulated_host {
@@ -25,24 +25,24 @@
     char *pool;
     char *data_centre;
     char *address;
-    int64_t away_until_ms;
+    int64_t unavailable_until_ms;
     int64_t next_heartbeat_ms;
-    int64_t born_ms;
+    int64_t incarnation_start_ms;
     int64_t seq;
     uint32_t incarnation;
-    bool dark;
+    bool unreachable;
     struct model_backend backend;
     struct http_server *server;
-    GPtrArray *holds;
+    GPtrArray *waiting_reports;
 };
 
 /**
  * struct emulator - the platform
  * @store_down: the store answers nothing but 503
- * @store_silent: the store does not answer
- * @broken: promise that the emulator breaks itself, so that its check is seen
- *          to fail; NULL: none
- * @done_noted: tasks whose end as done was acknowledged
+ * @store_unresponsive: the store does not answer
+ * @violated_invariant: promise that the emulator breaks itself, so that its
+ * check is seen to fail; NULL: none
+ * @done_acked: tasks whose end as done was acknowledged
  * @checks: starts that were checked
  * @tickets_missing: starts refused for want of a ticket
  * @violations: promises that were broken
@@ -58,10 +58,10 @@
     struct emulated_host hosts[EMULATOR_BACKENDS_MAX];
     int n_hosts;
     bool store_down;
-    bool store_silent;
-    GPtrArray *silenced;
-    char *broken;
-    GHashTable *done_noted;
+    bool store_unresponsive;
+    GPtrArray *withheld;
+    char *violated_invariant;
+    GHashTable *done_acked;
     uint64_t checks;
     uint64_t tickets_missing;
     uint64_t violations;
@@ -85,6 +85,6 @@
 void
 emulator_hosts_tick(struct emulator *emulator, int64_t now_ms);
 void
-emulator_host_crash(struct emulated_host *host);
+emulator_restart_host(struct emulated_host *host);
 
 #endif
--- a/standins/jobs/emulator_hosts.c
+++ b/standins/jobs/emulator_hosts.c
@@ -9,12 +9,12 @@
 enum {
     HEARTBEAT_MS = 500,
     STOP_MS = 200,
-    DEFAULT_RUN_MS = 300,
-    AWAY_MS = 1000,
+    RUN_MS_DEFAULT = 300,
+    UNAVAILABLE_MS = 1000,
 };
 
 /** struct hold - a list call that waits for an end */
-struct hold {
+struct waiting_report {
     struct http_exchange *exchange;
     int64_t until_ms;
 };
@@ -33,8 +33,8 @@
         "\"labels\":[\"a\",\"r-%d\"],\"born\":%" G_GINT64_FORMAT
         ",\"clock_ms\":%" G_GINT64_FORMAT ",\"seq\":%" G_GINT64_FORMAT "}",
         host->pool, host->address, host->data_centre, host->name,
-        host->index / 4, host->born_ms, model_backend_clock(backend, now_ms),
-        ++host->seq);
+        host->index / 4, host->incarnation_start_ms,
+        model_backend_clock(backend, now_ms), ++host->seq);
     char *value = g_base64_encode((const guchar *)text->str, text->len);
     char *key = g_strconcat("servers/", backend->id, NULL);
     struct kv_model *kv = &host->emulator->kv;
@@ -46,7 +46,7 @@
 }
 
 static void
-drop_entry(struct emulated_host *host)
+delete_entry(struct emulated_host *host)
 {
     char *key = g_strconcat("servers/", host->backend.id, NULL);
     kv_model_next_revision(&host->emulator->kv);
@@ -56,23 +56,23 @@
 
 /* A new incarnation of the host: a new backend server that runs nothing. */
 static void
-new_incarnation(struct emulated_host *host)
+start_incarnation(struct emulated_host *host)
 {
-    drop_entry(host);
+    delete_entry(host);
     model_backend_clear(&host->backend);
     model_backend_init(&host->backend, host->index, 100,
                        1000 + 100 * host->index);
     g_snprintf(host->backend.id, sizeof(host->backend.id), "i-%d-%u",
                host->index, ++host->incarnation);
-    host->born_ms = g_get_real_time() / 1000;
+    host->incarnation_start_ms = g_get_real_time() / 1000;
     host->seq = 0;
 }
 
 void
-emulator_host_crash(struct emulated_host *host)
+emulator_restart_host(struct emulated_host *host)
 {
-    new_incarnation(host);
-    host->away_until_ms = emulator_now_ms() + AWAY_MS;
+    start_incarnation(host);
+    host->unavailable_until_ms = emulator_now_ms() + UNAVAILABLE_MS;
 }
 
 /* Run time in the job's text, "ms=N"; "forever" lasts until stopped. */
@@ -83,7 +83,7 @@
     if (spec != NULL && strstr(spec, "forever") != NULL) {
         return INT32_MAX;
     }
-    return given == NULL ? (int64_t)DEFAULT_RUN_MS
+    return given == NULL ? (int64_t)RUN_MS_DEFAULT
                          : g_ascii_strtoll(given + 3, NULL, 10);
 }
 
@@ -95,17 +95,17 @@
 }
 
 static bool
-breaks(const struct emulator *emulator, const char *promise)
+violates(const struct emulator *emulator, const char *invariant)
 {
-    return g_strcmp0(emulator->broken, promise) == 0;
+    return g_strcmp0(emulator->violated_invariant, invariant) == 0;
 }
 
 /* Makes up what a broken promise would look like to the checks. */
 static void
-break_promise(struct emulated_host *host, const char *task)
+violate_invariant(struct emulated_host *host, const char *task)
 {
     struct emulator *emulator = host->emulator;
-    if (breaks(emulator, "one-run")) {
+    if (violates(emulator, "one-run")) {
         struct emulated_host *other =
             &emulator->hosts[(host->index + 1) % emulator->n_hosts];
         struct model_task_run *run = g_new0(struct model_task_run, 1);
@@ -113,8 +113,8 @@
         run->ends_ms = emulator_now_ms();
         g_ptr_array_add(other->backend.runs, run);
     }
-    if (breaks(emulator, "once-done")) {
-        g_hash_table_add(emulator->done_noted, g_strdup(task));
+    if (violates(emulator, "once-done")) {
+        g_hash_table_add(emulator->done_acked, g_strdup(task));
     }
 }
 
@@ -133,12 +133,12 @@
             }
         }
     }
-    if (g_hash_table_contains(emulator->done_noted, task)) {
+    if (g_hash_table_contains(emulator->done_acked, task)) {
         violation(emulator, "a start after its end was acknowledged", task);
     }
     char *key = g_strdup_printf("eg/job/%.16s", task);
     if (kv_model_get(&emulator->kv, key) == NULL ||
-        breaks(emulator, "stored")) {
+        violates(emulator, "stored")) {
         violation(emulator, "a start without a stored job", task);
     }
     g_free(key);
@@ -210,7 +210,7 @@
         [START_FENCED] = "fence",
     };
     const char *task = json_text_get(body, "task");
-    bool began = false;
+    bool started = false;
     if (ticket_missing(host, body)) {
         host->emulator->tickets_missing++;
         http_exchange_reply(exchange, 409, "{\"reason\":\"ticket\"}");
@@ -221,9 +221,9 @@
         json_int_get(body, "until_ms", 0),
         json_int_get(body, "fencing_token", 0),
         run_time_ms(json_text_get(body, "spec")),
-        strstr(json_text_get(body, "spec"), "fail") != NULL, now_ms, &began);
-    if (began) {
-        break_promise(host, task);
+        strstr(json_text_get(body, "spec"), "fail") != NULL, now_ms, &started);
+    if (started) {
+        violate_invariant(host, task);
         check_start(host, task);
     }
     char text[96];
@@ -264,15 +264,15 @@
 }
 
 static void
-answer_hold(struct emulated_host *host, struct http_exchange *exchange,
-            int64_t now_ms)
+answer_report(struct emulated_host *host, struct http_exchange *exchange,
+              int64_t now_ms)
 {
     const struct model_backend *backend = &host->backend;
     GString *out = g_string_new(NULL);
     g_string_append_printf(out,
                            "{\"born\":%" G_GINT64_FORMAT
                            ",\"clock_ms\":%" G_GINT64_FORMAT ",\"running\":[",
-                           host->born_ms,
+                           host->incarnation_start_ms,
                            model_backend_clock(backend, now_ms));
     bool first = true;
     for (guint i = 0; i < backend->runs->len; i++) {
@@ -289,12 +289,13 @@
         first = false;
     }
     g_string_append(out, "],\"ended\":[");
-    for (guint i = 0; i < backend->ends->len; i++) {
-        const struct model_end *end = g_ptr_array_index(backend->ends, i);
+    for (guint i = 0; i < backend->completions->len; i++) {
+        const struct model_completion *completion =
+            g_ptr_array_index(backend->completions, i);
         g_string_append_printf(
             out, "%s[%" G_GINT64_FORMAT ",\"%s\",%u,\"%s\",\"\"]",
-            i == 0 ? "" : ",", end->number, end->task, end->run,
-            reason_name(end->reason));
+            i == 0 ? "" : ",", completion->number, completion->task,
+            completion->run, reason_name(completion->reason));
     }
     g_string_append(out, "]}");
     http_exchange_reply(exchange, 200, out->str);
@@ -302,40 +303,42 @@
 }
 
 static void
-note_seen(struct emulated_host *host, int64_t seen_upto)
+record_acked(struct emulated_host *host, int64_t acked_completion)
 {
-    for (guint i = 0; i < host->backend.ends->len; i++) {
-        const struct model_end *end = g_ptr_array_index(host->backend.ends, i);
-        if (end->number <= seen_upto && end->reason == END_DONE &&
-            !end->lapsed) {
-            g_hash_table_add(host->emulator->done_noted, g_strdup(end->task));
+    for (guint i = 0; i < host->backend.completions->len; i++) {
+        const struct model_completion *completion =
+            g_ptr_array_index(host->backend.completions, i);
+        if (completion->number <= acked_completion &&
+            completion->reason == END_DONE && !completion->lease_expired) {
+            g_hash_table_add(host->emulator->done_acked,
+                             g_strdup(completion->task));
         }
     }
 }
 
 static void
-serve_hold(struct emulated_host *host, struct http_exchange *exchange,
-           const cJSON *body, int64_t now_ms)
+serve_report(struct emulated_host *host, struct http_exchange *exchange,
+             const cJSON *body, int64_t now_ms)
 {
     int64_t token = json_int_get(body, "fencing_token", 0);
-    int64_t seen_upto = json_int_get(body, "seen_upto", 0);
+    int64_t acked_completion = json_int_get(body, "seen_upto", 0);
     if (token >= host->backend.token) {
-        note_seen(host, seen_upto);
+        record_acked(host, acked_completion);
     }
-    if (!model_backend_hold(&host->backend, json_int_get(body, "until_ms", 0),
-                            seen_upto, token, now_ms)) {
+    if (!model_backend_renew(&host->backend, json_int_get(body, "until_ms", 0),
+                             acked_completion, token, now_ms)) {
         http_exchange_reply(exchange, 409, "{\"reason\":\"fence\"}");
         return;
     }
     int64_t wait_ms = json_int_get(body, "wait_ms", 0);
-    if (wait_ms == 0 || host->backend.ends->len > 0) {
-        answer_hold(host, exchange, now_ms);
+    if (wait_ms == 0 || host->backend.completions->len > 0) {
+        answer_report(host, exchange, now_ms);
         return;
     }
-    struct hold *hold = g_new0(struct hold, 1);
-    hold->exchange = exchange;
-    hold->until_ms = now_ms + wait_ms;
-    g_ptr_array_add(host->holds, hold);
+    struct waiting_report *waiting_report = g_new0(struct waiting_report, 1);
+    waiting_report->exchange = exchange;
+    waiting_report->until_ms = now_ms + wait_ms;
+    g_ptr_array_add(host->waiting_reports, waiting_report);
 }
 
 void
@@ -345,8 +348,8 @@
     int64_t now_ms = emulator_now_ms();
     const char *path = http_exchange_path(exchange);
     const char *expected = http_exchange_header(exchange, "X-Expect-Instance");
-    if (host->dark || host->away_until_ms != 0) {
-        g_ptr_array_add(host->emulator->silenced, exchange);
+    if (host->unreachable || host->unavailable_until_ms != 0) {
+        g_ptr_array_add(host->emulator->withheld, exchange);
         return;
     }
     if (expected != NULL && strcmp(expected, host->backend.id) != 0) {
@@ -364,7 +367,7 @@
         serve_stop(host, exchange, body, now_ms);
     }
     else if (strcmp(path, "/v1/hold") == 0) {
-        serve_hold(host, exchange, body, now_ms);
+        serve_report(host, exchange, body, now_ms);
     }
     else {
         http_exchange_reply(exchange, 404, "{}");
@@ -383,8 +386,8 @@
             "%s{\"machine\":\"%s\",\"pool\":\"%s\",\"state\":\"%s\","
             "\"zone\":\"%s\",\"id\":\"%s\"}",
             i == 0 ? "" : ",", host->name, host->pool,
-            host->away_until_ms == 0 ? "up" : "moving", host->data_centre,
-            host->backend.id);
+            host->unavailable_until_ms == 0 ? "up" : "moving",
+            host->data_centre, host->backend.id);
     }
     g_string_append(out, "],\"next_token\":null}");
     http_exchange_reply(exchange, 200, out->str);
@@ -425,7 +428,7 @@
     if (host == NULL) {
         http_exchange_reply(exchange, 400, "{}");
     }
-    else if (host->away_until_ms != 0) {
+    else if (host->unavailable_until_ms != 0) {
         http_exchange_reply(exchange, 409, "{\"reason\":\"busy\"}");
     }
     else {
@@ -434,24 +437,25 @@
             host->pool = g_strdup(pool);
         }
         emulator->moves++;
-        emulator_host_crash(host);
+        emulator_restart_host(host);
         http_exchange_reply(exchange, 200, "{}");
     }
     cJSON_Delete(body);
 }
 
 static void
-answer_holds(struct emulated_host *host, int64_t now_ms)
+answer_waiting_reports(struct emulated_host *host, int64_t now_ms)
 {
-    bool ended = host->backend.ends->len > 0;
-    for (guint i = host->holds->len; i > 0; i--) {
-        struct hold *hold = g_ptr_array_index(host->holds, i - 1);
-        if (!ended && now_ms < hold->until_ms) {
+    bool ended = host->backend.completions->len > 0;
+    for (guint i = host->waiting_reports->len; i > 0; i--) {
+        struct waiting_report *waiting_report =
+            g_ptr_array_index(host->waiting_reports, i - 1);
+        if (!ended && now_ms < waiting_report->until_ms) {
             continue;
         }
-        g_ptr_array_remove_index_fast(host->holds, i - 1);
-        answer_hold(host, hold->exchange, now_ms);
-        g_free(hold);
+        g_ptr_array_remove_index_fast(host->waiting_reports, i - 1);
+        answer_report(host, waiting_report->exchange, now_ms);
+        g_free(waiting_report);
     }
 }
 
@@ -460,18 +464,19 @@
 {
     for (int i = 0; i < emulator->n_hosts; i++) {
         struct emulated_host *host = &emulator->hosts[i];
-        if (host->away_until_ms != 0 && now_ms >= host->away_until_ms) {
-            host->away_until_ms = 0;
+        if (host->unavailable_until_ms != 0 &&
+            now_ms >= host->unavailable_until_ms) {
+            host->unavailable_until_ms = 0;
             host->next_heartbeat_ms = 0;
         }
         model_backend_advance(&host->backend, now_ms);
-        if (host->away_until_ms != 0 || host->dark) {
+        if (host->unavailable_until_ms != 0 || host->unreachable) {
             continue;
         }
         if (now_ms >= host->next_heartbeat_ms) {
             host->next_heartbeat_ms = now_ms + HEARTBEAT_MS;
             put_entry(host, now_ms);
         }
-        answer_holds(host, now_ms);
+        answer_waiting_reports(host, now_ms);
     }
 }
--- a/standins/jobs/emulator_kv.c
+++ b/standins/jobs/emulator_kv.c
@@ -7,7 +7,7 @@
 #include "platform/json_text.h"
 
 enum {
-    PAGE_ITEMS = 500,
+    PAGE_ITEMS_MAX = 500,
     REFUSED_STATUS = 503,
 };
 
@@ -96,7 +96,7 @@
         (range->after != NULL && strcmp(key, range->after) <= 0)) {
         return FALSE;
     }
-    if (range->count == PAGE_ITEMS) {
+    if (range->count == PAGE_ITEMS_MAX) {
         range->more = true;
         return TRUE;
     }
@@ -181,22 +181,22 @@
 }
 
 static bool
-conditions_hold(const struct emulator *emulator, const cJSON *conditions,
-                GString *items)
+conditions_met(const struct emulator *emulator, const cJSON *conditions,
+               GString *items)
 {
-    bool hold = true;
+    bool met = true;
     const cJSON *condition;
     cJSON_ArrayForEach(condition, conditions)
     {
         const char *key = json_text_get(condition, "key");
         const struct kv_row *row = kv_model_get(&emulator->kv, key);
         struct kv_row none = {.key = (char *)key, .value = (char *)""};
-        hold = hold && (row == NULL ? 0 : row->revision) ==
-                           json_int_get(condition, "revision", 0);
+        met = met && (row == NULL ? 0 : row->revision) ==
+                         json_int_get(condition, "revision", 0);
         g_string_append(items, items->len > 0 ? "," : "");
         add_row(items, row == NULL ? &none : row);
     }
-    return hold;
+    return met;
 }
 
 static void
@@ -223,10 +223,10 @@
     const char *text = http_exchange_body(exchange, &bytes);
     cJSON *body = cJSON_ParseWithLength(text, bytes);
     GString *items = g_string_new(NULL);
-    bool hold = conditions_hold(emulator,
-                                cJSON_GetObjectItem(body, "expected"), items);
+    bool met =
+        conditions_met(emulator, cJSON_GetObjectItem(body, "expected"), items);
     GString *answer = g_string_new(NULL);
-    if (hold) {
+    if (met) {
         apply_txn(emulator, body);
         g_string_append_printf(answer, "{\"revision\":%" G_GINT64_FORMAT "}",
                                emulator->kv.revision);
@@ -236,7 +236,7 @@
     }
     g_string_free(items, TRUE);
     cJSON_Delete(body);
-    reply_text(exchange, hold ? 200 : 412, answer);
+    reply_text(exchange, met ? 200 : 412, answer);
 }
 
 static void
@@ -245,27 +245,27 @@
     size_t bytes = 0;
     const char *text = http_exchange_body(exchange, &bytes);
     cJSON *body = cJSON_ParseWithLength(text, bytes);
-    const struct kv_grant *grant = kv_model_grant(
+    const struct kv_lease *lease = kv_model_grant_lease(
         &emulator->kv, json_int_get(body, "ttl_ms", 1000), emulator_now_ms());
     cJSON_Delete(body);
     GString *answer = g_string_new(NULL);
     g_string_append_printf(answer,
                            "{\"lease\":%" G_GINT64_FORMAT
                            ",\"ttl_ms\":%" G_GINT64_FORMAT "}",
-                           grant->id, grant->ttl_ms);
+                           lease->id, lease->ttl_ms);
     reply_text(exchange, 200, answer);
 }
 
 static void
-serve_keep(struct emulator *emulator, struct http_exchange *exchange,
-           int64_t id)
+serve_lease_renewal(struct emulator *emulator, struct http_exchange *exchange,
+                    int64_t id)
 {
-    struct kv_grant *grant = kv_model_find_grant(&emulator->kv, id);
-    if (grant == NULL) {
+    struct kv_lease *lease = kv_model_find_lease(&emulator->kv, id);
+    if (lease == NULL) {
         http_exchange_reply(exchange, 404, "{}");
         return;
     }
-    grant->ends_ms = emulator_now_ms() + grant->ttl_ms;
+    lease->expires_ms = emulator_now_ms() + lease->ttl_ms;
     http_exchange_reply(exchange, 200, "{\"ttl_ms\":0}");
 }
 
@@ -276,8 +276,8 @@
     const char *path = http_exchange_path(exchange);
     const char *last = strrchr(path, '/');
     int64_t id = g_ascii_strtoll(last + 1, NULL, 10);
-    if (emulator->store_silent) {
-        g_ptr_array_add(emulator->silenced, exchange);
+    if (emulator->store_unresponsive) {
+        g_ptr_array_add(emulator->withheld, exchange);
     }
     else if (emulator->store_down) {
         http_exchange_reply(exchange, REFUSED_STATUS, "{}");
@@ -298,10 +298,10 @@
         serve_lease(emulator, exchange);
     }
     else if (g_str_has_prefix(path, "/v1/kv-keep/")) {
-        serve_keep(emulator, exchange, id);
+        serve_lease_renewal(emulator, exchange, id);
     }
     else if (g_str_has_prefix(path, "/v1/kv-lease-end/")) {
-        kv_model_end_grant(&emulator->kv, id);
+        kv_model_revoke_lease(&emulator->kv, id);
         http_exchange_reply(exchange, 200, "{}");
     }
     else {
--- a/standins/jobs/emulator_main.c
+++ b/standins/jobs/emulator_main.c
@@ -18,7 +18,7 @@
     PORT_HOSTS,
     PORT_ADMIN,
     PORT_BACKENDS,
-    HISTORY_ROWS = 4000,
+    HISTORY_ROWS_MAX = 4000,
 };
 
 struct arguments {
@@ -41,8 +41,9 @@
     int64_t now_ms = emulator_now_ms();
     emulator_hosts_tick(emulator, now_ms);
     kv_model_expire(&emulator->kv, now_ms);
-    if (emulator->kv.history->len > HISTORY_ROWS) {
-        g_ptr_array_remove_range(emulator->kv.history, 0, HISTORY_ROWS / 2);
+    if (emulator->kv.history->len > HISTORY_ROWS_MAX) {
+        g_ptr_array_remove_range(emulator->kv.history, 0,
+                                 HISTORY_ROWS_MAX / 2);
     }
     emulator_kv_answer_watches(emulator, now_ms);
     struct timeval tick = {.tv_usec = EMULATOR_TICK_MS * 1000};
@@ -50,8 +51,8 @@
 }
 
 static void
-put_plain(struct emulator *emulator, const char *key, const char *text,
-          size_t bytes)
+put_text(struct emulator *emulator, const char *key, const char *text,
+         size_t bytes)
 {
     char *value = g_base64_encode((const guchar *)text, bytes);
     kv_model_next_revision(&emulator->kv);
@@ -60,7 +61,7 @@
 }
 
 static void
-serve_figures(struct emulator *emulator, struct http_exchange *exchange)
+serve_stats(struct emulator *emulator, struct http_exchange *exchange)
 {
     char text[160];
     snprintf(text, sizeof(text),
@@ -76,13 +77,13 @@
 /* Answers that were held back while something was silent are dropped late:
  * a refusal then means nothing to a caller that has given up. */
 static void
-release_silenced(struct emulator *emulator)
+release_withheld(struct emulator *emulator)
 {
-    for (guint i = 0; i < emulator->silenced->len; i++) {
-        http_exchange_reply(g_ptr_array_index(emulator->silenced, i), 503,
+    for (guint i = 0; i < emulator->withheld->len; i++) {
+        http_exchange_reply(g_ptr_array_index(emulator->withheld, i), 503,
                             NULL);
     }
-    g_ptr_array_set_size(emulator->silenced, 0);
+    g_ptr_array_set_size(emulator->withheld, 0);
 }
 
 /* POST /put/KEY writes a key; POST /store/up|down|silent; POST /crash/N;
@@ -95,31 +96,32 @@
     size_t bytes = 0;
     const char *body = http_exchange_body(exchange, &bytes);
     if (strcmp(path, "/figures") == 0) {
-        serve_figures(emulator, exchange);
+        serve_stats(emulator, exchange);
         return;
     }
     int index = 0;
     if (g_str_has_prefix(path, "/put/")) {
-        put_plain(emulator, path + strlen("/put/"), body, bytes);
+        put_text(emulator, path + strlen("/put/"), body, bytes);
     }
     else if (g_str_has_prefix(path, "/store/")) {
         emulator->store_down = strcmp(path, "/store/down") == 0;
-        emulator->store_silent = strcmp(path, "/store/silent") == 0;
-        if (!emulator->store_silent) {
-            release_silenced(emulator);
+        emulator->store_unresponsive = strcmp(path, "/store/silent") == 0;
+        if (!emulator->store_unresponsive) {
+            release_withheld(emulator);
         }
     }
     else if (g_str_has_prefix(path, "/break/")) {
-        g_free(emulator->broken);
-        emulator->broken = g_strdup(path + strlen("/break/"));
+        g_free(emulator->violated_invariant);
+        emulator->violated_invariant = g_strdup(path + strlen("/break/"));
     }
     else if (sscanf(path, "/crash/%d", &index) == 1 && index >= 0 &&
              index < emulator->n_hosts) {
-        emulator_host_crash(&emulator->hosts[index]);
+        emulator_restart_host(&emulator->hosts[index]);
     }
     else if (sscanf(path, "/dark/%d", &index) == 1 && index >= 0 &&
              index < emulator->n_hosts) {
-        emulator->hosts[index].dark = !emulator->hosts[index].dark;
+        emulator->hosts[index].unreachable =
+            !emulator->hosts[index].unreachable;
     }
     http_exchange_reply(exchange, 200, "{}");
 }
@@ -151,8 +153,8 @@
     host->data_centre = g_strdup_printf("dc-%c", 'a' + index % 2);
     host->address =
         g_strdup_printf("127.0.0.1:%d", first_port + PORT_BACKENDS + index);
-    host->holds = g_ptr_array_new();
-    host->born_ms = g_get_real_time() / 1000;
+    host->waiting_reports = g_ptr_array_new();
+    host->incarnation_start_ms = g_get_real_time() / 1000;
     model_backend_init(&host->backend, index, 100, 1000 + 100 * index);
     snprintf(host->backend.id, sizeof(host->backend.id), "i-%d-0", index);
     host->server = listen_on(emulator, first_port + PORT_BACKENDS + index,
@@ -188,7 +190,7 @@
         }
     }
     char *config = cJSON_PrintUnformatted(body);
-    put_plain(emulator, "op/config", config, strlen(config));
+    put_text(emulator, "op/config", config, strlen(config));
     cJSON_free(config);
     cJSON_Delete(pools);
     cJSON_Delete(body);
@@ -233,8 +235,8 @@
     static struct emulator emulator;
     emulator.base = event_base_new();
     emulator.watches = g_ptr_array_new();
-    emulator.silenced = g_ptr_array_new();
-    emulator.done_noted =
+    emulator.withheld = g_ptr_array_new();
+    emulator.done_acked =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     kv_model_init(&emulator.kv);
     if (!read_config(&emulator, &arguments)) {
--- a/standins/jobs/job_caller.c
+++ b/standins/jobs/job_caller.c
@@ -10,8 +10,8 @@
     CALL_TIMEOUT_MS = 3000,
     RETRY_MS = 200,
     POLL_MS = 100,
-    TRIES_MAX = 40,
-    HEADERS = 3,
+    ATTEMPTS_MAX = 40,
+    HEADER_SLOTS = 3,
 };
 
 struct job_caller {
@@ -19,7 +19,7 @@
     GPtrArray *clients;
     GHashTable *jobs;
     uint32_t next_id;
-    uint32_t next_front;
+    uint32_t next_frontend;
     uint32_t run_id;
     uint32_t answered;
     GPtrArray *refused;
@@ -30,15 +30,15 @@
  * @cancel_ms: when it is cancelled after it was sent; 0: never
  * @uncertain: a try got no answer, or one that leaves open whether it runs
  */
-struct followed {
+struct tracked_job {
     struct job_caller *caller;
     struct caller_queue *queue;
     struct event *timer;
     char *path;
     char *body;
-    int64_t since_ms;
+    int64_t submitted_ms;
     int64_t cancel_ms;
-    uint32_t tries;
+    uint32_t attempts;
     bool accepted;
     bool uncertain;
 };
@@ -50,9 +50,9 @@
 }
 
 static void
-followed_free(void *data)
+tracked_job_free(void *data)
 {
-    struct followed *job = data;
+    struct tracked_job *job = data;
     event_free(job->timer);
     g_free(job->path);
     g_free(job->body);
@@ -66,18 +66,18 @@
 }
 
 struct job_caller *
-job_caller_create(struct event_base *base, const char *const *fronts)
+job_caller_create(struct event_base *base, const char *const *frontends)
 {
     struct job_caller *caller = g_new0(struct job_caller, 1);
     caller->base = base;
     caller->clients = g_ptr_array_new_with_free_func(client_free);
     caller->jobs = g_hash_table_new_full(g_direct_hash, g_direct_equal,
-                                         followed_free, NULL);
+                                         tracked_job_free, NULL);
     caller->refused = g_ptr_array_new_with_free_func(g_free);
     caller->run_id = (uint32_t)g_get_real_time();
-    for (; *fronts != NULL; fronts++) {
+    for (; *frontends != NULL; frontends++) {
         g_ptr_array_add(caller->clients,
-                        http_client_create(base, *fronts, CALL_TIMEOUT_MS));
+                        http_client_create(base, *frontends, CALL_TIMEOUT_MS));
     }
     return caller;
 }
@@ -95,7 +95,7 @@
 }
 
 static void
-set_timer(struct followed *job, int64_t delay_ms)
+set_timer(struct tracked_job *job, int64_t delay_ms)
 {
     struct timeval delay = {
         .tv_sec = delay_ms / 1000,
@@ -105,17 +105,17 @@
 }
 
 static void
-finish(struct followed *job)
+finish(struct tracked_job *job)
 {
     g_hash_table_remove(job->caller->jobs, job);
 }
 
 static void
-send_call(struct followed *job, const char *method, const char *body,
+send_call(struct tracked_job *job, const char *method, const char *body,
           void (*done)(void *ctx, const struct http_reply *reply))
 {
     struct job_caller *caller = job->caller;
-    struct http_header headers[HEADERS] = {
+    struct http_header headers[HEADER_SLOTS] = {
         {.name = "Host", .value = job->queue->host},
         {.name = job->queue->key == NULL ? NULL : "X-Credential",
          .value = job->queue->key},
@@ -130,18 +130,18 @@
         .done = done,
         .ctx = job,
     };
-    guint front = caller->next_front++ % caller->clients->len;
-    http_client_send(g_ptr_array_index(caller->clients, front), &call);
+    guint frontend = caller->next_frontend++ % caller->clients->len;
+    http_client_send(g_ptr_array_index(caller->clients, frontend), &call);
 }
 
 static void
-count_completed(struct followed *job)
+count_completed(struct tracked_job *job)
 {
     struct caller_queue *queue = job->queue;
-    int64_t took_ms = now_ms() - job->since_ms;
+    int64_t took_ms = now_ms() - job->submitted_ms;
     queue->completed++;
     if (took_ms <= queue->objective_ms) {
-        queue->in_objective++;
+        queue->within_objective++;
     }
     g_array_append_val(queue->times_ms, took_ms);
 }
@@ -149,7 +149,7 @@
 static void
 on_state(void *ctx, const struct http_reply *reply)
 {
-    struct followed *job = ctx;
+    struct tracked_job *job = ctx;
     cJSON *body = cJSON_ParseWithLength(reply->body, reply->body_bytes);
     const char *state =
         reply->status == 200 ? json_text_get(body, "state") : NULL;
@@ -177,7 +177,7 @@
 static void
 on_cancelled(void *ctx, const struct http_reply *reply)
 {
-    struct followed *job = ctx;
+    struct tracked_job *job = ctx;
     if (reply->status == 200) {
         job->cancel_ms = 0;
     }
@@ -187,7 +187,7 @@
 static void
 on_submitted(void *ctx, const struct http_reply *reply)
 {
-    struct followed *job = ctx;
+    struct tracked_job *job = ctx;
     if (reply->status != 0) {
         job->caller->answered++;
     }
@@ -200,7 +200,7 @@
     job->uncertain =
         job->uncertain ||
         (reply->status != 503 && reply->status != 429 && !reply->never_sent);
-    if (reply->status == 400 || ++job->tries >= TRIES_MAX) {
+    if (reply->status == 400 || ++job->attempts >= ATTEMPTS_MAX) {
         job->queue->refused++;
         if (!job->uncertain) {
             g_ptr_array_add(job->caller->refused, g_strdup(job->path));
@@ -216,12 +216,12 @@
 {
     (void)fd;
     (void)events;
-    struct followed *job = ctx;
+    struct tracked_job *job = ctx;
     if (!job->accepted) {
         send_call(job, "POST", job->body, on_submitted);
     }
     else if (job->cancel_ms > 0 &&
-             now_ms() - job->since_ms >= job->cancel_ms) {
+             now_ms() - job->submitted_ms >= job->cancel_ms) {
         send_call(job, "DELETE", NULL, on_cancelled);
     }
     else {
@@ -234,14 +234,14 @@
                             struct caller_queue *queue, const char *body,
                             int64_t cancel_ms)
 {
-    struct followed *job = g_new0(struct followed, 1);
+    struct tracked_job *job = g_new0(struct tracked_job, 1);
     job->caller = caller;
     job->queue = queue;
     job->timer = evtimer_new(caller->base, on_timer, job);
     job->path = g_strdup_printf("%s%08x%08x", queue->prefix, caller->run_id,
                                 ++caller->next_id);
     job->body = g_strdup(body);
-    job->since_ms = now_ms();
+    job->submitted_ms = now_ms();
     job->cancel_ms = cancel_ms;
     queue->submitted++;
     g_hash_table_add(caller->jobs, job);
@@ -256,7 +256,7 @@
 }
 
 uint32_t
-job_caller_open(const struct job_caller *caller)
+job_caller_pending(const struct job_caller *caller)
 {
     return g_hash_table_size(caller->jobs);
 }
@@ -323,13 +323,14 @@
 }
 
 int
-http_ask(struct event_base *base, const char *address, const char *method,
-         const char *path, const char *key, const char *text, char **body)
+http_call_sync(struct event_base *base, const char *address,
+               const char *method, const char *path, const char *key,
+               const char *text, char **body)
 {
     struct answer answer = {.base = base};
     struct http_client *client =
         http_client_create(base, address, CALL_TIMEOUT_MS);
-    struct http_header headers[HEADERS] = {
+    struct http_header headers[HEADER_SLOTS] = {
         {.name = "Host", .value = "jobs.example"},
         {.name = key == NULL ? NULL : "X-Credential", .value = key},
         {0},
--- a/standins/jobs/job_caller.h
+++ b/standins/jobs/job_caller.h
@@ -26,7 +26,7 @@
     uint32_t accepted;
     uint32_t refused;
     uint32_t completed;
-    uint32_t in_objective;
+    uint32_t within_objective;
     uint32_t failed;
     uint32_t cancelled;
     GArray *times_ms;
@@ -34,9 +34,10 @@
 
 struct job_caller;
 
-/** job_caller_create() - @fronts: addresses of entry hosts, NULL-terminated */
+/** job_caller_create() - @frontends: addresses of entry hosts, NULL-terminated
+ */
 struct job_caller *
-job_caller_create(struct event_base *base, const char *const *fronts);
+job_caller_create(struct event_base *base, const char *const *frontends);
 void
 job_caller_destroy(struct job_caller *caller);
 
@@ -51,9 +52,9 @@
                             struct caller_queue *queue, const char *body,
                             int64_t cancel_ms);
 
-/** job_caller_open() - jobs that are not at their end. */
+/** job_caller_pending() - jobs that are not at their end. */
 uint32_t
-job_caller_open(const struct job_caller *caller);
+job_caller_pending(const struct job_caller *caller);
 
 /** job_caller_answered() - jobs sent that got any answer. */
 uint32_t
@@ -75,13 +76,14 @@
 caller_queue_quantile_ms(const struct caller_queue *queue, double quantile);
 
 /**
- * http_ask() - one call, waiting for its answer in @base's loop
+ * http_call_sync() - one call, waiting for its answer in @base's loop
  *
  * Returns: the status, 0 for no answer; @body, if not NULL, receives the
  * body, to be freed.
  */
 int
-http_ask(struct event_base *base, const char *address, const char *method,
-         const char *path, const char *key, const char *text, char **body);
+http_call_sync(struct event_base *base, const char *address,
+               const char *method, const char *path, const char *key,
+               const char *text, char **body);
 
 #endif
--- a/standins/jobs/jobs_load.c
+++ b/standins/jobs/jobs_load.c
@@ -11,21 +11,21 @@
 #include "platform/json_text.h"
 
 enum {
-    FRONTS_MAX = 16,
-    QUEUES = 4,
-    DEFAULT_SECONDS = 8,
-    SETTLE_MS = 15000,
+    FRONTENDS_MAX = 16,
+    QUEUE_COUNT = 4,
+    SECONDS_DEFAULT = 8,
+    FINISH_TIMEOUT_MS = 15000,
 };
 
 struct arguments {
-    const char *fronts[FRONTS_MAX + 1];
-    int n_fronts;
+    const char *frontends[FRONTENDS_MAX + 1];
+    int n_frontends;
     const char *admin;
     int seconds;
 };
 
-/** struct load_kind - jobs of one queue; @per_second of them */
-struct load_kind {
+/** struct queue_load - jobs of one queue; @per_second of them */
+struct queue_load {
     struct caller_queue queue;
     double per_second;
     const char *body;
@@ -33,7 +33,7 @@
     uint32_t sent;
 };
 
-static struct load_kind kinds[QUEUES] = {
+static struct queue_load loads[QUEUE_COUNT] = {
     {
         .queue = {.name = "draft-notice",
                   .host = "jobs.example",
@@ -88,11 +88,11 @@
     printf("%-16s %6s %8s %10s %6s %8s %7s %9s %8s %8s\n", "queue", "jobs",
            "accepted", "in aim", "late", "refused", "failed", "cancelled",
            "p50 ms", "p99 ms");
-    for (size_t i = 0; i < QUEUES; i++) {
-        const struct caller_queue *q = &kinds[i].queue;
+    for (size_t i = 0; i < QUEUE_COUNT; i++) {
+        const struct caller_queue *q = &loads[i].queue;
         printf("%-16s %6u %8u %10u %6u %8u %7u %9u %8ld %8ld\n", q->name,
-               q->submitted, q->accepted, q->in_objective,
-               q->completed - q->in_objective, q->refused, q->failed,
+               q->submitted, q->accepted, q->within_objective,
+               q->completed - q->within_objective, q->refused, q->failed,
                q->cancelled, (long)caller_queue_quantile_ms(q, 0.5),
                (long)caller_queue_quantile_ms(q, 0.99));
     }
@@ -101,30 +101,31 @@
 static void
 send_due(struct job_caller *caller, int64_t passed_ms)
 {
-    for (size_t i = 0; i < QUEUES; i++) {
-        struct load_kind *kind = &kinds[i];
-        while (kind->sent < kind->per_second * (double)passed_ms / 1000) {
-            kind->sent++;
-            job_caller_submit_to_cancel(caller, &kind->queue, kind->body,
-                                        kind->cancel_ms);
+    for (size_t i = 0; i < QUEUE_COUNT; i++) {
+        struct queue_load *load = &loads[i];
+        while (load->sent < load->per_second * (double)passed_ms / 1000) {
+            load->sent++;
+            job_caller_submit_to_cancel(caller, &load->queue, load->body,
+                                        load->cancel_ms);
         }
     }
 }
 
 static uint32_t
-judge(struct event_base *base, const struct arguments *arguments,
-      uint32_t open_jobs)
+print_invariants(struct event_base *base, const struct arguments *arguments,
+                 uint32_t open_jobs)
 {
     char *body = NULL;
-    http_ask(base, arguments->admin, "GET", "/figures", NULL, NULL, &body);
-    cJSON *figures = cJSON_Parse(body);
-    uint32_t violated = (uint32_t)json_int_get(figures, "violations", 1);
-    uint32_t checked = (uint32_t)json_int_get(figures, "checks", 0);
-    cJSON_Delete(figures);
+    http_call_sync(base, arguments->admin, "GET", "/figures", NULL, NULL,
+                   &body);
+    cJSON *stats = cJSON_Parse(body);
+    uint32_t violated = (uint32_t)json_int_get(stats, "violations", 1);
+    uint32_t checked = (uint32_t)json_int_get(stats, "checks", 0);
+    cJSON_Delete(stats);
     g_free(body);
     /* Besides the starts: every accepted job came to an end. */
-    for (size_t i = 0; i < QUEUES; i++) {
-        checked += kinds[i].queue.accepted;
+    for (size_t i = 0; i < QUEUE_COUNT; i++) {
+        checked += loads[i].queue.accepted;
     }
     violated += open_jobs;
     printf("invariants: %u checked, %u violated\n", checked, violated);
@@ -143,10 +144,10 @@
         arguments->seconds = atoi(arg);
         return 0;
     case ARGP_KEY_ARG:
-        if (arguments->n_fronts == FRONTS_MAX) {
+        if (arguments->n_frontends == FRONTENDS_MAX) {
             argp_usage(state);
         }
-        arguments->fronts[arguments->n_fronts++] = arg;
+        arguments->frontends[arguments->n_frontends++] = arg;
         return 0;
     default:
         return ARGP_ERR_UNKNOWN;
@@ -167,25 +168,25 @@
         .args_doc = "FRONT...",
         .doc = "Submits jobs to entry hosts and tells what became of them.",
     };
-    struct arguments arguments = {.seconds = DEFAULT_SECONDS};
+    struct arguments arguments = {.seconds = SECONDS_DEFAULT};
     argp_parse(&argp, argc, argv, 0, NULL, &arguments);
-    if (arguments.n_fronts == 0 || arguments.admin == NULL) {
+    if (arguments.n_frontends == 0 || arguments.admin == NULL) {
         fprintf(stderr, "entry hosts or the emulator are missing\n");
         return EXIT_FAILURE;
     }
     signal(SIGPIPE, SIG_IGN);
     struct event_base *base = event_base_new();
-    struct job_caller *caller = job_caller_create(base, arguments.fronts);
-    for (size_t i = 0; i < QUEUES; i++) {
-        caller_queue_init(&kinds[i].queue);
+    struct job_caller *caller = job_caller_create(base, arguments.frontends);
+    for (size_t i = 0; i < QUEUE_COUNT; i++) {
+        caller_queue_init(&loads[i].queue);
     }
     int64_t start_ms = g_get_monotonic_time() / 1000;
     int64_t passed_ms = 0;
-    while (passed_ms < arguments.seconds * 1000 + SETTLE_MS) {
+    while (passed_ms < arguments.seconds * 1000 + FINISH_TIMEOUT_MS) {
         if (passed_ms < arguments.seconds * 1000) {
             send_due(caller, passed_ms);
         }
-        else if (job_caller_open(caller) == 0) {
+        else if (job_caller_pending(caller) == 0) {
             break;
         }
         event_base_loop(base, EVLOOP_NONBLOCK);
@@ -193,10 +194,11 @@
         passed_ms = g_get_monotonic_time() / 1000 - start_ms;
     }
     print_table();
-    uint32_t violated = judge(base, &arguments, job_caller_open(caller));
+    uint32_t violated =
+        print_invariants(base, &arguments, job_caller_pending(caller));
     job_caller_destroy(caller);
-    for (size_t i = 0; i < QUEUES; i++) {
-        caller_queue_clear(&kinds[i].queue);
+    for (size_t i = 0; i < QUEUE_COUNT; i++) {
+        caller_queue_clear(&loads[i].queue);
     }
     return violated == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/standins/jobs/kv_model.c
+++ b/standins/jobs/kv_model.c
@@ -24,7 +24,7 @@
     *kv = (struct kv_model){.revision = 1, .next_lease = 1};
     kv->rows = g_tree_new_full(compare_keys, NULL, NULL, row_free);
     kv->history = g_ptr_array_new_with_free_func(row_free);
-    kv->grants = g_ptr_array_new_with_free_func(g_free);
+    kv->leases = g_ptr_array_new_with_free_func(g_free);
 }
 
 void
@@ -32,7 +32,7 @@
 {
     g_tree_unref(kv->rows);
     g_ptr_array_unref(kv->history);
-    g_ptr_array_unref(kv->grants);
+    g_ptr_array_unref(kv->leases);
 }
 
 const struct kv_row *
@@ -42,7 +42,7 @@
 }
 
 static void
-note_change(struct kv_model *kv, const struct kv_row *row, bool deleted)
+append_history(struct kv_model *kv, const struct kv_row *row, bool deleted)
 {
     struct kv_row *change = g_new0(struct kv_row, 1);
     *change = *row;
@@ -69,7 +69,7 @@
     row->revision = kv->revision;
     row->lease = lease;
     g_tree_replace(kv->rows, row->key, row);
-    note_change(kv, row, false);
+    append_history(kv, row, false);
 }
 
 void
@@ -77,29 +77,29 @@
 {
     const struct kv_row *row = kv_model_get(kv, key);
     if (row != NULL) {
-        note_change(kv, row, true);
+        append_history(kv, row, true);
         g_tree_remove(kv->rows, key);
     }
 }
 
-struct kv_grant *
-kv_model_grant(struct kv_model *kv, int64_t ttl_ms, int64_t now_ms)
+struct kv_lease *
+kv_model_grant_lease(struct kv_model *kv, int64_t ttl_ms, int64_t now_ms)
 {
-    struct kv_grant *grant = g_new0(struct kv_grant, 1);
-    grant->id = kv->next_lease++;
-    grant->ttl_ms = ttl_ms;
-    grant->ends_ms = now_ms + ttl_ms;
-    g_ptr_array_add(kv->grants, grant);
-    return grant;
+    struct kv_lease *lease = g_new0(struct kv_lease, 1);
+    lease->id = kv->next_lease++;
+    lease->ttl_ms = ttl_ms;
+    lease->expires_ms = now_ms + ttl_ms;
+    g_ptr_array_add(kv->leases, lease);
+    return lease;
 }
 
-struct kv_grant *
-kv_model_find_grant(const struct kv_model *kv, int64_t id)
+struct kv_lease *
+kv_model_find_lease(const struct kv_model *kv, int64_t id)
 {
-    for (guint i = 0; i < kv->grants->len; i++) {
-        struct kv_grant *grant = g_ptr_array_index(kv->grants, i);
-        if (grant->id == id) {
-            return grant;
+    for (guint i = 0; i < kv->leases->len; i++) {
+        struct kv_lease *lease = g_ptr_array_index(kv->leases, i);
+        if (lease->id == id) {
+            return lease;
         }
     }
     return NULL;
@@ -122,10 +122,10 @@
 }
 
 void
-kv_model_end_grant(struct kv_model *kv, int64_t id)
+kv_model_revoke_lease(struct kv_model *kv, int64_t id)
 {
-    struct kv_grant *grant = kv_model_find_grant(kv, id);
-    if (grant == NULL) {
+    struct kv_lease *lease = kv_model_find_lease(kv, id);
+    if (lease == NULL) {
         return;
     }
     struct lease_keys found = {
@@ -138,17 +138,17 @@
         kv_model_delete(kv, g_ptr_array_index(found.keys, i));
     }
     g_ptr_array_unref(found.keys);
-    g_ptr_array_remove(kv->grants, grant);
+    g_ptr_array_remove(kv->leases, lease);
 }
 
 bool
 kv_model_expire(struct kv_model *kv, int64_t now_ms)
 {
     int64_t before = kv->revision;
-    for (guint i = kv->grants->len; i > 0; i--) {
-        const struct kv_grant *grant = g_ptr_array_index(kv->grants, i - 1);
-        if (grant->ends_ms <= now_ms) {
-            kv_model_end_grant(kv, grant->id);
+    for (guint i = kv->leases->len; i > 0; i--) {
+        const struct kv_lease *lease = g_ptr_array_index(kv->leases, i - 1);
+        if (lease->expires_ms <= now_ms) {
+            kv_model_revoke_lease(kv, lease->id);
         }
     }
     return kv->revision != before;
--- a/standins/jobs/kv_model.h
+++ b/standins/jobs/kv_model.h
@@ -15,11 +15,11 @@
     bool deleted;
 };
 
-/** struct kv_grant - a lease */
-struct kv_grant {
+/** struct kv_lease - a lease */
+struct kv_lease {
     int64_t id;
     int64_t ttl_ms;
-    int64_t ends_ms;
+    int64_t expires_ms;
 };
 
 /**
@@ -30,7 +30,7 @@
 struct kv_model {
     GTree *rows;
     GPtrArray *history;
-    GPtrArray *grants;
+    GPtrArray *leases;
     int64_t revision;
     int64_t next_lease;
 };
@@ -54,12 +54,12 @@
 void
 kv_model_next_revision(struct kv_model *kv);
 
-struct kv_grant *
-kv_model_grant(struct kv_model *kv, int64_t ttl_ms, int64_t now_ms);
-struct kv_grant *
-kv_model_find_grant(const struct kv_model *kv, int64_t id);
+struct kv_lease *
+kv_model_grant_lease(struct kv_model *kv, int64_t ttl_ms, int64_t now_ms);
+struct kv_lease *
+kv_model_find_lease(const struct kv_model *kv, int64_t id);
 void
-kv_model_end_grant(struct kv_model *kv, int64_t id);
+kv_model_revoke_lease(struct kv_model *kv, int64_t id);
 
 /** kv_model_expire() - end leases that ran out; true if keys went. */
 bool
--- a/tests/jobs/advice_test.c
+++ b/tests/jobs/advice_test.c
@@ -10,7 +10,7 @@
 
 enum {
     BACKENDS = 60,
-    VALID_MS = 3000,
+    TICKET_VALID_MS = 3000,
 };
 
 static const char four_tasks[] =
@@ -18,7 +18,7 @@
 
 /* Queue "p" needs advice; its backend servers are b00, b01, ... */
 static void
-start_advised(struct fleet_fixture *f, int n_backends)
+init_with_advice(struct fleet_fixture *f, int n_backends)
 {
     fixture_init(f, 0);
     ((struct queue_config *)g_ptr_array_index(f->config->queues, 0))
@@ -28,21 +28,21 @@
         char host[8];
         snprintf(id, sizeof(id), "b%02d", i);
         snprintf(host, sizeof(host), "m%02d", i);
-        fixture_backend(f, id, "p", host);
+        fixture_add_backend(f, id, "p", host);
     }
-    fixture_settle(f);
+    fixture_reconcile(f);
 }
 
-/* Answers the open question: @good is allowed, or nobody if NULL. */
+/* Answers the open question: @allowed_id is allowed, or nobody if NULL. */
 static void
-answer(struct fleet_fixture *f, const char *good)
+give_advice(struct fleet_fixture *f, const char *allowed_id)
 {
-    struct advice_grant row = {.backend_id = good, .ticket = "t-1"};
-    struct advice_answer given = {.given = true,
-                                  .valid_ms = VALID_MS,
-                                  .grants = &row,
-                                  .n_grants = good == NULL ? 0 : 1};
-    scheduler_on_advice(f->sched, &given);
+    struct advice_grant grant = {.backend_id = allowed_id, .ticket = "t-1"};
+    struct advice_answer answer = {.given = true,
+                                   .valid_ms = TICKET_VALID_MS,
+                                   .grants = &grant,
+                                   .n_grants = allowed_id == NULL ? 0 : 1};
+    scheduler_on_advice(f->sched, &answer);
     fixture_tick(f, f->now_ms + 10);
 }
 
@@ -52,49 +52,50 @@
 test_starts_need_a_ticket(void)
 {
     struct fleet_fixture f;
-    start_advised(&f, 3);
-    fixture_job(&f, JOB_A, "p", four_tasks);
+    init_with_advice(&f, 3);
+    fixture_add_job(&f, JOB_A, "p", four_tasks);
     fixture_tick(&f, f.now_ms + 10);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, NULL), 0);
-    CU_ASSERT_EQUAL_FATAL(fixture_count(&f, ORDER_ADVISE, NULL), 1);
-    CU_ASSERT_STRING_EQUAL(fixture_last(&f, ORDER_ADVISE)->task, JOB_A ".0.0");
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, NULL), 0);
+    CU_ASSERT_EQUAL_FATAL(fixture_count(&f, COMMAND_REQUEST_ADVICE, NULL), 1);
+    CU_ASSERT_STRING_EQUAL(fixture_last(&f, COMMAND_REQUEST_ADVICE)->task,
+                           JOB_A ".0.0");
     /* One question at a time. */
     fixture_tick(&f, f.now_ms + 10);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_ADVISE, NULL), 1);
-    answer(&f, "b01");
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, NULL), 2);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, "b01"), 2);
-    CU_ASSERT_STRING_EQUAL(fixture_last(&f, ORDER_START)->ticket, "t-1");
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_REQUEST_ADVICE, NULL), 1);
+    give_advice(&f, "b01");
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, NULL), 2);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, "b01"), 2);
+    CU_ASSERT_STRING_EQUAL(fixture_last(&f, COMMAND_START)->ticket, "t-1");
     fixture_clear(&f);
 }
 
 /* A large pool: a question names few, and what was refused is not asked
  * again. */
 static void
-test_questions_are_small(void)
+test_requests_are_small(void)
 {
     struct fleet_fixture f;
-    start_advised(&f, BACKENDS);
-    fixture_job(&f, JOB_A, "p", four_tasks);
-    GHashTable *asked =
+    init_with_advice(&f, BACKENDS);
+    fixture_add_job(&f, JOB_A, "p", four_tasks);
+    GHashTable *requested_ids =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    uint32_t questions = 0;
+    uint32_t requests = 0;
     fixture_tick(&f, f.now_ms + 10);
-    while (fixture_count(&f, ORDER_ADVISE, NULL) > questions) {
-        questions++;
-        char **ids =
-            g_strsplit(fixture_last(&f, ORDER_ADVISE)->target, " ", 0);
+    while (fixture_count(&f, COMMAND_REQUEST_ADVICE, NULL) > requests) {
+        requests++;
+        char **ids = g_strsplit(
+            fixture_last(&f, COMMAND_REQUEST_ADVICE)->target, " ", 0);
         CU_ASSERT(g_strv_length(ids) <= 30);
-        CU_ASSERT(questions > 1 || g_strv_length(ids) <= 8);
+        CU_ASSERT(requests > 1 || g_strv_length(ids) <= 8);
         for (char **id = ids; *id != NULL; id++) {
-            CU_ASSERT_TRUE(g_hash_table_add(asked, g_strdup(*id)));
+            CU_ASSERT_TRUE(g_hash_table_add(requested_ids, g_strdup(*id)));
         }
         g_strfreev(ids);
-        answer(&f, NULL);
+        give_advice(&f, NULL);
     }
-    CU_ASSERT_EQUAL(g_hash_table_size(asked), BACKENDS);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, NULL), 0);
-    g_hash_table_unref(asked);
+    CU_ASSERT_EQUAL(g_hash_table_size(requested_ids), BACKENDS);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, NULL), 0);
+    g_hash_table_unref(requested_ids);
     fixture_clear(&f);
 }
 
@@ -104,23 +105,24 @@
 test_tickets_are_renewed(void)
 {
     struct fleet_fixture f;
-    start_advised(&f, 3);
-    struct job *job = fixture_job(&f, JOB_A, "p",
-                                  "[{\"count\":1,\"cpu\":8000,"
-                                  "\"mem_mb\":100,\"estimate_ms\":500}]");
+    init_with_advice(&f, 3);
+    struct job *job = fixture_add_job(&f, JOB_A, "p",
+                                      "[{\"count\":1,\"cpu\":8000,"
+                                      "\"mem_mb\":100,\"estimate_ms\":500}]");
     fixture_tick(&f, f.now_ms + 10);
-    answer(&f, "b01");
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, "b01"), 1);
-    struct run_completion end = {
+    give_advice(&f, "b01");
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, "b01"), 1);
+    struct run_completion completion = {
         .number = 1, .task = JOB_A ".0.0.0", .run = 1, .reason = END_STOPPED};
-    f.now_ms += VALID_MS;
-    fixture_lists(&f, "b01", NULL, 0, &end, 1);
+    f.now_ms += TICKET_VALID_MS;
+    fixture_report(&f, "b01", NULL, 0, &completion, 1);
     fixture_tick(&f, f.now_ms + 10);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, NULL), 1);
-    CU_ASSERT_EQUAL_FATAL(fixture_count(&f, ORDER_ADVISE, NULL), 2);
-    CU_ASSERT_STRING_EQUAL(fixture_last(&f, ORDER_ADVISE)->target, "b01");
-    answer(&f, "b01");
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, "b01"), 2);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, NULL), 1);
+    CU_ASSERT_EQUAL_FATAL(fixture_count(&f, COMMAND_REQUEST_ADVICE, NULL), 2);
+    CU_ASSERT_STRING_EQUAL(fixture_last(&f, COMMAND_REQUEST_ADVICE)->target,
+                           "b01");
+    give_advice(&f, "b01");
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, "b01"), 2);
     CU_ASSERT_EQUAL(job->state, JOB_ACTIVE);
     fixture_clear(&f);
 }
@@ -130,42 +132,43 @@
 test_refused_ticket(void)
 {
     struct fleet_fixture f;
-    start_advised(&f, 1);
-    fixture_job(&f, JOB_A, "p", four_tasks);
+    init_with_advice(&f, 1);
+    fixture_add_job(&f, JOB_A, "p", four_tasks);
     fixture_tick(&f, f.now_ms + 10);
-    answer(&f, "b00");
-    CU_ASSERT_EQUAL_FATAL(fixture_count(&f, ORDER_START, NULL), 2);
-    for (guint i = 0; i < f.orders->len; i++) {
-        const struct order *order = g_ptr_array_index(f.orders, i);
-        if (order->kind == ORDER_START) {
-            scheduler_on_start(f.sched, order->handle, START_NO_TICKET, 0);
+    give_advice(&f, "b00");
+    CU_ASSERT_EQUAL_FATAL(fixture_count(&f, COMMAND_START, NULL), 2);
+    for (guint i = 0; i < f.commands->len; i++) {
+        const struct recorded_command *command =
+            g_ptr_array_index(f.commands, i);
+        if (command->kind == COMMAND_START) {
+            scheduler_on_start(f.sched, command->handle, START_NO_TICKET, 0);
         }
     }
     fixture_tick(&f, f.now_ms + 10);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, NULL), 2);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_ADVISE, NULL), 2);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, NULL), 2);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_REQUEST_ADVICE, NULL), 2);
     fixture_clear(&f);
 }
 
 /* The service is away or busy: the question is asked again after a pause, and
  * other queues go on. */
 static void
-test_service_away(void)
+test_advice_unavailable(void)
 {
     struct fleet_fixture f;
-    start_advised(&f, 2);
-    fixture_backend(&f, "c1", "q", "mq");
-    fixture_settle(&f);
-    fixture_job(&f, JOB_A, "p", four_tasks);
-    fixture_job(&f, JOB_B, "q", four_tasks);
+    init_with_advice(&f, 2);
+    fixture_add_backend(&f, "c1", "q", "mq");
+    fixture_reconcile(&f);
+    fixture_add_job(&f, JOB_A, "p", four_tasks);
+    fixture_add_job(&f, JOB_B, "q", four_tasks);
     fixture_tick(&f, f.now_ms + 10);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, "c1"), 2);
-    struct advice_answer none = {.given = false};
-    scheduler_on_advice(f.sched, &none);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, "c1"), 2);
+    struct advice_answer unavailable = {.given = false};
+    scheduler_on_advice(f.sched, &unavailable);
     fixture_tick(&f, f.now_ms + 50);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_ADVISE, NULL), 1);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_REQUEST_ADVICE, NULL), 1);
     fixture_tick(&f, f.now_ms + 150);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_ADVISE, NULL), 2);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_REQUEST_ADVICE, NULL), 2);
     fixture_clear(&f);
 }
 
@@ -174,10 +177,10 @@
 {
     static const struct suite_test tests[] = {
         {"starts need a ticket", test_starts_need_a_ticket},
-        {"questions are small", test_questions_are_small},
+        {"questions are small", test_requests_are_small},
         {"tickets are renewed", test_tickets_are_renewed},
         {"a refused ticket", test_refused_ticket},
-        {"the service is away", test_service_away},
+        {"the service is away", test_advice_unavailable},
     };
     return suite_main("jobs advice", tests, sizeof(tests) / sizeof(tests[0]));
 }
--- a/tests/jobs/arrivals_test.c
+++ b/tests/jobs/arrivals_test.c
@@ -10,7 +10,7 @@
     TICK_MS = 100,
     /* Two steps of a second each; a job is over after about this time. */
     JOB_MS = 2000,
-    STEADY_MS = 20000,
+    STEADY_LOAD_MS = 20000,
 };
 
 /* Nine cores for a second, then nine again. */
@@ -22,15 +22,15 @@
 /** struct arrival - a job and when it is over */
 struct arrival {
     char id[JOB_ID_CHARS + 1];
-    int64_t over_ms;
+    int64_t ends_ms;
 };
 
 static void
-start_spare(struct fleet_fixture *f)
+init_with_spare_hosts(struct fleet_fixture *f)
 {
     fixture_init(f, 0);
-    fixture_backend(f, "p1", "p", "hp1");
-    struct host_info facts[SPARE_HOSTS + 1] = {{.host = "hp1",
+    fixture_add_backend(f, "p1", "p", "hp1");
+    struct host_info infos[SPARE_HOSTS + 1] = {{.host = "hp1",
                                                 .pool = "p",
                                                 .backend_id = "p1",
                                                 .data_centre = "dc",
@@ -38,29 +38,29 @@
     char names[SPARE_HOSTS][16];
     for (int i = 0; i < SPARE_HOSTS; i++) {
         snprintf(names[i], sizeof(names[i]), "hs%d", i);
-        facts[i + 1] = (struct host_info){
+        infos[i + 1] = (struct host_info){
             .host = names[i], .pool = "s", .data_centre = "dc", .up = true};
     }
-    fixture_settle(f);
-    scheduler_hosts_read(f->sched, facts, SPARE_HOSTS + 1);
+    fixture_reconcile(f);
+    scheduler_hosts_read(f->sched, infos, SPARE_HOSTS + 1);
     fixture_tick(f, f->now_ms + TICK_MS);
 }
 
 /* Plays one tick in which @n_jobs arrive; those that are over end. */
 static void
-play_tick(struct fleet_fixture *f, GArray *arrivals, int n_jobs)
+run_tick(struct fleet_fixture *f, GArray *arrivals, int n_jobs)
 {
     for (int i = 0; i < n_jobs; i++) {
-        struct arrival arrival = {.over_ms = f->now_ms + JOB_MS};
+        struct arrival arrival = {.ends_ms = f->now_ms + JOB_MS};
         snprintf(arrival.id, sizeof(arrival.id), "%016x", arrivals->len);
-        fixture_job(f, arrival.id, "p", two_steps);
+        fixture_add_job(f, arrival.id, "p", two_steps);
         g_array_append_val(arrivals, arrival);
     }
     for (guint i = 0; i < arrivals->len; i++) {
         struct arrival *arrival = &g_array_index(arrivals, struct arrival, i);
-        if (arrival->over_ms != 0 && f->now_ms >= arrival->over_ms) {
+        if (arrival->ends_ms != 0 && f->now_ms >= arrival->ends_ms) {
             scheduler_cancel(f->sched, arrival->id);
-            arrival->over_ms = 0;
+            arrival->ends_ms = 0;
         }
     }
     fixture_tick(f, f->now_ms + TICK_MS);
@@ -70,22 +70,22 @@
  * work 1.5 s after they are asked for, so after two seconds those are asked
  * for that the third second needs. */
 static void
-test_rise_is_carried_on(void)
+test_rise_is_extrapolated(void)
 {
     struct fleet_fixture f;
-    start_spare(&f);
+    init_with_spare_hosts(&f);
     GArray *arrivals = g_array_new(FALSE, FALSE, sizeof(struct arrival));
     double due = 0;
     for (int64_t t_ms = 0; t_ms < 2000; t_ms += TICK_MS) {
         due += 120.0 * (double)t_ms / 4000 * TICK_MS / 1000;
         int n_jobs = (int)due;
         due -= n_jobs;
-        play_tick(&f, arrivals, n_jobs);
+        run_tick(&f, arrivals, n_jobs);
     }
-    uint32_t asked = fixture_count(&f, ORDER_MOVE, NULL);
-    printf("%u hosts asked for ", asked);
+    uint32_t requested = fixture_count(&f, COMMAND_MOVE, NULL);
+    printf("%u hosts asked for ", requested);
     /* 90 jobs a second of 18 core-seconds would need 119 hosts. */
-    CU_ASSERT(asked >= 55);
+    CU_ASSERT(requested >= 55);
     g_array_unref(arrivals);
     fixture_clear(&f);
 }
@@ -96,22 +96,22 @@
 {
     for (uint32_t seed = 1; seed <= 5; seed++) {
         struct fleet_fixture f;
-        start_spare(&f);
-        GRand *chance = g_rand_new_with_seed(seed);
+        init_with_spare_hosts(&f);
+        GRand *rng = g_rand_new_with_seed(seed);
         GArray *arrivals = g_array_new(FALSE, FALSE, sizeof(struct arrival));
-        for (int64_t t_ms = 0; t_ms < STEADY_MS; t_ms += TICK_MS) {
+        for (int64_t t_ms = 0; t_ms < STEADY_LOAD_MS; t_ms += TICK_MS) {
             int n_jobs = 0;
             for (int i = 0; i < 8; i++) {
-                n_jobs += g_rand_double(chance) < 0.1;
+                n_jobs += g_rand_double(rng) < 0.1;
             }
-            play_tick(&f, arrivals, n_jobs);
+            run_tick(&f, arrivals, n_jobs);
         }
-        uint32_t asked = fixture_count(&f, ORDER_MOVE, NULL);
-        printf("%u ", asked);
+        uint32_t requested = fixture_count(&f, COMMAND_MOVE, NULL);
+        printf("%u ", requested);
         /* 8 jobs a second need 11 hosts, a chance cluster twice as many. */
-        CU_ASSERT(asked <= 22);
+        CU_ASSERT(requested <= 22);
         g_array_unref(arrivals);
-        g_rand_free(chance);
+        g_rand_free(rng);
         fixture_clear(&f);
     }
 }
@@ -120,7 +120,7 @@
 main(void)
 {
     static const struct suite_test tests[] = {
-        {"a rise is carried on", test_rise_is_carried_on},
+        {"a rise is carried on", test_rise_is_extrapolated},
         {"a steady load is not a rise", test_steady_load_is_not_a_rise},
     };
     return suite_main("jobs arrivals", tests,
--- a/tests/jobs/committer_test.c
+++ b/tests/jobs/committer_test.c
@@ -8,9 +8,9 @@
 enum {
     TIMEOUT_MS = 1000,
     /* Well before the timeout, after the second attempt. */
-    SOON_MS = 400,
-    TURN_US = 2500,
-    KEPT_MAX = 8,
+    PROMPT_MS = 400,
+    POLL_US = 2500,
+    WITHHELD_MAX = 8,
 };
 
 #define STORE_ADDRESS "127.0.0.1:20921"
@@ -23,8 +23,8 @@
     int answers_every;
     bool refuses;
     int requests;
-    struct http_exchange *kept[KEPT_MAX];
-    int n_kept;
+    struct http_exchange *withheld[WITHHELD_MAX];
+    int n_withheld;
 };
 
 struct outcome_seen {
@@ -38,7 +38,7 @@
     struct lossy_store *store = ctx;
     store->requests++;
     if (store->requests % store->answers_every != 0) {
-        store->kept[store->n_kept++] = exchange;
+        store->withheld[store->n_withheld++] = exchange;
         return;
     }
     if (store->refuses) {
@@ -78,13 +78,13 @@
     struct outcome_seen seen = {.outcome = -1};
     committer_commit(committer, &txn,
                      (struct kv_done){.call = keep_outcome, .ctx = &seen});
-    for (int i = 0; i < within_ms * 1000 / TURN_US && seen.count == 0; i++) {
+    for (int i = 0; i < within_ms * 1000 / POLL_US && seen.count == 0; i++) {
         event_base_loop(base, EVLOOP_NONBLOCK);
-        g_usleep(TURN_US);
+        g_usleep(POLL_US);
     }
     committer_destroy(committer);
-    for (int i = 0; i < store->n_kept; i++) {
-        http_exchange_reply(store->kept[i], 503, NULL);
+    for (int i = 0; i < store->n_withheld; i++) {
+        http_exchange_reply(store->withheld[i], 503, NULL);
     }
     event_base_loop(base, EVLOOP_NONBLOCK);
     http_server_destroy(server);
@@ -95,10 +95,10 @@
 /* The answer to the first attempt is lost; the second attempt gives the
  * outcome of the transaction long before the timeout. */
 static void
-test_lost_answer_is_learnt_soon(void)
+test_lost_answer_is_retried_soon(void)
 {
     struct lossy_store store = {.answers_every = 2};
-    struct outcome_seen seen = commit_once(&store, SOON_MS);
+    struct outcome_seen seen = commit_once(&store, PROMPT_MS);
     CU_ASSERT_EQUAL(seen.count, 1);
     CU_ASSERT_EQUAL(seen.outcome, KV_CONFLICT);
     CU_ASSERT_EQUAL(store.requests, 2);
@@ -107,7 +107,7 @@
 /* One attempt got no answer, the other was refused: the first may have been
  * carried out, so the outcome must not be KV_REFUSED. */
 static void
-test_refusal_after_silence_is_unknown(void)
+test_refusal_after_no_answer_is_unknown(void)
 {
     struct lossy_store store = {.answers_every = 2, .refuses = true};
     struct outcome_seen seen = commit_once(&store, 2 * TIMEOUT_MS);
@@ -117,10 +117,10 @@
 
 /* If the only attempt is refused, the outcome is KV_REFUSED, without delay. */
 static void
-test_refusal_is_one(void)
+test_refusal_is_reported(void)
 {
     struct lossy_store store = {.answers_every = 1, .refuses = true};
-    struct outcome_seen seen = commit_once(&store, SOON_MS);
+    struct outcome_seen seen = commit_once(&store, PROMPT_MS);
     CU_ASSERT_EQUAL(seen.outcome, KV_REFUSED);
     CU_ASSERT_EQUAL(store.requests, 1);
 }
@@ -130,10 +130,10 @@
 {
     signal(SIGPIPE, SIG_IGN);
     static const struct suite_test tests[] = {
-        {"a lost answer is learnt soon", test_lost_answer_is_learnt_soon},
+        {"a lost answer is learnt soon", test_lost_answer_is_retried_soon},
         {"a refusal after silence is unknown",
-         test_refusal_after_silence_is_unknown},
-        {"a refusal is one", test_refusal_is_one},
+         test_refusal_after_no_answer_is_unknown},
+        {"a refusal is one", test_refusal_is_reported},
     };
     return suite_main("committer", tests, sizeof(tests) / sizeof(tests[0]));
 }
--- a/tests/jobs/fleet_fixture.c
+++ b/tests/jobs/fleet_fixture.c
@@ -13,84 +13,88 @@
 };
 
 static void
-order_free(void *data)
+recorded_command_free(void *data)
 {
-    struct order *order = data;
-    g_free(order->target);
-    g_free(order->task);
-    g_free(order->ticket);
-    g_free(order);
+    struct recorded_command *recorded = data;
+    g_free(recorded->target);
+    g_free(recorded->task);
+    g_free(recorded->ticket);
+    g_free(recorded);
 }
 
-static struct order *
-record(struct fleet_fixture *fixture, enum order_kind kind, const char *target)
+static struct recorded_command *
+record(struct fleet_fixture *fixture, enum command_kind kind,
+       const char *target)
 {
-    struct order *order = g_new0(struct order, 1);
-    order->kind = kind;
-    order->target = g_strdup(target);
-    order->at_ms = fixture->now_ms;
-    g_ptr_array_add(fixture->orders, order);
-    return order;
+    struct recorded_command *recorded = g_new0(struct recorded_command, 1);
+    recorded->kind = kind;
+    recorded->target = g_strdup(target);
+    recorded->at_ms = fixture->now_ms;
+    g_ptr_array_add(fixture->commands, recorded);
+    return recorded;
 }
 
 static void
-op_start(void *ctx, const struct start_command *given)
+op_start(void *ctx, const struct start_command *command)
 {
-    struct order *order = record(ctx, ORDER_START, given->backend->entry.id);
-    order->handle = given->handle;
-    order->number = given->run->number;
-    order->ticket = g_strdup(given->ticket);
-    order->task = g_strdup_printf("%s.%u.%u.%u", given->run->job->id,
-                                  given->run->occurrence, given->run->step,
-                                  given->run->index);
+    struct recorded_command *recorded =
+        record(ctx, COMMAND_START, command->backend->entry.id);
+    recorded->handle = command->handle;
+    recorded->number = command->run->number;
+    recorded->ticket = g_strdup(command->ticket);
+    recorded->task = g_strdup_printf("%s.%u.%u.%u", command->run->job->id,
+                                     command->run->occurrence,
+                                     command->run->step, command->run->index);
 }
 
 static void
-op_stop(void *ctx, const struct stop_command *given)
+op_stop(void *ctx, const struct stop_command *command)
 {
-    struct order *order = record(ctx, ORDER_STOP, given->backend->entry.id);
-    order->handle = given->handle;
-    order->number = given->number;
-    order->task = g_strdup(given->task);
+    struct recorded_command *recorded =
+        record(ctx, COMMAND_STOP, command->backend->entry.id);
+    recorded->handle = command->handle;
+    recorded->number = command->number;
+    recorded->task = g_strdup(command->task);
 }
 
 static void
-op_list(void *ctx, struct backend *backend, int64_t until_ms,
-        int64_t acked_completion, int64_t wait_ms)
+op_request_report(void *ctx, struct backend *backend, int64_t until_ms,
+                  int64_t acked_completion, int64_t wait_ms)
 {
     (void)until_ms;
     (void)acked_completion;
     (void)wait_ms;
-    record(ctx, ORDER_LIST, backend->entry.id);
+    record(ctx, COMMAND_REQUEST_REPORT, backend->entry.id);
 }
 
 static void
 op_move(void *ctx, const char *host, const char *pool)
 {
-    struct order *order = record(ctx, ORDER_MOVE, host);
-    order->task = g_strdup(pool);
+    struct recorded_command *recorded = record(ctx, COMMAND_MOVE, host);
+    recorded->task = g_strdup(pool);
 }
 
 static void
 op_reboot(void *ctx, const char *host, int64_t wave)
 {
-    record(ctx, ORDER_REBOOT, host)->number = (uint32_t)wave;
+    record(ctx, COMMAND_REBOOT, host)->number = (uint32_t)wave;
 }
 
 static void
-op_pace(void *ctx, const struct throttle_command *given)
+op_throttle(void *ctx, const struct throttle_command *command)
 {
-    struct order *order = record(ctx, ORDER_PACE, given->backend->entry.id);
-    order->handle = given->handle;
-    order->number = (uint32_t)given->percent;
-    order->task = g_strdup(given->task);
+    struct recorded_command *recorded =
+        record(ctx, COMMAND_THROTTLE, command->backend->entry.id);
+    recorded->handle = command->handle;
+    recorded->number = (uint32_t)command->percent;
+    recorded->task = g_strdup(command->task);
 }
 
 static void
-op_advise(void *ctx, const char *step, const char *const *backend_ids)
+op_request_advice(void *ctx, const char *step, const char *const *backend_ids)
 {
     char *ids = g_strjoinv(" ", (char **)backend_ids);
-    record(ctx, ORDER_ADVISE, ids)->task = g_strdup(step);
+    record(ctx, COMMAND_REQUEST_ADVICE, ids)->task = g_strdup(step);
     g_free(ids);
 }
 
@@ -128,8 +132,9 @@
 void
 fixture_init(struct fleet_fixture *fixture, uint32_t term)
 {
-    *fixture = (struct fleet_fixture){.now_ms = 100000, .born_ms = 1};
-    fixture->orders = g_ptr_array_new_with_free_func(order_free);
+    *fixture =
+        (struct fleet_fixture){.now_ms = 100000, .incarnation_start_ms = 1};
+    fixture->commands = g_ptr_array_new_with_free_func(recorded_command_free);
     fixture->config = fleet_config_create();
     add_queue(fixture->config, "p");
     add_queue(fixture->config, "q");
@@ -152,11 +157,11 @@
     struct sched_ops ops = {
         .start = op_start,
         .stop = op_stop,
-        .throttle = op_pace,
-        .request_report = op_list,
+        .throttle = op_throttle,
+        .request_report = op_request_report,
         .move_host = op_move,
         .reboot_host = op_reboot,
-        .request_advice = op_advise,
+        .request_advice = op_request_advice,
         .ctx = fixture,
     };
     fixture->sched = scheduler_create(
@@ -171,17 +176,17 @@
 {
     scheduler_destroy(fixture->sched);
     fleet_config_destroy(fixture->config);
-    g_ptr_array_unref(fixture->orders);
+    g_ptr_array_unref(fixture->commands);
 }
 
 static void
-see_backend(struct fleet_fixture *fixture, const char *id, const char *pool,
+add_backend(struct fleet_fixture *fixture, const char *id, const char *pool,
             const char *host, bool draining)
 {
     static char *labels[] = {(char *)"a", (char *)"r1", NULL};
     struct backend_entry entry = {
         .id = (char *)id,
-        .incarnation_start_ms = fixture->born_ms,
+        .incarnation_start_ms = fixture->incarnation_start_ms,
         .pool = (char *)pool,
         .address = (char *)"127.0.0.1:1",
         .data_centre = (char *)"dc",
@@ -194,23 +199,23 @@
 }
 
 void
-fixture_backend(struct fleet_fixture *fixture, const char *id,
-                const char *pool, const char *host)
+fixture_add_backend(struct fleet_fixture *fixture, const char *id,
+                    const char *pool, const char *host)
 {
-    see_backend(fixture, id, pool, host, false);
+    add_backend(fixture, id, pool, host, false);
 }
 
 void
-fixture_backend_drains(struct fleet_fixture *fixture, const char *id,
-                       const char *pool, const char *host)
+fixture_drain_backend(struct fleet_fixture *fixture, const char *id,
+                      const char *pool, const char *host)
 {
-    see_backend(fixture, id, pool, host, true);
+    add_backend(fixture, id, pool, host, true);
 }
 
 void
-fixture_hosts(struct fleet_fixture *fixture, const char *const *pools)
+fixture_add_hosts(struct fleet_fixture *fixture, const char *const *pools)
 {
-    struct host_info facts[HOSTS_MAX] = {0};
+    struct host_info infos[HOSTS_MAX] = {0};
     char names[HOSTS_MAX][2][NAME_BYTES];
     size_t n_hosts = 0;
     for (; pools[n_hosts] != NULL && n_hosts < HOSTS_MAX; n_hosts++) {
@@ -218,14 +223,14 @@
         char *id = names[n_hosts][1];
         snprintf(host, NAME_BYTES, "m%zu", n_hosts);
         snprintf(id, NAME_BYTES, "b%zu", n_hosts);
-        fixture_backend(fixture, id, pools[n_hosts], host);
-        facts[n_hosts] = (struct host_info){.host = host,
+        fixture_add_backend(fixture, id, pools[n_hosts], host);
+        infos[n_hosts] = (struct host_info){.host = host,
                                             .pool = pools[n_hosts],
                                             .backend_id = id,
                                             .data_centre = "dc",
                                             .up = true};
     }
-    scheduler_hosts_read(fixture->sched, facts, n_hosts);
+    scheduler_hosts_read(fixture->sched, infos, n_hosts);
 }
 
 static void
@@ -246,36 +251,36 @@
 }
 
 void
-fixture_lists(struct fleet_fixture *fixture, const char *id,
-              struct reported_run *running, size_t n_running,
-              struct run_completion *ends, size_t n_completions)
+fixture_report(struct fleet_fixture *fixture, const char *id,
+               struct reported_run *running, size_t n_running,
+               struct run_completion *completions, size_t n_completions)
 {
-    struct run_report lists = {
+    struct run_report report = {
         .outcome = REPORT_READ,
-        .incarnation_start_ms = fixture->born_ms,
+        .incarnation_start_ms = fixture->incarnation_start_ms,
         .clock_ms = fixture->now_ms + 5000,
         .running = running,
         .n_running = n_running,
-        .completions = ends,
+        .completions = completions,
         .n_completions = n_completions,
     };
-    scheduler_on_report(fixture->sched, id, &lists);
+    scheduler_on_report(fixture->sched, id, &report);
 }
 
 void
-fixture_settle(struct fleet_fixture *fixture)
+fixture_reconcile(struct fleet_fixture *fixture)
 {
     fixture_tick(fixture, fixture->now_ms + 10);
     GPtrArray *ids = scheduler_backend_ids(fixture->sched);
     for (guint i = 0; i < ids->len; i++) {
-        fixture_lists(fixture, g_ptr_array_index(ids, i), NULL, 0, NULL, 0);
+        fixture_report(fixture, g_ptr_array_index(ids, i), NULL, 0, NULL, 0);
     }
     g_ptr_array_unref(ids);
 }
 
 struct job *
-fixture_job(struct fleet_fixture *fixture, const char *id, const char *pool,
-            const char *steps)
+fixture_add_job(struct fleet_fixture *fixture, const char *id,
+                const char *pool, const char *steps)
 {
     char *error = NULL;
     char *body = g_strdup_printf("{\"spec\":\"x\",\"steps\":%s}", steps);
@@ -293,28 +298,30 @@
 }
 
 uint32_t
-fixture_count(const struct fleet_fixture *fixture, enum order_kind kind,
+fixture_count(const struct fleet_fixture *fixture, enum command_kind kind,
               const char *target)
 {
     uint32_t count = 0;
-    for (guint i = 0; i < fixture->orders->len; i++) {
-        const struct order *order = g_ptr_array_index(fixture->orders, i);
-        if (order->kind == kind &&
-            (target == NULL || strcmp(order->target, target) == 0)) {
+    for (guint i = 0; i < fixture->commands->len; i++) {
+        const struct recorded_command *recorded =
+            g_ptr_array_index(fixture->commands, i);
+        if (recorded->kind == kind &&
+            (target == NULL || strcmp(recorded->target, target) == 0)) {
             count++;
         }
     }
     return count;
 }
 
-const struct order *
-fixture_last(const struct fleet_fixture *fixture, enum order_kind kind)
+const struct recorded_command *
+fixture_last(const struct fleet_fixture *fixture, enum command_kind kind)
 {
-    const struct order *last = NULL;
-    for (guint i = 0; i < fixture->orders->len; i++) {
-        const struct order *order = g_ptr_array_index(fixture->orders, i);
-        if (order->kind == kind) {
-            last = order;
+    const struct recorded_command *last = NULL;
+    for (guint i = 0; i < fixture->commands->len; i++) {
+        const struct recorded_command *recorded =
+            g_ptr_array_index(fixture->commands, i);
+        if (recorded->kind == kind) {
+            last = recorded;
         }
     }
     return last;
@@ -323,10 +330,12 @@
 void
 fixture_accept_starts(struct fleet_fixture *fixture)
 {
-    for (guint i = 0; i < fixture->orders->len; i++) {
-        const struct order *order = g_ptr_array_index(fixture->orders, i);
-        if (order->kind == ORDER_START) {
-            scheduler_on_start(fixture->sched, order->handle, START_DONE, 0);
+    for (guint i = 0; i < fixture->commands->len; i++) {
+        const struct recorded_command *recorded =
+            g_ptr_array_index(fixture->commands, i);
+        if (recorded->kind == COMMAND_START) {
+            scheduler_on_start(fixture->sched, recorded->handle, START_DONE,
+                               0);
         }
     }
 }
--- a/tests/jobs/fleet_fixture.h
+++ b/tests/jobs/fleet_fixture.h
@@ -6,15 +6,15 @@
 
 #include "core/jobs/scheduler.h"
 
-/** enum order_kind - kind of a recorded order */
-enum order_kind {
-    ORDER_START,
-    ORDER_STOP,
-    ORDER_LIST,
-    ORDER_MOVE,
-    ORDER_REBOOT,
-    ORDER_ADVISE,
-    ORDER_PACE,
+/** enum command_kind - kind of a recorded order */
+enum command_kind {
+    COMMAND_START,
+    COMMAND_STOP,
+    COMMAND_REQUEST_REPORT,
+    COMMAND_MOVE,
+    COMMAND_REBOOT,
+    COMMAND_REQUEST_ADVICE,
+    COMMAND_THROTTLE,
 };
 
 /**
@@ -25,8 +25,8 @@
  * @ticket: ticket of a start, or NULL
  * @number: number of the run, wave of a reboot, or percent of a pace
  */
-struct order {
-    enum order_kind kind;
+struct recorded_command {
+    enum command_kind kind;
     uint64_t handle;
     char *target;
     char *task;
@@ -38,15 +38,15 @@
 /**
  * struct fleet_fixture - the scheduler and what it ordered
  * @now_ms: its clock
- * @born_ms: Unix time at which every backend server started
- * @orders: struct order, oldest first
+ * @incarnation_start_ms: Unix time at which every backend server started
+ * @commands: struct order, oldest first
  */
 struct fleet_fixture {
     struct scheduler *sched;
     struct fleet_config *config;
     int64_t now_ms;
-    int64_t born_ms;
-    GPtrArray *orders;
+    int64_t incarnation_start_ms;
+    GPtrArray *commands;
 };
 
 /** fixture_init() - two pools "p" and "q" with queues of the same names, a
@@ -56,48 +56,48 @@
 void
 fixture_clear(struct fleet_fixture *fixture);
 
-/** fixture_backend() - a backend server with 16 cores is listed. */
+/** fixture_add_backend() - a backend server with 16 cores is listed. */
 void
-fixture_backend(struct fleet_fixture *fixture, const char *id,
-                const char *pool, const char *host);
+fixture_add_backend(struct fleet_fixture *fixture, const char *id,
+                    const char *pool, const char *host);
 
-/** fixture_backend_drains() - it says that it leaves soon. */
+/** fixture_drain_backend() - it says that it leaves soon. */
 void
-fixture_backend_drains(struct fleet_fixture *fixture, const char *id,
-                       const char *pool, const char *host);
+fixture_drain_backend(struct fleet_fixture *fixture, const char *id,
+                      const char *pool, const char *host);
 
-/** fixture_hosts() - hosts m0, m1, ... of these pools, NULL-terminated, with
- * backend servers b0, b1, ...; the list of hosts is read. */
+/** fixture_add_hosts() - hosts m0, m1, ... of these pools, NULL-terminated,
+ * with backend servers b0, b1, ...; the list of hosts is read. */
 void
-fixture_hosts(struct fleet_fixture *fixture, const char *const *pools);
+fixture_add_hosts(struct fleet_fixture *fixture, const char *const *pools);
 
-/** fixture_settle() - register backend servers and answer first lists. */
+/** fixture_reconcile() - register backend servers and answer first lists. */
 void
-fixture_settle(struct fleet_fixture *fixture);
+fixture_reconcile(struct fleet_fixture *fixture);
 
-/** fixture_job() - a job of queue @pool from its steps as JSON. */
+/** fixture_add_job() - a job of queue @pool from its steps as JSON. */
 struct job *
-fixture_job(struct fleet_fixture *fixture, const char *id, const char *pool,
-            const char *steps);
+fixture_add_job(struct fleet_fixture *fixture, const char *id,
+                const char *pool, const char *steps);
 
 /** fixture_tick() - advance to @now_ms and decide; stores at once. */
 void
 fixture_tick(struct fleet_fixture *fixture, int64_t now_ms);
 
-/** fixture_lists() - answer of a backend server with these runs and ends */
+/** fixture_report() - answer of a backend server with these runs and ends */
 void
-fixture_lists(struct fleet_fixture *fixture, const char *id,
-              struct reported_run *running, size_t n_running,
-              struct run_completion *ends, size_t n_completions);
+fixture_report(struct fleet_fixture *fixture, const char *id,
+               struct reported_run *running, size_t n_running,
+               struct run_completion *completions, size_t n_completions);
 
 /** fixture_count() - orders of a kind, to @target if not NULL. */
 uint32_t
-fixture_count(const struct fleet_fixture *fixture, enum order_kind kind,
+fixture_count(const struct fleet_fixture *fixture, enum command_kind kind,
               const char *target);
 
 /** fixture_last() - last order of a kind, or NULL. */
-const struct order *
-fixture_last(const struct fleet_fixture *fixture, enum order_kind kind);
+const struct recorded_command *
+fixture_last(const struct fleet_fixture *fixture, enum command_kind kind);
 
 /** fixture_accept_starts() - acknowledge every start that is open. */
 void
--- a/tests/jobs/host_orders_test.c
+++ b/tests/jobs/host_orders_test.c
@@ -9,24 +9,25 @@
 
 enum {
     IDLE_HOSTS = 100,
-    ORDERS_PER_S = 64,
+    COMMANDS_PER_S = 64,
 };
 
 /* Many idle hosts in pool "q", one in "p". */
 static void
-start_idle(struct fleet_fixture *f, uint32_t term, int64_t born_ms)
+init_with_idle_hosts(struct fleet_fixture *f, uint32_t term,
+                     int64_t incarnation_start_ms)
 {
     fixture_init(f, term);
-    f->born_ms = born_ms;
-    fixture_backend(f, "p1", "p", "hp1");
+    f->incarnation_start_ms = incarnation_start_ms;
+    fixture_add_backend(f, "p1", "p", "hp1");
     for (int i = 0; i < IDLE_HOSTS; i++) {
         char id[16];
         char host[16];
         snprintf(id, sizeof(id), "q%d", i);
         snprintf(host, sizeof(host), "hq%d", i);
-        fixture_backend(f, id, "q", host);
+        fixture_add_backend(f, id, "q", host);
     }
-    struct host_info facts[IDLE_HOSTS + 1] = {{.host = "hp1",
+    struct host_info infos[IDLE_HOSTS + 1] = {{.host = "hp1",
                                                .pool = "p",
                                                .backend_id = "p1",
                                                .data_centre = "dc",
@@ -35,24 +36,25 @@
     for (int i = 0; i < IDLE_HOSTS; i++) {
         snprintf(names[i][0], sizeof(names[i][0]), "hq%d", i);
         snprintf(names[i][1], sizeof(names[i][1]), "q%d", i);
-        facts[i + 1] = (struct host_info){.host = names[i][0],
+        infos[i + 1] = (struct host_info){.host = names[i][0],
                                           .pool = "q",
                                           .backend_id = names[i][1],
                                           .data_centre = "dc",
                                           .up = true};
     }
-    fixture_settle(f);
-    scheduler_hosts_read(f->sched, facts, IDLE_HOSTS + 1);
+    fixture_reconcile(f);
+    scheduler_hosts_read(f->sched, infos, IDLE_HOSTS + 1);
 }
 
 static uint32_t
 moves_to(const struct fleet_fixture *f, const char *pool, int64_t since_ms)
 {
     uint32_t count = 0;
-    for (guint i = 0; i < f->orders->len; i++) {
-        const struct order *order = g_ptr_array_index(f->orders, i);
-        if (order->kind == ORDER_MOVE && order->at_ms > since_ms &&
-            (pool == NULL || strcmp(order->task, pool) == 0)) {
+    for (guint i = 0; i < f->commands->len; i++) {
+        const struct recorded_command *command =
+            g_ptr_array_index(f->commands, i);
+        if (command->kind == COMMAND_MOVE && command->at_ms > since_ms &&
+            (pool == NULL || strcmp(command->task, pool) == 0)) {
             count++;
         }
     }
@@ -62,17 +64,17 @@
 /* Idle hosts of a large fleet are given back: the platform takes no more than
  * its rate, and what is ordered beyond it would wait. */
 static void
-test_moves_keep_the_rate(void)
+test_moves_keep_to_the_rate(void)
 {
     struct fleet_fixture f;
-    start_idle(&f, 0, 1);
-    uint32_t most = 0;
+    init_with_idle_hosts(&f, 0, 1);
+    uint32_t most_per_s = 0;
     for (int i = 0; i < 60; i++) {
         fixture_tick(&f, f.now_ms + 100);
-        most = MAX(most, moves_to(&f, NULL, f.now_ms - 1000));
+        most_per_s = MAX(most_per_s, moves_to(&f, NULL, f.now_ms - 1000));
     }
-    CU_ASSERT(most <= ORDERS_PER_S);
-    CU_ASSERT(most >= ORDERS_PER_S / 2);
+    CU_ASSERT(most_per_s <= COMMANDS_PER_S);
+    CU_ASSERT(most_per_s >= COMMANDS_PER_S / 2);
     CU_ASSERT(moves_to(&f, "s", 0) >= 95);
     fixture_clear(&f);
 }
@@ -80,17 +82,17 @@
 /* A peak begins while idle hosts are being given back: hosts for it are
  * ordered at once, not behind those. */
 static void
-test_peak_goes_before_giving_back(void)
+test_peak_goes_before_returning_hosts(void)
 {
     struct fleet_fixture f;
-    start_idle(&f, 0, 1);
+    init_with_idle_hosts(&f, 0, 1);
     while (moves_to(&f, "s", 0) < 10) {
         fixture_tick(&f, f.now_ms + 50);
     }
     int64_t peak_ms = f.now_ms;
-    fixture_job(&f, JOB_A, "p",
-                "[{\"count\":64,\"cpu\":1000,\"mem_mb\":100,"
-                "\"estimate_ms\":1000}]");
+    fixture_add_job(&f, JOB_A, "p",
+                    "[{\"count\":64,\"cpu\":1000,\"mem_mb\":100,"
+                    "\"estimate_ms\":1000}]");
     fixture_tick(&f, f.now_ms + 100);
     fixture_tick(&f, f.now_ms + 100);
     CU_ASSERT(moves_to(&f, "p", peak_ms) >= 4);
@@ -100,10 +102,10 @@
 /* After a takeover no order may be given for some seconds about the hosts that
  * the holder before ordered about; idle ones serve until then. */
 static void
-test_hosts_serve_until_orders_are_allowed(void)
+test_hosts_serve_until_commands_are_allowed(void)
 {
     struct fleet_fixture f;
-    start_idle(&f, 1, 1000100000);
+    init_with_idle_hosts(&f, 1, 1000100000);
     for (int i = 0; i < IDLE_HOSTS; i++) {
         char host[16];
         snprintf(host, sizeof(host), "hq%d", i);
@@ -112,11 +114,11 @@
     for (int i = 0; i < 28; i++) {
         fixture_tick(&f, f.now_ms + 100);
     }
-    fixture_job(&f, JOB_A, "q",
-                "[{\"count\":1000,\"cpu\":1600,\"mem_mb\":100,"
-                "\"estimate_ms\":1000}]");
+    fixture_add_job(&f, JOB_A, "q",
+                    "[{\"count\":1000,\"cpu\":1600,\"mem_mb\":100,"
+                    "\"estimate_ms\":1000}]");
     fixture_tick(&f, f.now_ms + 10);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, NULL), 1000);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, NULL), 1000);
     fixture_clear(&f);
 }
 
@@ -127,9 +129,9 @@
 {
     struct fleet_fixture f;
     fixture_init(&f, 1);
-    f.born_ms = 1000100000;
-    fixture_backend(&f, "p1", "p", "hp1");
-    struct host_info facts[] = {
+    f.incarnation_start_ms = 1000100000;
+    fixture_add_backend(&f, "p1", "p", "hp1");
+    struct host_info infos[] = {
         {.host = "hp1",
          .pool = "p",
          .backend_id = "p1",
@@ -139,22 +141,22 @@
         {.host = "s2", .pool = "s", .data_centre = "dc", .up = true},
     };
     scheduler_host_commanded_before(f.sched, "s2");
-    fixture_settle(&f);
-    scheduler_hosts_read(f.sched, facts, G_N_ELEMENTS(facts));
-    fixture_job(&f, JOB_A, "p",
-                "[{\"count\":64,\"cpu\":1000,\"mem_mb\":100,"
-                "\"estimate_ms\":1000}]");
+    fixture_reconcile(&f);
+    scheduler_hosts_read(f.sched, infos, G_N_ELEMENTS(infos));
+    fixture_add_job(&f, JOB_A, "p",
+                    "[{\"count\":64,\"cpu\":1000,\"mem_mb\":100,"
+                    "\"estimate_ms\":1000}]");
     int64_t taken_over_ms = f.now_ms;
     fixture_tick(&f, f.now_ms + 100);
     fixture_tick(&f, f.now_ms + 100);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_MOVE, "s1"), 1);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_MOVE, "s1"), 1);
     while (f.now_ms < taken_over_ms + 3000) {
         fixture_tick(&f, f.now_ms + 100);
     }
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_MOVE, "s2"), 0);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_MOVE, "s2"), 0);
     fixture_tick(&f, f.now_ms + 400);
     fixture_tick(&f, f.now_ms + 100);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_MOVE, "s2"), 1);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_MOVE, "s2"), 1);
     fixture_clear(&f);
 }
 
@@ -162,10 +164,11 @@
 main(void)
 {
     static const struct suite_test tests[] = {
-        {"moves keep the rate", test_moves_keep_the_rate},
-        {"a peak goes before giving back", test_peak_goes_before_giving_back},
+        {"moves keep the rate", test_moves_keep_to_the_rate},
+        {"a peak goes before giving back",
+         test_peak_goes_before_returning_hosts},
         {"hosts serve until orders are allowed",
-         test_hosts_serve_until_orders_are_allowed},
+         test_hosts_serve_until_commands_are_allowed},
         {"spare hosts after a takeover", test_spare_hosts_after_a_takeover},
     };
     return suite_main("jobs host orders", tests,
--- a/tests/jobs/jobs_process_test.c
+++ b/tests/jobs/jobs_process_test.c
@@ -9,82 +9,82 @@
 static void
 test_calm(void)
 {
-    play(3000, true);
-    play_to_end();
-    check_promises();
+    run_for(3000, true);
+    run_until_finished();
+    check_invariants();
     CU_ASSERT(caller_queue_quantile_ms(&fixture.quick, 0.5) < 2000);
 }
 
 static void
-test_holder_killed(void)
+test_leader_killed(void)
 {
-    play(1500, true);
-    int killed = holder();
+    run_for(1500, true);
+    int killed = find_leader();
     CU_ASSERT_FATAL(killed >= 0);
-    end_process(&fixture.entries[killed], SIGKILL);
-    play(5000, true);
-    start_entry(killed);
+    end_process(&fixture.entry_pids[killed], SIGKILL);
+    run_for(5000, true);
+    start_entry_host(killed);
     wait_ready(killed);
-    play(1000, true);
-    play_to_end();
-    check_promises();
+    run_for(1000, true);
+    run_until_finished();
+    check_invariants();
 }
 
 static void
-test_holder_restarted(void)
+test_leader_restarted(void)
 {
-    play(1500, true);
-    int killed = holder();
+    run_for(1500, true);
+    int killed = find_leader();
     CU_ASSERT_FATAL(killed >= 0);
-    end_process(&fixture.entries[killed], SIGKILL);
-    start_entry(killed);
+    end_process(&fixture.entry_pids[killed], SIGKILL);
+    start_entry_host(killed);
     wait_ready(killed);
-    play(2000, true);
-    play_to_end();
-    check_promises();
+    run_for(2000, true);
+    run_until_finished();
+    check_invariants();
     /* Its own earlier incarnation's duty is taken back without waiting. */
     CU_ASSERT(caller_queue_quantile_ms(&fixture.quick, 0.99) < 4000);
 }
 
 static void
-test_holder_leaves(void)
+test_leader_leaves(void)
 {
-    play(1500, true);
-    int left = holder();
+    run_for(1500, true);
+    int left = find_leader();
     CU_ASSERT_FATAL(left >= 0);
-    end_process(&fixture.entries[left], SIGTERM);
-    play(1500, true);
-    play_to_end();
-    check_promises();
+    end_process(&fixture.entry_pids[left], SIGTERM);
+    run_for(1500, true);
+    run_until_finished();
+    check_invariants();
     CU_ASSERT(caller_queue_quantile_ms(&fixture.quick, 0.99) < 4500);
 }
 
 static void
-test_holder_paused(void)
+test_leader_paused(void)
 {
-    play(1500, true);
-    int paused = holder();
+    run_for(1500, true);
+    int paused = find_leader();
     CU_ASSERT_FATAL(paused >= 0);
-    kill(fixture.entries[paused], SIGSTOP);
-    play(5000, true);
-    kill(fixture.entries[paused], SIGCONT);
-    play(1500, true);
-    play_to_end();
-    check_promises();
+    kill(fixture.entry_pids[paused], SIGSTOP);
+    run_for(5000, true);
+    kill(fixture.entry_pids[paused], SIGCONT);
+    run_for(1500, true);
+    run_until_finished();
+    check_invariants();
 }
 
 static void
-test_backends_dark(void)
+test_backends_unreachable(void)
 {
-    play(1000, true);
-    ask(fixture.admin, "POST", "/dark/0");
-    ask(fixture.admin, "POST", "/dark/1");
-    play(5000, true);
-    ask(fixture.admin, "POST", "/dark/0");
-    ask(fixture.admin, "POST", "/dark/1");
-    play(1000, true);
-    play_to_end();
-    check_promises();
+    run_for(1000, true);
+    send_request(fixture.admin, "POST", "/dark/0");
+    send_request(fixture.admin, "POST", "/dark/1");
+    run_for(5000, true);
+    send_request(fixture.admin, "POST", "/dark/0");
+    send_request(fixture.admin, "POST", "/dark/1");
+    run_for(1000, true);
+    run_until_finished();
+    check_invariants();
 }
 
 static void
@@ -92,13 +92,13 @@
 {
     for (int i = 0; i < 4; i++) {
         char *path = g_strdup_printf("/crash/%d", i);
-        play(700, true);
-        ask(fixture.admin, "POST", path);
+        run_for(700, true);
+        send_request(fixture.admin, "POST", path);
         g_free(path);
     }
-    play(1000, true);
-    play_to_end();
-    check_promises();
+    run_for(1000, true);
+    run_until_finished();
+    check_invariants();
 }
 
 static void
@@ -107,35 +107,35 @@
     static const char wave[] =
         "{\"wave\":1,\"machines\":[\"m-0\",\"m-1\",\"m-2\",\"m-5\",\"m-12\"],"
         "\"complete_by_s\":15,\"maximum\":2}";
-    job_caller_submit_to_cancel(fixture.caller, &fixture.lasting, lasting_body,
-                                15000);
-    play(1500, true);
-    http_ask(fixture.base, fixture.admin, "POST", "/put/op/wave/1", NULL, wave,
-             NULL);
-    play(12000, true);
-    play_to_end();
-    check_promises();
-    CU_ASSERT(figure("moves") >= 5);
-    CU_ASSERT_EQUAL(fixture.lasting.cancelled, 1);
+    job_caller_submit_to_cancel(fixture.caller, &fixture.service,
+                                service_job_body, 15000);
+    run_for(1500, true);
+    http_call_sync(fixture.base, fixture.admin, "POST", "/put/op/wave/1", NULL,
+                   wave, NULL);
+    run_for(12000, true);
+    run_until_finished();
+    check_invariants();
+    CU_ASSERT(emulator_stat("moves") >= 5);
+    CU_ASSERT_EQUAL(fixture.service.cancelled, 1);
 }
 
 /* A cancel that reaches a new holder before it has read the job. */
 static void
 test_cancel_at_takeover(void)
 {
-    play(1000, true);
-    int killed = holder();
+    run_for(1000, true);
+    int killed = find_leader();
     CU_ASSERT_FATAL(killed >= 0);
     for (int i = 0; i < 6; i++) {
-        job_caller_submit_to_cancel(fixture.caller, &fixture.lasting,
-                                    lasting_body, 200 + 300 * i);
+        job_caller_submit_to_cancel(fixture.caller, &fixture.service,
+                                    service_job_body, 200 + 300 * i);
     }
-    play(300, false);
-    end_process(&fixture.entries[killed], SIGKILL);
-    play(6000, false);
-    play_to_end();
-    check_promises();
-    CU_ASSERT_EQUAL(fixture.lasting.cancelled, 6);
+    run_for(300, false);
+    end_process(&fixture.entry_pids[killed], SIGKILL);
+    run_for(6000, false);
+    run_until_finished();
+    check_invariants();
+    CU_ASSERT_EQUAL(fixture.service.cancelled, 6);
 }
 
 static void
@@ -158,29 +158,31 @@
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         char *body = NULL;
-        int status =
-            post("/draft/00000000000000aa", "key-skela", cases[i].text, &body);
+        int status = submit_job("/draft/00000000000000aa", "key-skela",
+                                cases[i].text, &body);
         CU_ASSERT_EQUAL(status, 400);
         CU_ASSERT_PTR_NOT_NULL(strstr(body, cases[i].place));
         g_free(body);
     }
     /* Nothing of these was stored. */
-    CU_ASSERT_EQUAL(http_ask(fixture.base, fixture.fronts[1], "GET",
-                             "/draft/00000000000000aa", "key-skela", NULL,
-                             NULL),
+    CU_ASSERT_EQUAL(http_call_sync(fixture.base, fixture.frontends[1], "GET",
+                                   "/draft/00000000000000aa", "key-skela",
+                                   NULL, NULL),
                     410);
-    CU_ASSERT_EQUAL(post("/draft/00000000000000ab", NULL, job_body, NULL),
-                    401);
-    CU_ASSERT_EQUAL(post("/draft/00000000000000ab", "wrong", job_body, NULL),
-                    401);
     CU_ASSERT_EQUAL(
-        post("/none/00000000000000ab", "key-skela", job_body, NULL), 404);
-    CU_ASSERT_EQUAL(post("/draft/xyz", "key-skela", job_body, NULL), 400);
+        submit_job("/draft/00000000000000ab", NULL, job_body, NULL), 401);
+    CU_ASSERT_EQUAL(
+        submit_job("/draft/00000000000000ab", "wrong", job_body, NULL), 401);
+    CU_ASSERT_EQUAL(
+        submit_job("/none/00000000000000ab", "key-skela", job_body, NULL),
+        404);
+    CU_ASSERT_EQUAL(submit_job("/draft/xyz", "key-skela", job_body, NULL),
+                    400);
 }
 
 /* What egretctl tells of a job from the logs of all entry hosts. */
 static char *
-story(const char *id)
+timeline(const char *id)
 {
     char *command = g_strdup_printf(
         "%s/egretctl/egretctl job %s %s/entry-0.log %s/entry-1.log "
@@ -195,7 +197,7 @@
 }
 
 static void
-tells(const char *text, const char *what)
+expect_text(const char *text, const char *what)
 {
     if (strstr(text, what) == NULL) {
         printf("not told: %s\n", what);
@@ -206,37 +208,38 @@
 /* Three walks from the id of a failed request to its cause: failed on its
  * backend servers, late after a take-over, refused at admission. */
 static void
-test_walks(void)
+test_timelines_show_the_cause(void)
 {
     static const char failing[] =
         "{\"spec\":\"fail ms=100\",\"steps\":[{\"count\":1,"
         "\"cpu\":900,\"estimate_ms\":100}]}";
-    play(1000, false);
-    post("/draft/00000000000000b1", "key-skela", failing, NULL);
-    play(1500, false);
-    int killed = holder();
+    run_for(1000, false);
+    submit_job("/draft/00000000000000b1", "key-skela", failing, NULL);
+    run_for(1500, false);
+    int killed = find_leader();
     CU_ASSERT_FATAL(killed >= 0);
-    post("/draft/00000000000000b2", "key-skela", job_body, NULL);
-    end_process(&fixture.entries[killed], SIGKILL);
-    play(6000, false);
-    start_entry(killed);
+    submit_job("/draft/00000000000000b2", "key-skela", job_body, NULL);
+    end_process(&fixture.entry_pids[killed], SIGKILL);
+    run_for(6000, false);
+    start_entry_host(killed);
     wait_ready(killed);
-    play(500, false);
-    ask(fixture.admin, "POST", "/store/down");
-    http_ask(fixture.base, fixture.fronts[(killed + 1) % ENTRIES], "POST",
-             "/draft/00000000000000b3", "key-skela", job_body, NULL);
-    ask(fixture.admin, "POST", "/store/up");
+    run_for(500, false);
+    send_request(fixture.admin, "POST", "/store/down");
+    http_call_sync(fixture.base,
+                   fixture.frontends[(killed + 1) % ENTRY_HOST_COUNT], "POST",
+                   "/draft/00000000000000b3", "key-skela", job_body, NULL);
+    send_request(fixture.admin, "POST", "/store/up");
 
-    char *failed = story("00000000000000b1");
-    tells(failed, "task_failed");
-    tells(failed, "backend=i-");
-    tells(failed, "state=failed");
-    char *late = story("00000000000000b2");
-    tells(late, "duty_won");
-    tells(late, "state=completed");
-    char *refused = story("00000000000000b3");
-    tells(refused, "request_refused");
-    tells(refused, "status=503");
+    char *failed = timeline("00000000000000b1");
+    expect_text(failed, "task_failed");
+    expect_text(failed, "backend=i-");
+    expect_text(failed, "state=failed");
+    char *late = timeline("00000000000000b2");
+    expect_text(late, "duty_won");
+    expect_text(late, "state=completed");
+    char *refused = timeline("00000000000000b3");
+    expect_text(refused, "request_refused");
+    expect_text(refused, "status=503");
     g_free(failed);
     g_free(late);
     g_free(refused);
@@ -247,19 +250,19 @@
 test_same_id(void)
 {
     for (int i = 0; i < 5; i++) {
-        int status =
-            http_ask(fixture.base, fixture.fronts[i % ENTRIES], "POST",
-                     "/draft/00000000000000ac", "key-skela", job_body, NULL);
+        int status = http_call_sync(
+            fixture.base, fixture.frontends[i % ENTRY_HOST_COUNT], "POST",
+            "/draft/00000000000000ac", "key-skela", job_body, NULL);
         CU_ASSERT_EQUAL(status, 200);
     }
-    play(3000, false);
+    run_for(3000, false);
     char *body = NULL;
-    http_ask(fixture.base, fixture.fronts[0], "GET", "/draft/00000000000000ac",
-             "key-skela", NULL, &body);
+    http_call_sync(fixture.base, fixture.frontends[0], "GET",
+                   "/draft/00000000000000ac", "key-skela", NULL, &body);
     CU_ASSERT_PTR_NOT_NULL(strstr(body, "completed"));
     g_free(body);
-    CU_ASSERT_EQUAL(figure("checks"), 6);
-    CU_ASSERT_EQUAL(figure("violations"), 0);
+    CU_ASSERT_EQUAL(emulator_stat("checks"), 6);
+    CU_ASSERT_EQUAL(emulator_stat("violations"), 0);
 }
 
 /* A queue with a policy: its tasks start where they are allowed, through a
@@ -281,36 +284,36 @@
     caller_queue_init(&approved);
     for (int i = 0; i < 20; i++) {
         job_caller_submit(fixture.caller, &approved, body);
-        play(150, true);
+        run_for(150, true);
         if (i == 10) {
-            int left = holder();
+            int left = find_leader();
             CU_ASSERT_FATAL(left >= 0);
-            end_process(&fixture.entries[left], SIGTERM);
+            end_process(&fixture.entry_pids[left], SIGTERM);
         }
     }
-    play_to_end();
-    check_promises();
+    run_until_finished();
+    check_invariants();
     printf("approved p50 %ld ms\n",
            (long)caller_queue_quantile_ms(&approved, 0.5));
     CU_ASSERT_EQUAL(approved.completed, 20);
-    CU_ASSERT_EQUAL(figure("tickets_missing"), 0);
+    CU_ASSERT_EQUAL(emulator_stat("tickets_missing"), 0);
     caller_queue_clear(&approved);
 }
 
 static const struct scenario scenarios[] = {
     {"calm", test_calm},
-    {"holder-killed", test_holder_killed},
-    {"holder-restarted", test_holder_restarted},
-    {"holder-leaves", test_holder_leaves},
-    {"holder-paused", test_holder_paused},
-    {"backends-dark", test_backends_dark},
+    {"holder-killed", test_leader_killed},
+    {"holder-restarted", test_leader_restarted},
+    {"holder-leaves", test_leader_leaves},
+    {"holder-paused", test_leader_paused},
+    {"backends-dark", test_backends_unreachable},
     {"hosts-crash", test_hosts_crash},
     {"wave", test_wave},
     {"cancel-at-takeover", test_cancel_at_takeover},
     {"advice", test_advice},
     {"invalid", test_invalid},
     {"same-id", test_same_id},
-    {"walks", test_walks},
+    {"walks", test_timelines_show_the_cause},
 };
 
 int
--- a/tests/jobs/kv_test.c
+++ b/tests/jobs/kv_test.c
@@ -7,14 +7,14 @@
 
 enum {
     TIMEOUT_MS = 300,
-    TURNS_MAX = 400,
-    TURN_US = 2500,
+    POLLS_MAX = 400,
+    POLL_US = 2500,
 };
 
-#define SILENT_ADDRESS "127.0.0.1:20911"
+#define UNRESPONSIVE_ADDRESS "127.0.0.1:20911"
 #define SERVING_ADDRESS "127.0.0.1:20912"
 
-struct way {
+struct route_state {
     const char *relay;
     int reports;
     char *failed;
@@ -37,17 +37,17 @@
 static const char *
 choose_relay(void *ctx)
 {
-    return ((struct way *)ctx)->relay;
+    return ((struct route_state *)ctx)->relay;
 }
 
 static void
-count_report(void *ctx, const char *relay, int status)
+record_report(void *ctx, const char *relay, int status)
 {
-    struct way *way = ctx;
-    way->reports++;
+    struct route_state *state = ctx;
+    state->reports++;
     if (status == 0) {
-        g_free(way->failed);
-        way->failed = g_strdup(relay);
+        g_free(state->failed);
+        state->failed = g_strdup(relay);
     }
 }
 
@@ -63,41 +63,41 @@
 test_switch_completes_calls(void)
 {
     struct event_base *base = event_base_new();
-    struct http_exchange *kept = NULL;
-    struct http_server *silent =
-        http_server_create(base, SILENT_ADDRESS, never_answer, &kept);
+    struct http_exchange *withheld = NULL;
+    struct http_server *unresponsive = http_server_create(
+        base, UNRESPONSIVE_ADDRESS, never_answer, &withheld);
     struct http_server *serving =
         http_server_create(base, SERVING_ADDRESS, answer_missing, NULL);
-    CU_ASSERT_PTR_NOT_NULL_FATAL(silent);
+    CU_ASSERT_PTR_NOT_NULL_FATAL(unresponsive);
     CU_ASSERT_PTR_NOT_NULL_FATAL(serving);
-    struct way way = {.relay = SILENT_ADDRESS};
-    struct kv_route path = {
-        .relay = choose_relay, .report = count_report, .ctx = &way};
-    struct kv *kv = kv_create(base, SERVING_ADDRESS, TIMEOUT_MS, path);
+    struct route_state state = {.relay = UNRESPONSIVE_ADDRESS};
+    struct kv_route route = {
+        .relay = choose_relay, .report = record_report, .ctx = &state};
+    struct kv *kv = kv_create(base, SERVING_ADDRESS, TIMEOUT_MS, route);
 
     int first = -1;
     int second = -1;
     kv_get(kv, "a", (struct kv_done){.call = keep_outcome, .ctx = &first});
     event_base_loop(base, EVLOOP_NONBLOCK);
-    way.relay = SERVING_ADDRESS;
+    state.relay = SERVING_ADDRESS;
     kv_get(kv, "b", (struct kv_done){.call = keep_outcome, .ctx = &second});
-    for (int i = 0; i < TURNS_MAX && (first < 0 || second < 0); i++) {
+    for (int i = 0; i < POLLS_MAX && (first < 0 || second < 0); i++) {
         event_base_loop(base, EVLOOP_NONBLOCK);
-        g_usleep(TURN_US);
+        g_usleep(POLL_US);
     }
     CU_ASSERT_EQUAL(first, KV_UNKNOWN);
     CU_ASSERT_EQUAL(second, KV_NOT_FOUND);
-    CU_ASSERT_EQUAL(way.reports, 2);
+    CU_ASSERT_EQUAL(state.reports, 2);
     /* The failure is laid to the peer that the call went through. */
-    CU_ASSERT_STRING_EQUAL(way.failed, SILENT_ADDRESS);
-    g_free(way.failed);
+    CU_ASSERT_STRING_EQUAL(state.failed, UNRESPONSIVE_ADDRESS);
+    g_free(state.failed);
     kv_destroy(kv);
-    if (kept != NULL) {
-        http_exchange_reply(kept, 503, NULL);
+    if (withheld != NULL) {
+        http_exchange_reply(withheld, 503, NULL);
     }
     event_base_loop(base, EVLOOP_NONBLOCK);
     http_server_destroy(serving);
-    http_server_destroy(silent);
+    http_server_destroy(unresponsive);
     event_base_free(base);
 }
 
@@ -107,31 +107,32 @@
 test_unsent_call_is_refused(void)
 {
     struct event_base *base = event_base_new();
-    struct http_exchange *kept = NULL;
-    struct http_server *silent =
-        http_server_create(base, SILENT_ADDRESS, never_answer, &kept);
-    CU_ASSERT_PTR_NOT_NULL_FATAL(silent);
-    struct kv_route path = {0};
-    struct kv *unsent = kv_create(base, SERVING_ADDRESS, TIMEOUT_MS, path);
-    struct kv *unanswered = kv_create(base, SILENT_ADDRESS, TIMEOUT_MS, path);
+    struct http_exchange *withheld = NULL;
+    struct http_server *unresponsive = http_server_create(
+        base, UNRESPONSIVE_ADDRESS, never_answer, &withheld);
+    CU_ASSERT_PTR_NOT_NULL_FATAL(unresponsive);
+    struct kv_route route = {0};
+    struct kv *unsent = kv_create(base, SERVING_ADDRESS, TIMEOUT_MS, route);
+    struct kv *unanswered =
+        kv_create(base, UNRESPONSIVE_ADDRESS, TIMEOUT_MS, route);
     int first = -1;
     int second = -1;
     kv_get(unsent, "a", (struct kv_done){.call = keep_outcome, .ctx = &first});
     kv_get(unanswered, "a",
            (struct kv_done){.call = keep_outcome, .ctx = &second});
-    for (int i = 0; i < TURNS_MAX && (first < 0 || second < 0); i++) {
+    for (int i = 0; i < POLLS_MAX && (first < 0 || second < 0); i++) {
         event_base_loop(base, EVLOOP_NONBLOCK);
-        g_usleep(TURN_US);
+        g_usleep(POLL_US);
     }
     CU_ASSERT_EQUAL(first, KV_REFUSED);
     CU_ASSERT_EQUAL(second, KV_UNKNOWN);
     kv_destroy(unsent);
     kv_destroy(unanswered);
-    if (kept != NULL) {
-        http_exchange_reply(kept, 503, NULL);
+    if (withheld != NULL) {
+        http_exchange_reply(withheld, 503, NULL);
     }
     event_base_loop(base, EVLOOP_NONBLOCK);
-    http_server_destroy(silent);
+    http_server_destroy(unresponsive);
     event_base_free(base);
 }
 
--- a/tests/jobs/leaving_test.c
+++ b/tests/jobs/leaving_test.c
@@ -7,81 +7,83 @@
 
 #define JOB_A "00000000000000aa"
 
-static const char two_lasting[] =
+static const char two_service_tasks[] =
     "[{\"count\":2,\"cpu\":1000,\"mem_mb\":100,\"long_running\":true,"
     "\"may_miss\":1}]";
 
 /* Both tasks of a lasting job at work on the only backend server, "b1". */
 static void
-start_two_lasting(struct fleet_fixture *f, struct reported_run running[2])
+start_two_service_tasks(struct fleet_fixture *f,
+                        struct reported_run running[2])
 {
     running[0] = (struct reported_run){
         .task = JOB_A ".0.0.0", .number = 1, .saved = "", .percent = 100};
     running[1] = running[0];
     running[1].task = JOB_A ".0.0.1";
     fixture_init(f, 0);
-    fixture_backend(f, "b1", "p", "m1");
-    fixture_settle(f);
-    fixture_job(f, JOB_A, "p", two_lasting);
+    fixture_add_backend(f, "b1", "p", "m1");
+    fixture_reconcile(f);
+    fixture_add_job(f, JOB_A, "p", two_service_tasks);
     fixture_tick(f, f->now_ms + 10);
-    CU_ASSERT_EQUAL_FATAL(fixture_count(f, ORDER_START, "b1"), 2);
+    CU_ASSERT_EQUAL_FATAL(fixture_count(f, COMMAND_START, "b1"), 2);
     fixture_accept_starts(f);
-    fixture_lists(f, "b1", running, 2, NULL, 0);
+    fixture_report(f, "b1", running, 2, NULL, 0);
 }
 
 /* A scale-in: tasks that last stayed on the server until it was gone, so all
  * of them ended at once, and a holder that died soon after kept them down. */
 static void
-test_lasting_tasks_leave_in_time(void)
+test_service_tasks_leave_one_by_one(void)
 {
     struct fleet_fixture f;
     struct reported_run running[2];
-    start_two_lasting(&f, running);
-    fixture_backend(&f, "b2", "p", "m2");
-    fixture_settle(&f);
-    fixture_lists(&f, "b1", running, 2, NULL, 0);
-    fixture_backend_drains(&f, "b1", "p", "m1");
+    start_two_service_tasks(&f, running);
+    fixture_add_backend(&f, "b2", "p", "m2");
+    fixture_reconcile(&f);
+    fixture_report(&f, "b1", running, 2, NULL, 0);
+    fixture_drain_backend(&f, "b1", "p", "m1");
     fixture_tick(&f, f.now_ms + 10);
-    CU_ASSERT_EQUAL_FATAL(fixture_count(&f, ORDER_STOP, "b1"), 1);
-    bool first = strcmp(fixture_last(&f, ORDER_STOP)->task, running[0].task);
-    const struct reported_run *stopped = &running[first ? 1 : 0];
-    struct reported_run *left = &running[first ? 0 : 1];
-    struct run_completion end = {
+    CU_ASSERT_EQUAL_FATAL(fixture_count(&f, COMMAND_STOP, "b1"), 1);
+    bool second_stopped =
+        strcmp(fixture_last(&f, COMMAND_STOP)->task, running[0].task);
+    const struct reported_run *stopped = &running[second_stopped ? 1 : 0];
+    struct reported_run *remaining = &running[second_stopped ? 0 : 1];
+    struct run_completion completion = {
         .number = 1, .task = stopped->task, .run = 1, .reason = END_STOPPED};
-    fixture_lists(&f, "b1", left, 1, &end, 1);
+    fixture_report(&f, "b1", remaining, 1, &completion, 1);
     fixture_tick(&f, f.now_ms + 10);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, "b2"), 1);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, "b2"), 1);
     /* The other one waits until this one is at work again. */
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_STOP, "b1"), 1);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_STOP, "b1"), 1);
     fixture_accept_starts(&f);
     struct reported_run moved = *stopped;
-    moved.number = fixture_last(&f, ORDER_START)->number;
-    fixture_lists(&f, "b2", &moved, 1, NULL, 0);
+    moved.number = fixture_last(&f, COMMAND_START)->number;
+    fixture_report(&f, "b2", &moved, 1, NULL, 0);
     fixture_tick(&f, f.now_ms + 10);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_STOP, "b1"), 2);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_STOP, "b1"), 2);
     fixture_clear(&f);
 }
 
 /* Where nothing else has room, a task goes on as long as its server does. */
 static void
-test_lasting_tasks_stay_without_room(void)
+test_service_tasks_stay_without_capacity(void)
 {
     struct fleet_fixture f;
     struct reported_run running[2];
-    start_two_lasting(&f, running);
-    fixture_backend_drains(&f, "b1", "p", "m1");
+    start_two_service_tasks(&f, running);
+    fixture_drain_backend(&f, "b1", "p", "m1");
     for (int i = 0; i < 30; i++) {
         fixture_tick(&f, f.now_ms + 100);
-        fixture_lists(&f, "b1", running, 2, NULL, 0);
+        fixture_report(&f, "b1", running, 2, NULL, 0);
     }
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_STOP, "b1"), 0);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_STOP, "b1"), 0);
     fixture_clear(&f);
 }
 
 /* A server went away, then its holder: the next one has to wait for the
  * longest lease of the one before, but for less than the users allow. */
 static void
-test_wait_for_a_silent_server_is_bounded(void)
+test_wait_for_unreachable_server_is_bounded(void)
 {
     struct fleet_fixture f;
     fixture_init(&f, 1);
@@ -92,16 +94,16 @@
         .data_centre = (char *)"dc",
     };
     scheduler_backend_inherited(f.sched, &gone, 10000);
-    fixture_backend(&f, "b2", "p", "m2");
-    fixture_settle(&f);
-    struct job *job = fixture_job(&f, JOB_A, "p", two_lasting);
+    fixture_add_backend(&f, "b2", "p", "m2");
+    fixture_reconcile(&f);
+    struct job *job = fixture_add_job(&f, JOB_A, "p", two_service_tasks);
     job->inherited = true;
     int64_t taken_over_ms = f.now_ms;
-    struct run_report silent = {.outcome = REPORT_NO_ANSWER};
-    while (fixture_count(&f, ORDER_START, NULL) == 0 &&
+    struct run_report no_answer = {.outcome = REPORT_NO_ANSWER};
+    while (fixture_count(&f, COMMAND_START, NULL) == 0 &&
            f.now_ms < taken_over_ms + 20000) {
-        scheduler_on_report(f.sched, "b1", &silent);
-        fixture_lists(&f, "b2", NULL, 0, NULL, 0);
+        scheduler_on_report(f.sched, "b1", &no_answer);
+        fixture_report(&f, "b2", NULL, 0, NULL, 0);
         fixture_tick(&f, f.now_ms + 100);
     }
     /* The longest lease is over, and no more than 9 s have passed. */
@@ -114,11 +116,11 @@
 main(void)
 {
     static const struct suite_test tests[] = {
-        {"lasting tasks leave in time", test_lasting_tasks_leave_in_time},
+        {"lasting tasks leave in time", test_service_tasks_leave_one_by_one},
         {"lasting tasks stay without room",
-         test_lasting_tasks_stay_without_room},
+         test_service_tasks_stay_without_capacity},
         {"the wait for a silent server is bounded",
-         test_wait_for_a_silent_server_is_bounded},
+         test_wait_for_unreachable_server_is_bounded},
     };
     return suite_main("jobs leaving", tests, sizeof(tests) / sizeof(tests[0]));
 }
--- a/tests/jobs/model.c
+++ b/tests/jobs/model.c
@@ -9,11 +9,11 @@
 static const char *const mutation_names[] = {
     [MUTATION_NONE] = "none",
     [MUTATION_NO_FENCE] = "no fencing token",
-    [MUTATION_NO_BARRIER] = "no wait for lists after a takeover",
-    [MUTATION_NO_REGISTRY] = "no record of used backend servers",
-    [MUTATION_NO_SETTLE] = "no wait for stops of the holder before",
+    [MUTATION_NO_REPORT_WAIT] = "no wait for lists after a takeover",
+    [MUTATION_NO_REGISTRATION] = "no record of used backend servers",
+    [MUTATION_NO_STOP_WAIT] = "no wait for stops of the holder before",
     [MUTATION_ACK_UNSTORED] = "ends acknowledged before they are stored",
-    [MUTATION_NO_LAPSE] = "leases that never end",
+    [MUTATION_NO_LEASE_EXPIRY] = "leases that never end",
 };
 
 const char *
@@ -29,16 +29,16 @@
 }
 
 bool
-troubled(const struct sim *sim)
+faults_active(const struct sim *sim)
 {
-    return sim->now_ms < CALM_MS;
+    return sim->now_ms < FAULTS_END_MS;
 }
 
 void
-broken(struct sim *sim, const char *what)
+record_violation(struct sim *sim, const char *what)
 {
-    if (sim->result.broken == NULL) {
-        sim->result.broken = what;
+    if (sim->result.violation == NULL) {
+        sim->result.violation = what;
     }
 }
 
@@ -51,7 +51,7 @@
     if (x->at_ms != y->at_ms) {
         return x->at_ms < y->at_ms ? -1 : 1;
     }
-    return x->order < y->order ? -1 : x->order > y->order;
+    return x->sequence < y->sequence ? -1 : x->sequence > y->sequence;
 }
 
 static void
@@ -66,14 +66,14 @@
 }
 
 struct message *
-send_message(struct sim *sim, enum message_kind kind, struct holder *holder,
+send_message(struct sim *sim, enum message_kind kind, struct leader *leader,
              int64_t delay_ms)
 {
     struct message *message = g_new0(struct message, 1);
     message->kind = kind;
-    message->holder = holder;
+    message->leader = leader;
     message->at_ms = sim->now_ms + delay_ms;
-    message->order = sim->next_order++;
+    message->sequence = sim->next_sequence++;
     g_sequence_insert_sorted(sim->messages, message, compare_messages, NULL);
     return message;
 }
@@ -86,77 +86,77 @@
 
 /* An order: lost, late or on time; its caller learns of a loss later. */
 void
-send_order(struct sim *sim, struct holder *holder, struct message order)
+send_command(struct sim *sim, struct leader *leader, struct message command)
 {
-    bool cut = holder->cut_from[order.backend];
-    bool lost = troubled(sim) && !cut && chance(sim, 0.04);
+    bool cut = leader->cut_from[command.backend];
+    bool lost = faults_active(sim) && !cut && chance(sim, 0.04);
     bool late = lost && chance(sim, 0.6);
     if (cut || lost) {
         struct message *answer =
-            send_message(sim, MESSAGE_ANSWER, holder, CALL_TIMEOUT_MS);
-        answer->answers = order.kind;
-        answer->backend = order.backend;
-        answer->handle = order.handle;
+            send_message(sim, MESSAGE_ANSWER, leader, CALL_TIMEOUT_MS);
+        answer->answered_kind = command.kind;
+        answer->backend = command.backend;
+        answer->handle = command.handle;
         answer->answer = START_NO_ANSWER;
     }
     if (cut || (lost && !late)) {
-        g_free(order.task);
+        g_free(command.task);
         return;
     }
     int64_t delay_ms =
         late ? g_rand_int_range(sim->random, 1500, 9000) : network_ms(sim);
-    struct message *sent = send_message(sim, order.kind, holder, delay_ms);
+    struct message *sent = send_message(sim, command.kind, leader, delay_ms);
     int64_t at_ms = sent->at_ms;
-    uint64_t number = sent->order;
-    *sent = order;
+    uint64_t number = sent->sequence;
+    *sent = command;
     sent->at_ms = at_ms;
-    sent->order = number;
-    sent->holder = holder;
+    sent->sequence = number;
+    sent->leader = leader;
     sent->answer_lost = lost;
 }
 
 /* Cuts, renewals and changes of the holder, a tenth of a second at a time. */
 static void
-play_faults(struct sim *sim)
+inject_faults(struct sim *sim)
 {
-    struct holder *holder = sim->current;
-    if (!holder->cut_from_store) {
-        holder->valid_until_ms = sim->now_ms + DUTY_MS;
+    struct leader *leader = sim->current;
+    if (!leader->cut_from_store) {
+        leader->valid_until_ms = sim->now_ms + LEADERSHIP_MS;
     }
-    if (troubled(sim) && !holder->cut_from_store && chance(sim, 0.02)) {
-        holder->cut_from_store = true;
+    if (faults_active(sim) && !leader->cut_from_store && chance(sim, 0.02)) {
+        leader->cut_from_store = true;
     }
     for (int i = 0; i < BACKENDS; i++) {
-        if (troubled(sim) && chance(sim, 0.01)) {
-            holder->cut_from[i] = !holder->cut_from[i];
+        if (faults_active(sim) && chance(sim, 0.01)) {
+            leader->cut_from[i] = !leader->cut_from[i];
         }
-        if (!troubled(sim)) {
-            holder->cut_from[i] = false;
+        if (!faults_active(sim)) {
+            leader->cut_from[i] = false;
         }
     }
-    scheduler_set_outage(holder->sched, holder->cut_from_store);
-    if (holder->cut_from_store && sim->now_ms > holder->valid_until_ms + 50) {
+    scheduler_set_outage(leader->sched, leader->cut_from_store);
+    if (leader->cut_from_store && sim->now_ms > leader->valid_until_ms + 50) {
         take_over(sim);
     }
-    else if (troubled(sim) && chance(sim, 0.01)) {
+    else if (faults_active(sim) && chance(sim, 0.01)) {
         /* The process is killed; another takes over. */
-        holder->gone = true;
+        leader->killed = true;
         take_over(sim);
     }
 }
 
 static void
-tick_holders(struct sim *sim)
+tick_leaders(struct sim *sim)
 {
-    for (guint i = 0; i < sim->holders->len; i++) {
-        struct holder *holder = g_ptr_array_index(sim->holders, i);
-        if (holder->gone || scheduler_fenced(holder->sched)) {
+    for (guint i = 0; i < sim->leaders->len; i++) {
+        struct leader *leader = g_ptr_array_index(sim->leaders, i);
+        if (leader->killed || scheduler_fenced(leader->sched)) {
             continue;
         }
-        scheduler_set_leadership_valid(holder->sched,
-                                       sim->now_ms < holder->valid_until_ms);
-        scheduler_tick(holder->sched);
-        flush(holder);
+        scheduler_set_leadership_valid(leader->sched,
+                                       sim->now_ms < leader->valid_until_ms);
+        scheduler_tick(leader->sched);
+        flush(leader);
     }
 }
 
@@ -185,7 +185,7 @@
 }
 
 static void
-play_callers(struct sim *sim)
+simulate_callers(struct sim *sim)
 {
     for (int i = 0; i < JOBS; i++) {
         struct stored_job *stored = &sim->jobs[i];
@@ -210,9 +210,9 @@
     sim->messages = g_sequence_new(message_free);
     sim->registered =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    sim->done_noted =
+    sim->done_acked =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    sim->holders = g_ptr_array_new();
+    sim->leaders = g_ptr_array_new();
     sim->config = fleet_config_create();
     struct pool_config *pool = g_new0(struct pool_config, 1);
     pool->name = g_strdup("p");
@@ -222,7 +222,8 @@
                            98 + g_rand_int_range(sim->random, 0, 3),
                            g_rand_int_range(sim->random, 1000, 900000));
         sim->backends[i].no_fence = mutation == MUTATION_NO_FENCE;
-        sim->backends[i].no_lapse = mutation == MUTATION_NO_LAPSE;
+        sim->backends[i].no_lease_expiry =
+            mutation == MUTATION_NO_LEASE_EXPIRY;
     }
     for (int i = 0; i < JOBS; i++) {
         g_snprintf(sim->jobs[i].id, sizeof(sim->jobs[i].id), "%016x", i + 1);
@@ -236,19 +237,19 @@
     for (; !g_sequence_iter_is_end(iter); iter = g_sequence_iter_next(iter)) {
         struct message *message = g_sequence_get(iter);
         if (message->batch != NULL) {
-            scheduler_batch_stored(message->holder->sched, message->batch,
+            scheduler_batch_stored(message->leader->sched, message->batch,
                                    false, 0);
         }
     }
     g_sequence_free(sim->messages);
-    for (guint i = 0; i < sim->holders->len; i++) {
-        struct holder *holder = g_ptr_array_index(sim->holders, i);
-        scheduler_destroy(holder->sched);
-        g_free(holder);
+    for (guint i = 0; i < sim->leaders->len; i++) {
+        struct leader *leader = g_ptr_array_index(sim->leaders, i);
+        scheduler_destroy(leader->sched);
+        g_free(leader);
     }
-    g_ptr_array_unref(sim->holders);
+    g_ptr_array_unref(sim->leaders);
     g_hash_table_unref(sim->registered);
-    g_hash_table_unref(sim->done_noted);
+    g_hash_table_unref(sim->done_acked);
     fleet_config_destroy(sim->config);
     for (int i = 0; i < BACKENDS; i++) {
         model_backend_clear(&sim->backends[i]);
@@ -261,13 +262,13 @@
 }
 
 static void
-judge_end(struct sim *sim)
+check_final_state(struct sim *sim)
 {
     for (int i = 0; i < JOBS; i++) {
         const struct job *job =
             scheduler_find_job(sim->current->sched, sim->jobs[i].id);
         if (job == NULL) {
-            broken(sim, "an accepted job is not known");
+            record_violation(sim, "an accepted job is not known");
         }
         else if (job->state == JOB_ACTIVE) {
             sim->result.unfinished++;
@@ -276,7 +277,7 @@
             sim->result.completed++;
         }
         else if (job->state == JOB_FAILED) {
-            broken(sim, "a job failed without its attempts used");
+            record_violation(sim, "a job failed without its attempts used");
         }
     }
 }
@@ -288,7 +289,7 @@
     sim_init(&sim, seed, mutation);
     take_over(&sim);
     int64_t next_fault_ms = sim.now_ms;
-    while (sim.now_ms < LENGTH_MS && sim.result.broken == NULL) {
+    while (sim.now_ms < SCHEDULE_MS && sim.result.violation == NULL) {
         GSequenceIter *first = g_sequence_get_begin_iter(sim.messages);
         const struct message *next =
             g_sequence_iter_is_end(first) ? NULL : g_sequence_get(first);
@@ -300,14 +301,14 @@
         }
         if (sim.now_ms >= next_fault_ms) {
             next_fault_ms = sim.now_ms + 100;
-            play_faults(&sim);
-            play_callers(&sim);
+            inject_faults(&sim);
+            simulate_callers(&sim);
         }
-        tick_holders(&sim);
+        tick_leaders(&sim);
         sim.now_ms += 10;
     }
-    if (sim.result.broken == NULL) {
-        judge_end(&sim);
+    if (sim.result.violation == NULL) {
+        check_final_state(&sim);
     }
     sim_clear(&sim);
     return sim.result;
--- a/tests/jobs/model_holder.c
+++ b/tests/jobs/model_holder.c
@@ -20,58 +20,58 @@
 }
 
 static void
-op_start(void *ctx, const struct start_command *order)
+op_start(void *ctx, const struct start_command *command)
 {
-    struct holder *holder = ctx;
-    send_order(holder->sim, holder,
-               (struct message){
-                   .kind = MESSAGE_START,
-                   .backend = backend_index(order->backend),
-                   .handle = order->handle,
-                   .task = task_name(order->run),
-                   .number = order->run->number,
-                   .until_ms = order->until_ms,
-                   .token = holder->token,
-               });
+    struct leader *leader = ctx;
+    send_command(leader->sim, leader,
+                 (struct message){
+                     .kind = MESSAGE_START,
+                     .backend = backend_index(command->backend),
+                     .handle = command->handle,
+                     .task = task_name(command->run),
+                     .number = command->run->number,
+                     .until_ms = command->until_ms,
+                     .token = leader->token,
+                 });
 }
 
 static void
-op_stop(void *ctx, const struct stop_command *order)
+op_stop(void *ctx, const struct stop_command *command)
 {
-    struct holder *holder = ctx;
-    send_order(holder->sim, holder,
-               (struct message){
-                   .kind = MESSAGE_STOP,
-                   .backend = backend_index(order->backend),
-                   .handle = order->handle,
-                   .task = g_strdup(order->task),
-                   .number = order->number,
-                   .token = holder->token,
-               });
+    struct leader *leader = ctx;
+    send_command(leader->sim, leader,
+                 (struct message){
+                     .kind = MESSAGE_STOP,
+                     .backend = backend_index(command->backend),
+                     .handle = command->handle,
+                     .task = g_strdup(command->task),
+                     .number = command->number,
+                     .token = leader->token,
+                 });
 }
 
 static void
-op_list(void *ctx, struct backend *backend, int64_t until_ms,
-        int64_t seen_upto, int64_t wait_ms)
+op_request_report(void *ctx, struct backend *backend, int64_t until_ms,
+                  int64_t acked_completion, int64_t wait_ms)
 {
-    struct holder *holder = ctx;
-    struct sim *sim = holder->sim;
+    struct leader *leader = ctx;
+    struct sim *sim = leader->sim;
     if (sim->mutation == MUTATION_ACK_UNSTORED) {
-        seen_upto = backend->last_completion;
+        acked_completion = backend->last_completion;
     }
-    send_order(sim, holder,
-               (struct message){
-                   .kind = MESSAGE_LIST,
-                   .backend = backend_index(backend),
-                   .until_ms = until_ms,
-                   .seen_upto = seen_upto,
-                   .number = (uint32_t)wait_ms,
-                   .token = holder->token,
-               });
+    send_command(sim, leader,
+                 (struct message){
+                     .kind = MESSAGE_REPORT_REQUEST,
+                     .backend = backend_index(backend),
+                     .until_ms = until_ms,
+                     .acked_completion = acked_completion,
+                     .number = (uint32_t)wait_ms,
+                     .token = leader->token,
+                 });
 }
 
 struct stored_job *
-stored_job(struct sim *sim, const char *id)
+find_stored_job(struct sim *sim, const char *id)
 {
     for (int i = 0; i < JOBS; i++) {
         if (strcmp(sim->jobs[i].id, id) == 0) {
@@ -83,19 +83,19 @@
 
 /* Sends the next batch to the store; the answer or the write may be lost. */
 void
-flush(struct holder *holder)
+flush(struct leader *leader)
 {
-    struct sim *sim = holder->sim;
-    if (holder->storing || holder->gone) {
+    struct sim *sim = leader->sim;
+    if (leader->storing || leader->killed) {
         return;
     }
-    struct store_batch *batch = scheduler_take_batch(holder->sched, 10);
+    struct store_batch *batch = scheduler_take_batch(leader->sched, 10);
     if (batch == NULL) {
         return;
     }
-    holder->storing = true;
+    leader->storing = true;
     struct message *message =
-        send_message(sim, MESSAGE_COMMIT, holder, 3 + network_ms(sim));
+        send_message(sim, MESSAGE_COMMIT, leader, 3 + network_ms(sim));
     message->batch = batch;
     message->values = g_ptr_array_new_with_free_func(g_free);
     for (guint i = 0; i < batch->jobs->len; i++) {
@@ -112,7 +112,7 @@
 }
 
 static void
-op_host(void *ctx, const char *host, const char *pool)
+op_move_host(void *ctx, const char *host, const char *pool)
 {
     (void)ctx;
     (void)host;
@@ -156,9 +156,9 @@
 }
 
 static void
-load_jobs(struct holder *holder)
+load_jobs(struct leader *leader)
 {
-    struct sim *sim = holder->sim;
+    struct sim *sim = leader->sim;
     for (int i = 0; i < JOBS; i++) {
         struct stored_job *stored = &sim->jobs[i];
         if (stored->value == NULL) {
@@ -166,13 +166,13 @@
         }
         struct job *job = record_job_decode(stored->id, stored->value,
                                             strlen(stored->value));
-        job->inherited = sim->mutation != MUTATION_NO_BARRIER;
+        job->inherited = sim->mutation != MUTATION_NO_REPORT_WAIT;
         if (stored->progress != NULL) {
             record_progress_apply(job, stored->progress,
                                   strlen(stored->progress));
             job->revision = stored->revision;
         }
-        scheduler_add_job(holder->sched, job);
+        scheduler_add_job(leader->sched, job);
         job_unref(job);
     }
 }
@@ -180,13 +180,13 @@
 void
 take_over(struct sim *sim)
 {
-    struct holder *holder = g_new0(struct holder, 1);
-    holder->sim = sim;
-    holder->token = sim->next_token++;
-    holder->valid_until_ms = sim->now_ms + DUTY_MS;
+    struct leader *leader = g_new0(struct leader, 1);
+    leader->sim = sim;
+    leader->token = sim->next_token++;
+    leader->valid_until_ms = sim->now_ms + LEADERSHIP_MS;
     struct sched_timings timings = {
         .lease_max_ms = LEASE_MAX_MS,
-        .stop_ms = sim->mutation == MUTATION_NO_SETTLE ? -100 : STOP_MS,
+        .stop_ms = sim->mutation == MUTATION_NO_STOP_WAIT ? -100 : STOP_MS,
         .command_gap_ms = 1000000,
         .retention_ms = 1000000,
         .host_commands_per_s = 64,
@@ -194,32 +194,32 @@
     struct sched_ops ops = {
         .start = op_start,
         .stop = op_stop,
-        .request_report = op_list,
+        .request_report = op_request_report,
         .store = op_store,
-        .move_host = op_host,
+        .move_host = op_move_host,
         .reboot_host = op_reboot,
-        .ctx = holder,
+        .ctx = leader,
     };
-    holder->sched =
+    leader->sched =
         scheduler_create(&timings, &ops, sim->term++,
                          (struct ms_clock){.now = sim_now, .ctx = sim},
                          (struct ms_clock){.now = sim_unix, .ctx = sim});
-    scheduler_configure(holder->sched, sim->config);
-    scheduler_set_leadership_valid(holder->sched, true);
-    load_jobs(holder);
+    scheduler_configure(leader->sched, sim->config);
+    scheduler_set_leadership_valid(leader->sched, true);
+    load_jobs(leader);
     for (int i = 0; i < BACKENDS; i++) {
         struct backend_entry entry;
         fill_entry(&entry, sim, i);
         if (g_hash_table_contains(sim->registered, entry.id) &&
-            sim->mutation != MUTATION_NO_REGISTRY) {
-            scheduler_backend_inherited(holder->sched, &entry, LEASE_MAX_MS);
+            sim->mutation != MUTATION_NO_REGISTRATION) {
+            scheduler_backend_inherited(leader->sched, &entry, LEASE_MAX_MS);
         }
-        scheduler_backend_seen(holder->sched, &entry);
+        scheduler_backend_seen(leader->sched, &entry);
     }
     for (int i = 0; i < BACKENDS; i++) {
-        holder->cut_from[i] = troubled(sim) && chance(sim, 0.15);
+        leader->cut_from[i] = faults_active(sim) && chance(sim, 0.15);
     }
-    g_ptr_array_add(sim->holders, holder);
-    sim->current = holder;
+    g_ptr_array_add(sim->leaders, leader);
+    sim->current = leader;
     sim->result.takeovers++;
 }
--- a/tests/jobs/model_state.h
+++ b/tests/jobs/model_state.h
@@ -10,10 +10,10 @@
 enum {
     BACKENDS = 4,
     JOBS = 5,
-    LENGTH_MS = 33000,
+    SCHEDULE_MS = 33000,
     /* Faults end here; what is left has to finish by the end. */
-    CALM_MS = 10000,
-    DUTY_MS = 3000,
+    FAULTS_END_MS = 10000,
+    LEADERSHIP_MS = 3000,
     LEASE_MAX_MS = 6000,
     STOP_MS = 300,
     CALL_TIMEOUT_MS = 700,
@@ -23,7 +23,7 @@
 struct sim;
 
 /** struct holder - a process with the duty, maybe without knowing its end */
-struct holder {
+struct leader {
     struct sim *sim;
     struct scheduler *sched;
     int64_t token;
@@ -31,7 +31,7 @@
     bool cut_from_store;
     bool cut_from[BACKENDS];
     bool storing;
-    bool gone;
+    bool killed;
 };
 
 struct stored_job {
@@ -46,28 +46,28 @@
 enum message_kind {
     MESSAGE_START,
     MESSAGE_STOP,
-    MESSAGE_LIST,
-    MESSAGE_LIST_END,
+    MESSAGE_REPORT_REQUEST,
+    MESSAGE_REPORT_WAIT_END,
     MESSAGE_ANSWER,
     MESSAGE_COMMIT,
 };
 
 struct message {
     int64_t at_ms;
-    uint64_t order;
+    uint64_t sequence;
     enum message_kind kind;
-    struct holder *holder;
+    struct leader *leader;
     int backend;
     uint64_t handle;
     char *task;
     uint32_t number;
     int64_t until_ms;
-    int64_t seen_upto;
+    int64_t acked_completion;
     int64_t token;
     bool answer_lost;
     enum start_answer answer;
     int64_t clock_ms;
-    enum message_kind answers;
+    enum message_kind answered_kind;
     bool acked;
     struct store_batch *batch;
     GPtrArray *values;
@@ -77,14 +77,14 @@
     GRand *random;
     enum model_mutation mutation;
     int64_t now_ms;
-    uint64_t next_order;
+    uint64_t next_sequence;
     GSequence *messages;
     struct model_backend backends[BACKENDS];
     GHashTable *registered;
-    GHashTable *done_noted;
+    GHashTable *done_acked;
     struct stored_job jobs[JOBS];
-    GPtrArray *holders;
-    struct holder *current;
+    GPtrArray *leaders;
+    struct leader *current;
     int64_t next_token;
     uint32_t term;
     struct fleet_config *config;
@@ -95,22 +95,22 @@
 bool
 chance(struct sim *sim, double probability);
 bool
-troubled(const struct sim *sim);
+faults_active(const struct sim *sim);
 void
-broken(struct sim *sim, const char *what);
+record_violation(struct sim *sim, const char *what);
 struct message *
-send_message(struct sim *sim, enum message_kind kind, struct holder *holder,
+send_message(struct sim *sim, enum message_kind kind, struct leader *leader,
              int64_t delay_ms);
 int64_t
 network_ms(struct sim *sim);
 void
-send_order(struct sim *sim, struct holder *holder, struct message order);
+send_command(struct sim *sim, struct leader *leader, struct message command);
 
 /* model_holder.c */
 struct stored_job *
-stored_job(struct sim *sim, const char *id);
+find_stored_job(struct sim *sim, const char *id);
 void
-flush(struct holder *holder);
+flush(struct leader *leader);
 int64_t
 sim_unix(void *ctx);
 void
--- a/tests/jobs/model_test.c
+++ b/tests/jobs/model_test.c
@@ -20,7 +20,7 @@
 static void
 test_schedules(void)
 {
-    uint32_t n_broken = 0;
+    uint32_t n_violating = 0;
     uint32_t unfinished = 0;
     uint64_t starts = 0;
     uint64_t takeovers = 0;
@@ -29,8 +29,8 @@
         starts += result.starts;
         takeovers += result.takeovers;
         unfinished += result.unfinished;
-        if (result.broken != NULL && n_broken++ < 5) {
-            printf("seed %u: %s\n", seed, result.broken);
+        if (result.violation != NULL && n_violating++ < 5) {
+            printf("seed %u: %s\n", seed, result.violation);
         }
         if (result.unfinished > 0 && unfinished < 10) {
             printf("seed %u: %u unfinished\n", seed, result.unfinished);
@@ -39,8 +39,8 @@
     printf("%u schedules, %lu starts, %lu takeovers, %u broken, "
            "%u unfinished\n",
            schedules, (unsigned long)starts, (unsigned long)takeovers,
-           n_broken, unfinished);
-    CU_ASSERT_EQUAL(n_broken, 0);
+           n_violating, unfinished);
+    CU_ASSERT_EQUAL(n_violating, 0);
     CU_ASSERT_EQUAL(unfinished, 0);
     CU_ASSERT(starts > schedules * 10);
     CU_ASSERT(takeovers > schedules);
@@ -52,19 +52,19 @@
 {
     for (int m = MUTATION_NONE + 1; m < MUTATIONS; m++) {
         uint32_t first = 0;
-        const char *broken = NULL;
+        const char *violation = NULL;
         for (uint32_t seed = 1; seed <= MUTATION_SCHEDULES && first == 0;
              seed++) {
             struct model_result result =
                 model_run(seed, (enum model_mutation)m);
-            if (result.broken != NULL) {
+            if (result.violation != NULL) {
                 first = seed;
-                broken = result.broken;
+                violation = result.violation;
             }
         }
         printf("%s: seed %u, %s\n",
                model_mutation_name((enum model_mutation)m), first,
-               broken == NULL ? "not noticed" : broken);
+               violation == NULL ? "not noticed" : violation);
         CU_ASSERT(first > 0);
     }
 }
--- a/tests/jobs/pools_test.c
+++ b/tests/jobs/pools_test.c
@@ -14,8 +14,8 @@
     static const char *const pools[] = {"p", "p", "p", "p", NULL};
     struct fleet_fixture f;
     fixture_init(&f, 0);
-    fixture_hosts(&f, pools);
-    fixture_settle(&f);
+    fixture_add_hosts(&f, pools);
+    fixture_reconcile(&f);
     char *hosts[] = {(char *)"m0", (char *)"m1", (char *)"m2", (char *)"m3",
                      NULL};
     struct host_wave wave = {.number = 7,
@@ -26,13 +26,13 @@
     scheduler_wave_set(f.sched, &wave);
     fixture_tick(&f, f.now_ms + 4000);
     fixture_tick(&f, f.now_ms + 200);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_REBOOT, NULL), 2);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_REBOOT, NULL), 2);
     CU_ASSERT_FALSE(scheduler_wave_done(f.sched, 7));
     for (int i = 0; i < 4; i++) {
         scheduler_on_host_command(f.sched, hosts[i], 7, HOST_COMMAND_DONE);
     }
     fixture_tick(&f, f.now_ms + 200);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_REBOOT, NULL), 2);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_REBOOT, NULL), 2);
     char *begun = scheduler_wave_started_hosts(f.sched, 7);
     char **begun_hosts = g_strsplit(begun, " ", 0);
     CU_ASSERT_EQUAL(g_strv_length(begun_hosts), 2);
@@ -49,19 +49,19 @@
     static const char *const pools[] = {"p", "p", "p", "p", "p", NULL};
     struct fleet_fixture f;
     fixture_init(&f, 0);
-    fixture_hosts(&f, pools);
-    fixture_settle(&f);
-    fixture_job(&f, JOB_A, "p",
-                "[{\"count\":4,\"cpu\":100,\"mem_mb\":10,"
-                "\"long_running\":true,\"anti_affinity\":1}]");
+    fixture_add_hosts(&f, pools);
+    fixture_reconcile(&f);
+    fixture_add_job(&f, JOB_A, "p",
+                    "[{\"count\":4,\"cpu\":100,\"mem_mb\":10,"
+                    "\"long_running\":true,\"anti_affinity\":1}]");
     for (int i = 0; i < 45; i++) {
         fixture_tick(&f, f.now_ms + 100);
         for (int b = 0; b < 5; b++) {
             fixture_accept_starts(&f);
         }
     }
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, NULL), 4);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_MOVE, NULL), 0);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, NULL), 4);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_MOVE, NULL), 0);
     fixture_clear(&f);
 }
 
@@ -74,24 +74,25 @@
                                         "q", "s", "s", NULL};
     struct fleet_fixture f;
     fixture_init(&f, 0);
-    fixture_hosts(&f, pools);
-    fixture_settle(&f);
+    fixture_add_hosts(&f, pools);
+    fixture_reconcile(&f);
     fixture_tick(&f, f.now_ms + 3400);
     int64_t peak_ms = f.now_ms;
     for (int i = 0; i < 12; i++) {
         char id[JOB_ID_CHARS + 1];
         snprintf(id, sizeof(id), "%016x", i);
-        fixture_job(&f, id, "p",
-                    "[{\"count\":6,\"cpu\":1500,\"mem_mb\":100,"
-                    "\"estimate_ms\":900}]");
+        fixture_add_job(&f, id, "p",
+                        "[{\"count\":6,\"cpu\":1500,\"mem_mb\":100,"
+                        "\"estimate_ms\":900}]");
     }
     fixture_tick(&f, f.now_ms + 150);
     uint32_t to_p = 0;
-    for (guint i = 0; i < f.orders->len; i++) {
-        const struct order *order = g_ptr_array_index(f.orders, i);
-        if (order->kind == ORDER_MOVE && strcmp(order->task, "p") == 0) {
+    for (guint i = 0; i < f.commands->len; i++) {
+        const struct recorded_command *command =
+            g_ptr_array_index(f.commands, i);
+        if (command->kind == COMMAND_MOVE && strcmp(command->task, "p") == 0) {
             to_p++;
-            CU_ASSERT(order->at_ms - peak_ms <= 150);
+            CU_ASSERT(command->at_ms - peak_ms <= 150);
         }
     }
     /* Both spare hosts and those that the idle pool does not keep. */
@@ -106,18 +107,18 @@
     static const char *const pools[] = {"p", "p", "s", "s", NULL};
     struct fleet_fixture f;
     fixture_init(&f, 0);
-    fixture_hosts(&f, pools);
-    fixture_settle(&f);
+    fixture_add_hosts(&f, pools);
+    fixture_reconcile(&f);
     fixture_tick(&f, f.now_ms + 3400);
-    fixture_job(&f, JOB_A, "p",
-                "[{\"count\":8,\"cpu\":1800,\"mem_mb\":100,"
-                "\"estimate_ms\":2000}]");
+    fixture_add_job(&f, JOB_A, "p",
+                    "[{\"count\":8,\"cpu\":1800,\"mem_mb\":100,"
+                    "\"estimate_ms\":2000}]");
     for (int i = 0; i < 10; i++) {
         fixture_tick(&f, f.now_ms + 100);
         fixture_accept_starts(&f);
     }
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, NULL), 8);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_MOVE, NULL), 0);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, NULL), 8);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_MOVE, NULL), 0);
     fixture_clear(&f);
 }
 
--- a/tests/jobs/process_fixture.c
+++ b/tests/jobs/process_fixture.c
@@ -12,10 +12,10 @@
 #include "platform/json_text.h"
 
 enum {
-    READY_TRIES = 100,
-    STEP_US = 2000,
-    JOB_EVERY_MS = 150,
-    END_MS = 20000,
+    READY_ATTEMPTS_MAX = 100,
+    POLL_US = 2000,
+    SUBMIT_INTERVAL_MS = 150,
+    FINISH_TIMEOUT_MS = 20000,
     /* Ports after the first: the proxy's own and its routes. */
     PORT_PROXY = 70,
     PORT_ROUTES = 71,
@@ -25,7 +25,7 @@
     "{\"spec\":\"ms=300\",\"steps\":[{\"count\":4,\"cpu\":900,\"mem_mb\":900,"
     "\"estimate_ms\":300},{\"count\":2,\"cpu\":900,\"mem_mb\":900,"
     "\"estimate_ms\":300,\"after\":[0]}]}";
-const char lasting_body[] =
+const char service_job_body[] =
     "{\"spec\":\"forever\",\"steps\":[{\"count\":3,\"cpu\":900,"
     "\"mem_mb\":900,\"long_running\":true,\"may_miss\":1,"
     "\"anti_affinity\":1}]}";
@@ -72,7 +72,7 @@
 }
 
 void
-start_entry(int entry)
+start_entry_host(int entry)
 {
     int port = entry_port(entry);
     int store_port =
@@ -94,7 +94,7 @@
         g_build_filename(build_root, "egretjobd", "egretjobd", NULL);
     g_file_set_contents(file, settings, -1, NULL);
     char *const argv[] = {program, file, NULL};
-    fixture.entries[entry] = spawn(log, argv);
+    fixture.entry_pids[entry] = spawn(log, argv);
     g_free(settings);
     g_free(file);
     g_free(log);
@@ -102,20 +102,22 @@
 }
 
 int
-ask(const char *address, const char *method, const char *path)
+send_request(const char *address, const char *method, const char *path)
 {
-    return http_ask(fixture.base, address, method, path, NULL, NULL, NULL);
+    return http_call_sync(fixture.base, address, method, path, NULL, NULL,
+                          NULL);
 }
 
 void
 wait_ready(int entry)
 {
     char *address = g_strdup_printf("127.0.0.1:%d", entry_port(entry) + 1);
-    int tries = READY_TRIES;
-    while (ask(address, "GET", "/v1/readiness") != 200 && --tries > 0) {
+    int attempts = READY_ATTEMPTS_MAX;
+    while (send_request(address, "GET", "/v1/readiness") != 200 &&
+           --attempts > 0) {
         g_usleep(50000);
     }
-    CU_ASSERT(tries > 0);
+    CU_ASSERT(attempts > 0);
     g_free(address);
 }
 
@@ -125,13 +127,13 @@
     char *route = g_strdup_printf(
         "{\"name\":\"store-%d\",\"target\":\"127.0.0.1:%d\",\"listen\":%d}",
         entry, fixture.first_port, proxy_port(entry));
-    int tries = READY_TRIES;
-    while (http_ask(fixture.base, fixture.proxy_admin, "POST",
-                    "/standin/routes", NULL, route, NULL) != 200 &&
-           --tries > 0) {
+    int attempts = READY_ATTEMPTS_MAX;
+    while (http_call_sync(fixture.base, fixture.proxy_admin, "POST",
+                          "/standin/routes", NULL, route, NULL) != 200 &&
+           --attempts > 0) {
         g_usleep(50000);
     }
-    CU_ASSERT(tries > 0);
+    CU_ASSERT(attempts > 0);
     g_free(route);
 }
 
@@ -147,7 +149,7 @@
     fixture.proxy_admin =
         g_strdup_printf("127.0.0.1:%d", fixture.first_port + PORT_PROXY);
     fixture.proxy = spawn(log, argv);
-    for (int i = 0; i < ENTRIES; i++) {
+    for (int i = 0; i < ENTRY_HOST_COUNT; i++) {
         add_route(i);
     }
     g_free(program);
@@ -179,15 +181,15 @@
     if (proxied) {
         start_proxy();
     }
-    for (int i = 0; i < ENTRIES; i++) {
-        fixture.fronts[i] = g_strdup_printf("127.0.0.1:%d", entry_port(i));
-        start_entry(i);
+    for (int i = 0; i < ENTRY_HOST_COUNT; i++) {
+        fixture.frontends[i] = g_strdup_printf("127.0.0.1:%d", entry_port(i));
+        start_entry_host(i);
     }
-    for (int i = 0; i < ENTRIES; i++) {
+    for (int i = 0; i < ENTRY_HOST_COUNT; i++) {
         wait_ready(i);
     }
-    fixture.caller =
-        job_caller_create(fixture.base, (const char *const *)fixture.fronts);
+    fixture.caller = job_caller_create(fixture.base,
+                                       (const char *const *)fixture.frontends);
     fixture.quick = (struct caller_queue){
         .name = "quick",
         .host = "jobs.example",
@@ -195,25 +197,25 @@
         .key = "key-skela",
         .objective_ms = 2000,
     };
-    fixture.lasting = (struct caller_queue){
+    fixture.service = (struct caller_queue){
         .name = "lasting",
         .host = "jobs.example",
         .prefix = "/archive/",
         .objective_ms = 2000,
     };
     caller_queue_init(&fixture.quick);
-    caller_queue_init(&fixture.lasting);
+    caller_queue_init(&fixture.service);
 }
 
 int64_t
-figure(const char *name)
+emulator_stat(const char *name)
 {
     char *body = NULL;
-    http_ask(fixture.base, fixture.admin, "GET", "/figures", NULL, NULL,
-             &body);
-    cJSON *figures = cJSON_Parse(body);
-    int64_t value = json_int_get(figures, name, -1);
-    cJSON_Delete(figures);
+    http_call_sync(fixture.base, fixture.admin, "GET", "/figures", NULL, NULL,
+                   &body);
+    cJSON *stats = cJSON_Parse(body);
+    int64_t value = json_int_get(stats, name, -1);
+    cJSON_Delete(stats);
     g_free(body);
     return value;
 }
@@ -222,14 +224,14 @@
 fixture_tear_down(void)
 {
     job_caller_destroy(fixture.caller);
-    for (int i = 0; i < ENTRIES; i++) {
-        end_process(&fixture.entries[i], SIGTERM);
-        g_free(fixture.fronts[i]);
+    for (int i = 0; i < ENTRY_HOST_COUNT; i++) {
+        end_process(&fixture.entry_pids[i], SIGTERM);
+        g_free(fixture.frontends[i]);
     }
     end_process(&fixture.proxy, SIGTERM);
     end_process(&fixture.emulator, SIGTERM);
     caller_queue_clear(&fixture.quick);
-    caller_queue_clear(&fixture.lasting);
+    caller_queue_clear(&fixture.service);
     g_free(fixture.admin);
     g_free(fixture.proxy_admin);
     g_free(fixture.directory);
@@ -237,34 +239,34 @@
 }
 
 void
-play(int64_t duration_ms, bool submit)
+run_for(int64_t duration_ms, bool submit)
 {
     int64_t start_ms = g_get_monotonic_time() / 1000;
     int64_t next_ms = start_ms;
     int64_t now_ms = start_ms;
     while (now_ms < start_ms + duration_ms) {
         if (submit && now_ms >= next_ms) {
-            next_ms = now_ms + JOB_EVERY_MS;
+            next_ms = now_ms + SUBMIT_INTERVAL_MS;
             job_caller_submit(fixture.caller, &fixture.quick, job_body);
         }
         event_base_loop(fixture.base, EVLOOP_NONBLOCK);
-        g_usleep(STEP_US);
+        g_usleep(POLL_US);
         now_ms = g_get_monotonic_time() / 1000;
     }
 }
 
 void
-play_to_end(void)
+run_until_finished(void)
 {
-    for (int64_t passed_ms = 0;
-         passed_ms < END_MS && job_caller_open(fixture.caller) > 0;
+    for (int64_t passed_ms = 0; passed_ms < FINISH_TIMEOUT_MS &&
+                                job_caller_pending(fixture.caller) > 0;
          passed_ms += 100) {
-        play(100, false);
+        run_for(100, false);
     }
 }
 
 void
-check_promises(void)
+check_invariants(void)
 {
     const struct caller_queue *quick = &fixture.quick;
     printf("%u jobs, %u accepted, %u completed, %u failed, p50 %ld ms, "
@@ -272,29 +274,29 @@
            quick->submitted, quick->accepted, quick->completed, quick->failed,
            (long)caller_queue_quantile_ms(quick, 0.5),
            (long)caller_queue_quantile_ms(quick, 0.99), fixture.directory);
-    CU_ASSERT_EQUAL(figure("violations"), 0);
-    CU_ASSERT(figure("checks") > 0);
-    CU_ASSERT_EQUAL(job_caller_open(fixture.caller), 0);
+    CU_ASSERT_EQUAL(emulator_stat("violations"), 0);
+    CU_ASSERT(emulator_stat("checks") > 0);
+    CU_ASSERT_EQUAL(job_caller_pending(fixture.caller), 0);
     CU_ASSERT_EQUAL(quick->failed, 0);
     CU_ASSERT_EQUAL(quick->refused, 0);
     CU_ASSERT_EQUAL(quick->accepted, quick->submitted);
 }
 
 int
-holder(void)
+find_leader(void)
 {
-    for (int i = 0; i < ENTRIES; i++) {
+    for (int i = 0; i < ENTRY_HOST_COUNT; i++) {
         char *address = g_strdup_printf("127.0.0.1:%d", entry_port(i) + 3);
         char *body = NULL;
-        int status = fixture.entries[i] == 0
+        int status = fixture.entry_pids[i] == 0
                          ? 0
-                         : http_ask(fixture.base, address, "GET", "/metrics",
-                                    NULL, NULL, &body);
-        bool holds = status == 200 && body != NULL &&
+                         : http_call_sync(fixture.base, address, "GET",
+                                          "/metrics", NULL, NULL, &body);
+        bool leads = status == 200 && body != NULL &&
                      strstr(body, "scheduler_held 1") != NULL;
         g_free(body);
         g_free(address);
-        if (holds) {
+        if (leads) {
             return i;
         }
     }
@@ -302,10 +304,10 @@
 }
 
 int
-post(const char *path, const char *key, const char *text, char **body)
+submit_job(const char *path, const char *key, const char *text, char **body)
 {
-    return http_ask(fixture.base, fixture.fronts[0], "POST", path, key, text,
-                    body);
+    return http_call_sync(fixture.base, fixture.frontends[0], "POST", path,
+                          key, text, body);
 }
 
 static int first_port;
--- a/tests/jobs/process_fixture.h
+++ b/tests/jobs/process_fixture.h
@@ -13,17 +13,17 @@
 #include "job_caller.h"
 
 enum {
-    ENTRIES = 3,
+    ENTRY_HOST_COUNT = 3,
 };
 
 /** job_body - two steps of short tasks */
 extern const char job_body[];
-/** lasting_body - three tasks that last, of which one may be away */
-extern const char lasting_body[];
+/** service_job_body - three tasks that last, of which one may be away */
+extern const char service_job_body[];
 
 /**
  * struct fixture - the emulator, the entry hosts and a caller
- * @fronts: addresses of the entry hosts for callers, NULL-terminated
+ * @frontends: addresses of the entry hosts for callers, NULL-terminated
  * @admin: address at which the emulator takes faults
  * @proxy: process between each entry host and the store; 0: there is none
  * @proxy_admin: address at which it takes faults on its routes store-0, ...
@@ -33,14 +33,14 @@
     int first_port;
     char *directory;
     pid_t emulator;
-    pid_t entries[ENTRIES];
-    char *fronts[ENTRIES + 1];
+    pid_t entry_pids[ENTRY_HOST_COUNT];
+    char *frontends[ENTRY_HOST_COUNT + 1];
     char *admin;
     pid_t proxy;
     char *proxy_admin;
     struct job_caller *caller;
     struct caller_queue quick;
-    struct caller_queue lasting;
+    struct caller_queue service;
 };
 
 extern struct fixture fixture;
@@ -72,7 +72,7 @@
 end_process(pid_t *pid, int signal_number);
 
 void
-start_entry(int entry);
+start_entry_host(int entry);
 
 /** wait_ready() - until the entry host takes callers. */
 void
@@ -80,30 +80,30 @@
 
 /** ask() - a call without a body; its HTTP status. */
 int
-ask(const char *address, const char *method, const char *path);
+send_request(const char *address, const char *method, const char *path);
 
 /** post() - a job to the first entry host; its HTTP status. */
 int
-post(const char *path, const char *key, const char *text, char **body);
+submit_job(const char *path, const char *key, const char *text, char **body);
 
 /** figure() - a figure of the emulator, -1 if there is none. */
 int64_t
-figure(const char *name);
+emulator_stat(const char *name);
 
 /** play() - lets callers and answers go on for @duration_ms. */
 void
-play(int64_t duration_ms, bool submit);
+run_for(int64_t duration_ms, bool submit);
 
-/** play_to_end() - until every job has its end. */
+/** run_until_finished() - until every job has its end. */
 void
-play_to_end(void);
+run_until_finished(void);
 
-/** check_promises() - what most scenarios end with. */
+/** check_invariants() - what most scenarios end with. */
 void
-check_promises(void);
+check_invariants(void);
 
 /** holder() - entry that holds the duty, or -1. */
 int
-holder(void);
+find_leader(void);
 
 #endif
--- a/tests/jobs/scheduler_test.c
+++ b/tests/jobs/scheduler_test.c
@@ -16,24 +16,24 @@
 /* A holder that lost the store counted failures that it could not store;
  * their ends are listed again to the next one, which has no run of its own. */
 static void
-test_failures_listed_again(void)
+test_failures_reported_again(void)
 {
     struct fleet_fixture f;
     fixture_init(&f, 1);
-    fixture_backend(&f, "b1", "p", "m1");
-    struct job *job = fixture_job(&f, JOB_A, "p", one_task);
-    struct run_completion ends[] = {
+    fixture_add_backend(&f, "b1", "p", "m1");
+    struct job *job = fixture_add_job(&f, JOB_A, "p", one_task);
+    struct run_completion completions[] = {
         {.number = 1, .task = JOB_A ".0.0.0", .run = 1, .reason = END_FAILED},
         {.number = 2, .task = JOB_A ".0.0.0", .run = 2, .reason = END_FAILED},
         {.number = 3, .task = JOB_A ".0.0.0", .run = 3, .reason = END_FAILED},
     };
     fixture_tick(&f, f.now_ms + 10);
-    fixture_lists(&f, "b1", NULL, 0, ends, 3);
+    fixture_report(&f, "b1", NULL, 0, completions, 3);
     /* Listed once more before the acknowledgement arrives. */
-    fixture_lists(&f, "b1", NULL, 0, ends, 3);
+    fixture_report(&f, "b1", NULL, 0, completions, 3);
     fixture_tick(&f, f.now_ms + 10);
     CU_ASSERT_EQUAL(job->state, JOB_FAILED);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, NULL), 0);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, NULL), 0);
     fixture_clear(&f);
 }
 
@@ -43,15 +43,15 @@
 {
     struct fleet_fixture f;
     fixture_init(&f, 1);
-    fixture_backend(&f, "b1", "p", "m1");
-    struct job *job = fixture_job(&f, JOB_A, "p", one_task);
+    fixture_add_backend(&f, "b1", "p", "m1");
+    struct job *job = fixture_add_job(&f, JOB_A, "p", one_task);
     job_task_record_failure(&job_step_progress(job, 0, 0)->tasks[0], 1);
-    struct run_completion ends[] = {
+    struct run_completion completions[] = {
         {.number = 1, .task = JOB_A ".0.0.0", .run = 1, .reason = END_FAILED},
         {.number = 2, .task = JOB_A ".0.0.0", .run = 2, .reason = END_FAILED},
     };
     fixture_tick(&f, f.now_ms + 10);
-    fixture_lists(&f, "b1", NULL, 0, ends, 2);
+    fixture_report(&f, "b1", NULL, 0, completions, 2);
     CU_ASSERT_EQUAL(job->state, JOB_ACTIVE);
     CU_ASSERT_EQUAL(job_step_progress(job, 0, 0)->tasks[0].failures, 2);
     fixture_clear(&f);
@@ -64,27 +64,27 @@
 {
     struct fleet_fixture f;
     fixture_init(&f, 0);
-    fixture_backend(&f, "b1", "p", "m1");
-    fixture_backend(&f, "b2", "p", "m2");
-    fixture_settle(&f);
-    struct job *job = fixture_job(&f, JOB_A, "p", one_task);
+    fixture_add_backend(&f, "b1", "p", "m1");
+    fixture_add_backend(&f, "b2", "p", "m2");
+    fixture_reconcile(&f);
+    struct job *job = fixture_add_job(&f, JOB_A, "p", one_task);
     fixture_tick(&f, f.now_ms + 10);
-    CU_ASSERT_EQUAL_FATAL(fixture_count(&f, ORDER_START, NULL), 1);
-    const struct order *start = fixture_last(&f, ORDER_START);
+    CU_ASSERT_EQUAL_FATAL(fixture_count(&f, COMMAND_START, NULL), 1);
+    const struct recorded_command *start = fixture_last(&f, COMMAND_START);
     char *where = g_strdup(start->target);
     scheduler_on_start(f.sched, start->handle, START_NO_ANSWER, 0);
     fixture_tick(&f, f.now_ms + 10);
-    CU_ASSERT_EQUAL_FATAL(fixture_count(&f, ORDER_STOP, NULL), 1);
-    scheduler_on_stop(f.sched, fixture_last(&f, ORDER_STOP)->handle, true);
+    CU_ASSERT_EQUAL_FATAL(fixture_count(&f, COMMAND_STOP, NULL), 1);
+    scheduler_on_stop(f.sched, fixture_last(&f, COMMAND_STOP)->handle, true);
     fixture_tick(&f, f.now_ms + 20);
-    fixture_lists(&f, where, NULL, 0, NULL, 0);
+    fixture_report(&f, where, NULL, 0, NULL, 0);
     fixture_tick(&f, f.now_ms + 10);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, NULL), 1);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, NULL), 1);
     /* A list that is asked for after the stop's time proves the absence. */
     fixture_tick(&f, f.now_ms + 700);
-    fixture_lists(&f, where, NULL, 0, NULL, 0);
+    fixture_report(&f, where, NULL, 0, NULL, 0);
     fixture_tick(&f, f.now_ms + 10);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, NULL), 2);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, NULL), 2);
     CU_ASSERT_EQUAL(job->state, JOB_ACTIVE);
     g_free(where);
     fixture_clear(&f);
@@ -93,26 +93,26 @@
 /* A lasting task whose start got no answer is not stopped while a list may
  * still show it at work. */
 static void
-test_uncertain_lasting_run(void)
+test_unanswered_start_of_service_task(void)
 {
     struct fleet_fixture f;
     fixture_init(&f, 0);
-    fixture_backend(&f, "b1", "p", "m1");
-    fixture_settle(&f);
-    fixture_job(&f, JOB_A, "p",
-                "[{\"count\":1,\"cpu\":100,\"mem_mb\":10,"
-                "\"long_running\":true,\"may_miss\":1}]");
+    fixture_add_backend(&f, "b1", "p", "m1");
+    fixture_reconcile(&f);
+    fixture_add_job(&f, JOB_A, "p",
+                    "[{\"count\":1,\"cpu\":100,\"mem_mb\":10,"
+                    "\"long_running\":true,\"may_miss\":1}]");
     fixture_tick(&f, f.now_ms + 10);
-    CU_ASSERT_EQUAL_FATAL(fixture_count(&f, ORDER_START, NULL), 1);
-    scheduler_on_start(f.sched, fixture_last(&f, ORDER_START)->handle,
+    CU_ASSERT_EQUAL_FATAL(fixture_count(&f, COMMAND_START, NULL), 1);
+    scheduler_on_start(f.sched, fixture_last(&f, COMMAND_START)->handle,
                        START_NO_ANSWER, 0);
     fixture_tick(&f, f.now_ms + 100);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_STOP, NULL), 0);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_STOP, NULL), 0);
     struct reported_run running = {
         .task = JOB_A ".0.0.0", .number = 1, .saved = "", .percent = 100};
-    fixture_lists(&f, "b1", &running, 1, NULL, 0);
+    fixture_report(&f, "b1", &running, 1, NULL, 0);
     fixture_tick(&f, f.now_ms + 2600);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_STOP, NULL), 0);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_STOP, NULL), 0);
     fixture_clear(&f);
 }
 
@@ -122,13 +122,13 @@
 {
     struct fleet_fixture f;
     fixture_init(&f, 1);
-    fixture_backend(&f, "b1", "p", "m1");
-    struct host_info facts[] = {{.host = "m1",
+    fixture_add_backend(&f, "b1", "p", "m1");
+    struct host_info infos[] = {{.host = "m1",
                                  .pool = "p",
                                  .backend_id = "b1",
                                  .data_centre = "dc",
                                  .up = true}};
-    scheduler_hosts_read(f.sched, facts, 1);
+    scheduler_hosts_read(f.sched, infos, 1);
     char *hosts[] = {(char *)"m1", NULL};
     struct host_wave wave = {.number = 1,
                              .hosts = hosts,
@@ -139,10 +139,10 @@
     for (int i = 0; i < 50; i++) {
         fixture_tick(&f, f.now_ms + 100);
     }
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_REBOOT, NULL), 0);
-    fixture_lists(&f, "b1", NULL, 0, NULL, 0);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_REBOOT, NULL), 0);
+    fixture_report(&f, "b1", NULL, 0, NULL, 0);
     fixture_tick(&f, f.now_ms + 200);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_REBOOT, NULL), 1);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_REBOOT, NULL), 1);
     fixture_clear(&f);
 }
 
@@ -150,11 +150,11 @@
  * host is unavailable for maintenance; the host still counts as unavailable.
  */
 static void
-test_lingering_entry_is_away(void)
+test_lingering_entry_is_unavailable(void)
 {
     struct fleet_fixture f;
     fixture_init(&f, 1);
-    struct host_info facts[] = {
+    struct host_info infos[] = {
         {.host = "m1", .pool = "p", .data_centre = "dc", .unavailable = true},
         {.host = "m2",
          .pool = "p",
@@ -162,10 +162,10 @@
          .data_centre = "dc",
          .up = true},
     };
-    scheduler_hosts_read(f.sched, facts, 2);
-    fixture_backend(&f, "b1", "p", "m1");
-    fixture_backend(&f, "b2", "p", "m2");
-    fixture_settle(&f);
+    scheduler_hosts_read(f.sched, infos, 2);
+    fixture_add_backend(&f, "b1", "p", "m1");
+    fixture_add_backend(&f, "b2", "p", "m2");
+    fixture_reconcile(&f);
     char *hosts[] = {(char *)"m1", (char *)"m2", NULL};
     struct host_wave wave = {.number = 3,
                              .hosts = hosts,
@@ -176,7 +176,7 @@
     for (int i = 0; i < 45; i++) {
         fixture_tick(&f, f.now_ms + 100);
     }
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_REBOOT, NULL), 0);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_REBOOT, NULL), 0);
     fixture_clear(&f);
 }
 
@@ -187,7 +187,7 @@
 {
     struct fleet_fixture f;
     fixture_init(&f, 1);
-    fixture_backend(&f, "b1", "p", "m1");
+    fixture_add_backend(&f, "b1", "p", "m1");
     char *hosts[] = {(char *)"m1", NULL};
     struct host_wave wave = {.number = 4,
                              .hosts = hosts,
@@ -196,12 +196,12 @@
                              .seen_ms = f.now_ms};
     scheduler_wave_set(f.sched, &wave);
     CU_ASSERT_FALSE(scheduler_wave_done(f.sched, 4));
-    struct host_info facts[] = {{.host = "m1",
+    struct host_info infos[] = {{.host = "m1",
                                  .pool = "p",
                                  .backend_id = "b1",
                                  .data_centre = "dc",
                                  .up = true}};
-    scheduler_hosts_read(f.sched, facts, 1);
+    scheduler_hosts_read(f.sched, infos, 1);
     CU_ASSERT_FALSE(scheduler_wave_done(f.sched, 4));
     scheduler_wave_host_started(f.sched, 4, "m1");
     CU_ASSERT_TRUE(scheduler_wave_done(f.sched, 4));
@@ -211,27 +211,28 @@
 /* Overload: a job that can still meet its objective goes before one that is
  * late, and the smaller of two attainable ones first. */
 static void
-test_order_under_overload(void)
+test_job_order_under_overload(void)
 {
     struct fleet_fixture f;
     fixture_init(&f, 0);
-    fixture_backend(&f, "b1", "p", "m1");
-    fixture_settle(&f);
+    fixture_add_backend(&f, "b1", "p", "m1");
+    fixture_reconcile(&f);
     static const char wide[] =
         "[{\"count\":16,\"cpu\":1000,\"mem_mb\":10,\"estimate_ms\":1000}]";
     static const char narrow[] =
         "[{\"count\":4,\"cpu\":1000,\"mem_mb\":10,\"estimate_ms\":1000}]";
-    struct job *late = fixture_job(&f, JOB_A, "p", narrow);
+    struct job *late = fixture_add_job(&f, JOB_A, "p", narrow);
     late->accepted_unix_ms -= 60000;
-    fixture_job(&f, JOB_B, "p", wide);
-    fixture_job(&f, "00000000000000cc", "p", narrow);
+    fixture_add_job(&f, JOB_B, "p", wide);
+    fixture_add_job(&f, "00000000000000cc", "p", narrow);
     fixture_tick(&f, f.now_ms + 10);
-    CU_ASSERT_EQUAL_FATAL(fixture_count(&f, ORDER_START, NULL), 16);
+    CU_ASSERT_EQUAL_FATAL(fixture_count(&f, COMMAND_START, NULL), 16);
     uint32_t by_job[3] = {0};
-    for (guint i = 0; i < f.orders->len; i++) {
-        const struct order *order = g_ptr_array_index(f.orders, i);
-        if (order->kind == ORDER_START) {
-            by_job[order->task[15] - 'a']++;
+    for (guint i = 0; i < f.commands->len; i++) {
+        const struct recorded_command *command =
+            g_ptr_array_index(f.commands, i);
+        if (command->kind == COMMAND_START) {
+            by_job[command->task[15] - 'a']++;
         }
     }
     CU_ASSERT_EQUAL(by_job[2], 4);
@@ -248,15 +249,15 @@
     fixture_init(&f, 0);
     struct team_config *team = g_ptr_array_index(f.config->teams, 0);
     team->maximum.cpu_milli = 5000;
-    fixture_backend(&f, "b1", "p", "m1");
-    fixture_backend(&f, "b2", "q", "m2");
-    fixture_settle(&f);
+    fixture_add_backend(&f, "b1", "p", "m1");
+    fixture_add_backend(&f, "b2", "q", "m2");
+    fixture_reconcile(&f);
     static const char tasks[] =
         "[{\"count\":4,\"cpu\":1000,\"mem_mb\":10,\"estimate_ms\":1000}]";
-    fixture_job(&f, JOB_A, "p", tasks);
-    fixture_job(&f, JOB_B, "q", tasks);
+    fixture_add_job(&f, JOB_A, "p", tasks);
+    fixture_add_job(&f, JOB_B, "q", tasks);
     fixture_tick(&f, f.now_ms + 10);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, NULL), 5);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, NULL), 5);
     fixture_clear(&f);
 }
 
@@ -266,55 +267,55 @@
 {
     struct fleet_fixture f;
     fixture_init(&f, 0);
-    fixture_backend(&f, "b1", "p", "m1");
-    fixture_settle(&f);
-    fixture_job(&f, JOB_A, "p",
-                "[{\"count\":20,\"cpu\":1000,\"mem_mb\":10,"
-                "\"estimate_ms\":1000,\"gang\":true}]");
+    fixture_add_backend(&f, "b1", "p", "m1");
+    fixture_reconcile(&f);
+    fixture_add_job(&f, JOB_A, "p",
+                    "[{\"count\":20,\"cpu\":1000,\"mem_mb\":10,"
+                    "\"estimate_ms\":1000,\"gang\":true}]");
     fixture_tick(&f, f.now_ms + 10);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, NULL), 0);
-    fixture_backend(&f, "b2", "p", "m2");
-    fixture_settle(&f);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, NULL), 0);
+    fixture_add_backend(&f, "b2", "p", "m2");
+    fixture_reconcile(&f);
     fixture_tick(&f, f.now_ms + 10);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, NULL), 20);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, NULL), 20);
     fixture_clear(&f);
 }
 
 /* Without validity nothing starts; afterwards it goes on. */
 static void
-test_no_start_without_validity(void)
+test_no_start_without_leadership(void)
 {
     struct fleet_fixture f;
     fixture_init(&f, 0);
-    fixture_backend(&f, "b1", "p", "m1");
-    fixture_settle(&f);
+    fixture_add_backend(&f, "b1", "p", "m1");
+    fixture_reconcile(&f);
     scheduler_set_leadership_valid(f.sched, false);
-    fixture_job(&f, JOB_A, "p", one_task);
+    fixture_add_job(&f, JOB_A, "p", one_task);
     fixture_tick(&f, f.now_ms + 10);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, NULL), 0);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, NULL), 0);
     scheduler_set_leadership_valid(f.sched, true);
     fixture_tick(&f, f.now_ms + 10);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, NULL), 1);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, NULL), 1);
     fixture_clear(&f);
 }
 
 /* A server that drains and a data centre that is out get nothing. */
 static void
-test_draining_and_out(void)
+test_out_of_service_data_centre(void)
 {
     struct fleet_fixture f;
     fixture_init(&f, 0);
-    fixture_backend(&f, "b1", "p", "m1");
-    fixture_settle(&f);
-    static char *out[] = {(char *)"dc", NULL};
+    fixture_add_backend(&f, "b1", "p", "m1");
+    fixture_reconcile(&f);
+    static char *out_of_service[] = {(char *)"dc", NULL};
     static char *none[] = {NULL};
-    scheduler_set_out_of_service(f.sched, out);
-    fixture_job(&f, JOB_A, "p", one_task);
+    scheduler_set_out_of_service(f.sched, out_of_service);
+    fixture_add_job(&f, JOB_A, "p", one_task);
     fixture_tick(&f, f.now_ms + 10);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, NULL), 0);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, NULL), 0);
     scheduler_set_out_of_service(f.sched, none);
     fixture_tick(&f, f.now_ms + 10);
-    CU_ASSERT_EQUAL(fixture_count(&f, ORDER_START, NULL), 1);
+    CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, NULL), 1);
     fixture_clear(&f);
 }
 
@@ -366,18 +367,18 @@
 main(void)
 {
     static const struct suite_test tests[] = {
-        {"failed ends listed again count", test_failures_listed_again},
+        {"failed ends listed again count", test_failures_reported_again},
         {"a stored failure counts once", test_failure_counts_once},
         {"a stopping run is waited for", test_stopping_run_is_waited_for},
-        {"an uncertain lasting run", test_uncertain_lasting_run},
+        {"an uncertain lasting run", test_unanswered_start_of_service_task},
         {"an unread host is not empty", test_unread_host_is_not_empty},
-        {"a lingering entry is away", test_lingering_entry_is_away},
+        {"a lingering entry is away", test_lingering_entry_is_unavailable},
         {"a wave needs the host list", test_wave_needs_the_host_list},
-        {"order under overload", test_order_under_overload},
+        {"order under overload", test_job_order_under_overload},
         {"a team's limit holds over pools", test_team_limit_over_pools},
         {"a gang starts whole", test_gang_starts_whole},
-        {"no start without validity", test_no_start_without_validity},
-        {"draining and out", test_draining_and_out},
+        {"no start without validity", test_no_start_without_leadership},
+        {"draining and out", test_out_of_service_data_centre},
         {"a weak host waits each time", test_weak_host_waits_each_time},
         {"late failures keep the peer", test_late_failures_keep_the_peer},
     };
