--- a/egretctl/change.c
+++ b/egretctl/change.c
@@ -20,11 +20,12 @@
 
 /* Shows what another operator changed; whether it meets @subject. */
 static bool
-other_change_meets(struct ctl *ctl, const struct config_snapshot *base,
-                   const char *subject)
+conflicts_with_other_change(struct ctl *ctl,
+                            const struct config_snapshot *base,
+                            const char *subject)
 {
     struct config_snapshot now = ctl_fetch(ctl);
-    bool meets = true;
+    bool conflict = true;
     if (status_ok(&now.status)) {
         GPtrArray *lines = config_diff(base->config, now.config);
         fprintf(stderr,
@@ -32,21 +33,21 @@
                 " by %s: %s\n",
                 now.head->generation, now.head->author, now.head->summary);
         print_lines(stderr, lines);
-        meets = subject == NULL || config_diff_touches(lines, subject);
+        conflict = subject == NULL || config_diff_touches(lines, subject);
         g_ptr_array_unref(lines);
     }
     ctl_snapshot_clear(&now);
-    return meets;
+    return conflict;
 }
 
 static enum ctl_exit
-report_published(struct ctl *ctl, const struct ctl_published *published,
-                 const GPtrArray *lines, bool quiet)
+report_publication(struct ctl *ctl, const struct ctl_publish_result *published,
+                   const GPtrArray *lines, bool quiet)
 {
     if (!quiet && !ctl->options.json) {
         print_lines(stdout, lines);
     }
-    if (ctl_has(ctl, CTL_FLAG_WAIT)) {
+    if (ctl_option_given(ctl, CTL_FLAG_WAIT)) {
         return change_wait(ctl, published->generation);
     }
     if (ctl->options.json) {
@@ -64,52 +65,54 @@
  * from a copy, a change has to go above what they hold; that takes --yes.
  */
 static uint64_t
-highest_in_force(struct ctl *ctl)
+highest_active_generation(struct ctl *ctl)
 {
     struct status status;
-    uint64_t highest = 0;
-    GPtrArray *gateways =
-        ctl_has(ctl, CTL_FLAG_YES) ? gateways_read(ctl, &status) : NULL;
+    uint64_t highest_generation = 0;
+    GPtrArray *gateways = ctl_option_given(ctl, CTL_FLAG_YES)
+                              ? gateways_fetch(ctl, &status)
+                              : NULL;
     if (gateways == NULL) {
         return 0;
     }
-    gateways_ask(ctl, gateways, "/v1/status");
+    gateways_query(ctl, gateways, "/v1/status");
     for (guint i = 0; i < gateways->len; i++) {
         int64_t generation =
-            gateway_number(g_ptr_array_index(gateways, i), "generation");
-        highest = MAX(highest, (uint64_t)MAX(generation, 0));
+            gateway_response_int(g_ptr_array_index(gateways, i), "generation");
+        highest_generation =
+            MAX(highest_generation, (uint64_t)MAX(generation, 0));
     }
     g_ptr_array_unref(gateways);
-    return highest;
+    return highest_generation;
 }
 
-/* CTL_CONFLICT with @again set asks for another attempt. */
+/* CTL_CONFLICT with @retry set asks for another attempt. */
 static enum ctl_exit
-publish_once(struct ctl *ctl, const struct change *change,
+publish_once(struct ctl *ctl, const struct config_change *change,
              const struct config_snapshot *base, const struct config *config,
-             bool *again)
+             bool *retry)
 {
     GPtrArray *lines = config_diff(base->config, config);
     enum ctl_exit code = CTL_OK;
-    uint64_t above = highest_in_force(ctl);
-    bool set_back = base->head != NULL && above > base->head->generation;
-    if (lines->len == 0 && !set_back) {
+    uint64_t above = highest_active_generation(ctl);
+    bool store_restored = base->head != NULL && above > base->head->generation;
+    if (lines->len == 0 && !store_restored) {
         if (!change->quiet && !ctl->options.json) {
             printf("nothing to change\n");
         }
-        if (base->head != NULL && ctl_has(ctl, CTL_FLAG_WAIT)) {
+        if (base->head != NULL && ctl_option_given(ctl, CTL_FLAG_WAIT)) {
             code = change_wait(ctl, base->head->generation);
         }
         g_ptr_array_unref(lines);
         return code;
     }
-    struct ctl_published published =
+    struct ctl_publish_result published =
         ctl_publish(ctl, base, config, change->summary, above);
     if (status_ok(&published.status)) {
-        code = report_published(ctl, &published, lines, change->quiet);
+        code = report_publication(ctl, &published, lines, change->quiet);
     }
     else if (published.status.code == STATUS_CONFLICT) {
-        *again = !other_change_meets(ctl, base, change->subject);
+        *retry = !conflicts_with_other_change(ctl, base, change->subject);
         code = CTL_CONFLICT;
     }
     else {
@@ -120,22 +123,22 @@
 }
 
 static enum ctl_exit
-change_once(struct ctl *ctl, const struct change *change, bool *again)
+change_once(struct ctl *ctl, const struct config_change *change, bool *retry)
 {
     struct config_snapshot base = ctl_fetch(ctl);
     bool usable = status_ok(&base.status) ||
                   base.status.code == STATUS_NOT_FOUND ||
                   (base.status.code == STATUS_INVALID && base.head != NULL &&
-                   ctl_has(ctl, CTL_FLAG_YES));
+                   ctl_option_given(ctl, CTL_FLAG_YES));
     if (!usable) {
         enum ctl_exit code = ctl_fail_status(&base.status);
         ctl_snapshot_clear(&base);
         return code;
     }
-    struct config *config = change_rebuild(base.config);
+    struct config *config = config_rebuild(base.config);
     enum ctl_exit code = change->edit(change->ctx, base.config, &config);
     if (code == CTL_OK && config != NULL) {
-        code = publish_once(ctl, change, &base, config, again);
+        code = publish_once(ctl, change, &base, config, retry);
     }
     config_destroy(config);
     ctl_snapshot_clear(&base);
@@ -143,7 +146,7 @@
 }
 
 struct config *
-change_rebuild(const struct config *config)
+config_rebuild(const struct config *config)
 {
     if (config == NULL) {
         return NULL;
@@ -158,13 +161,13 @@
 }
 
 enum ctl_exit
-change_make(struct ctl *ctl, const struct change *change)
+change_publish(struct ctl *ctl, const struct config_change *change)
 {
     enum ctl_exit code = CTL_CONFLICT;
-    bool again = true;
-    for (unsigned i = 0; i < PUBLISH_ATTEMPTS && again; i++) {
-        again = false;
-        code = change_once(ctl, change, &again);
+    bool retry = true;
+    for (unsigned i = 0; i < PUBLISH_ATTEMPTS && retry; i++) {
+        retry = false;
+        code = change_once(ctl, change, &retry);
     }
     return code;
 }
--- a/egretctl/change.h
+++ b/egretctl/change.h
@@ -5,7 +5,7 @@
 #include "ctl.h"
 
 /**
- * struct change - what a command wants changed
+ * struct config_change - what a command wants changed
  * @summary: one line for the history
  * @subject: path, as config_diff() writes it, of what it is about; when
  *           another operator has just changed the same, it is a conflict,
@@ -15,23 +15,23 @@
  *        returns CTL_OK to go on
  * @quiet: do not print the differences
  */
-struct change {
+struct config_change {
     const char *summary;
     const char *subject;
-    enum ctl_exit (*edit)(void *ctx, const struct config *in_force,
+    enum ctl_exit (*edit)(void *ctx, const struct config *active,
                           struct config **config);
     void *ctx;
     bool quiet;
 };
 
-/** change_rebuild() - sorted and checked copy of an edited configuration;
+/** config_rebuild() - sorted and checked copy of an edited configuration;
  * prints findings and returns NULL when it does not fit together. */
 struct config *
-change_rebuild(const struct config *config);
+config_rebuild(const struct config *config);
 
-/** change_make() - read, edit, publish and, with --wait, wait. */
+/** change_publish() - read, edit, publish and, with --wait, wait. */
 enum ctl_exit
-change_make(struct ctl *ctl, const struct change *change);
+change_publish(struct ctl *ctl, const struct config_change *change);
 
 /** change_wait() - until @generation is in force on every live gateway. */
 enum ctl_exit
--- a/egretctl/cmd_apply.c
+++ b/egretctl/cmd_apply.c
@@ -23,10 +23,10 @@
 
 /* Keys are issued one by one; a file in version control carries none. */
 static void
-keep_keys(struct config *config, const struct config *in_force)
+carry_over_keys(struct config *config, const struct config *active)
 {
-    for (size_t i = 0; i < in_force->n_keys; i++) {
-        const struct config_key_entry *entry = &in_force->key_index[i];
+    for (size_t i = 0; i < active->n_keys; i++) {
+        const struct config_key_entry *entry = &active->key_index[i];
         const struct config_team *owner = NULL;
         struct config_team *team = find_team(config, entry->team->name);
         if (team != NULL &&
@@ -52,12 +52,12 @@
 
 /* A data centre stays out when the file does not say otherwise. */
 static void
-keep_states(struct config *config, const struct config *in_force,
-            JsonNode *root)
+carry_over_dc_states(struct config *config, const struct config *active,
+                     JsonNode *root)
 {
     for (size_t i = 0; i < config->n_dcs; i++) {
         struct config_dc *dc = &config->dcs[i];
-        const struct config_dc *before = config_find_dc(in_force, dc->name);
+        const struct config_dc *before = config_find_dc(active, dc->name);
         if (before != NULL && !file_sets_state(root, dc->name)) {
             dc->state = before->state;
         }
@@ -70,28 +70,28 @@
 };
 
 struct config *
-apply_merge(JsonNode *root, const char *file, const struct config *in_force)
+apply_merge(JsonNode *root, const char *file, const struct config *active)
 {
     struct findings *findings = findings_create();
     struct config *config = config_parse(root, file, findings);
     findings_print(findings, stderr);
     findings_destroy(findings);
-    if (config == NULL || in_force == NULL) {
+    if (config == NULL || active == NULL) {
         return config;
     }
-    keep_states(config, in_force, root);
-    keep_keys(config, in_force);
-    struct config *merged = change_rebuild(config);
+    carry_over_dc_states(config, active, root);
+    carry_over_keys(config, active);
+    struct config *merged = config_rebuild(config);
     config_destroy(config);
     return merged;
 }
 
 static enum ctl_exit
-edit_apply(void *ctx, const struct config *in_force, struct config **config)
+edit_apply(void *ctx, const struct config *active, struct config **config)
 {
     const struct apply *apply = ctx;
     config_destroy(*config);
-    *config = apply_merge(apply->root, apply->file, in_force);
+    *config = apply_merge(apply->root, apply->file, active);
     return *config == NULL ? CTL_REFUSED : CTL_OK;
 }
 
@@ -122,11 +122,11 @@
     struct apply apply = {.file = args[0], .root = root};
     char *name = g_path_get_basename(args[0]);
     char *summary = g_strdup_printf("apply %s", name);
-    enum ctl_exit code = change_make(ctl, &(struct change){
-                                              .summary = summary,
-                                              .edit = edit_apply,
-                                              .ctx = &apply,
-                                          });
+    enum ctl_exit code = change_publish(ctl, &(struct config_change){
+                                                 .summary = summary,
+                                                 .edit = edit_apply,
+                                                 .ctx = &apply,
+                                             });
     g_free(summary);
     g_free(name);
     json_node_unref(root);
--- a/egretctl/cmd_apply.h
+++ b/egretctl/cmd_apply.h
@@ -10,9 +10,9 @@
 JsonNode *
 apply_read_file(const char *file);
 
-/** apply_merge() - what applying @root on top of @in_force gives: keys and
+/** apply_merge() - what applying @root on top of @active gives: keys and
  * states of data centres that the file does not mention stay. */
 struct config *
-apply_merge(JsonNode *root, const char *file, const struct config *in_force);
+apply_merge(JsonNode *root, const char *file, const struct config *active);
 
 #endif
--- a/egretctl/cmd_check.c
+++ b/egretctl/cmd_check.c
@@ -7,7 +7,7 @@
 
 /* Settings of a daemon have members that a configuration never has. */
 static bool
-is_settings(JsonNode *root)
+is_settings_file(JsonNode *root)
 {
     JsonObject *object = json_node_get_object(root);
     return json_object_has_member(object, "store_url") ||
@@ -22,7 +22,7 @@
     if (root == NULL) {
         return;
     }
-    if (is_settings(root)) {
+    if (is_settings_file(root)) {
         struct settings *settings = settings_read(file, findings);
         if (settings != NULL) {
             g_free(settings_read_secret(settings, findings));
--- a/egretctl/cmd_dc.c
+++ b/egretctl/cmd_dc.c
@@ -7,11 +7,11 @@
 };
 
 static enum ctl_exit
-edit_dc(void *ctx, const struct config *in_force, struct config **config)
+edit_dc(void *ctx, const struct config *active, struct config **config)
 {
     const struct dc_change *wanted = ctx;
     struct config_dc *dc =
-        in_force == NULL
+        active == NULL
             ? NULL
             : (struct config_dc *)config_find_dc(*config, wanted->name);
     if (dc == NULL) {
@@ -29,12 +29,12 @@
     char *subject = g_strdup_printf("data_centres[%s]", name);
     char *summary =
         g_strdup_printf("dc %s %s", state == DC_OUT ? "out" : "in", name);
-    enum ctl_exit code = change_make(ctl, &(struct change){
-                                              .summary = summary,
-                                              .subject = subject,
-                                              .edit = edit_dc,
-                                              .ctx = &wanted,
-                                          });
+    enum ctl_exit code = change_publish(ctl, &(struct config_change){
+                                                 .summary = summary,
+                                                 .subject = subject,
+                                                 .edit = edit_dc,
+                                                 .ctx = &wanted,
+                                             });
     g_free(subject);
     g_free(summary);
     return code;
--- a/egretctl/cmd_diff.c
+++ b/egretctl/cmd_diff.c
@@ -29,15 +29,15 @@
 
 static enum ctl_exit
 diff_file(struct ctl *ctl, const char *file,
-          const struct config_snapshot *in_force)
+          const struct config_snapshot *active)
 {
     JsonNode *root = apply_read_file(file);
     if (root == NULL) {
         return CTL_REFUSED;
     }
-    struct config *after = apply_merge(root, file, in_force->config);
+    struct config *after = apply_merge(root, file, active->config);
     if (after != NULL) {
-        print_diff(ctl, in_force->config, after);
+        print_diff(ctl, active->config, after);
     }
     enum ctl_exit code = after == NULL ? CTL_REFUSED : CTL_OK;
     config_destroy(after);
--- a/egretctl/cmd_gateway.c
+++ b/egretctl/cmd_gateway.c
@@ -16,7 +16,7 @@
         "name", "incarnation", "dc", "address", "port", "state",
     };
     struct status status;
-    GPtrArray *gateways = gateways_read(ctl, &status);
+    GPtrArray *gateways = gateways_fetch(ctl, &status);
     if (gateways == NULL) {
         return ctl_fail_status(&status);
     }
@@ -76,14 +76,14 @@
 
 /* Whether an operator may vouch that the process has ended. */
 static enum ctl_exit
-check_silent(struct ctl *ctl, const char *incarnation)
+check_unresponsive(struct ctl *ctl, const char *incarnation)
 {
     struct status status;
-    GPtrArray *gateways = gateways_read(ctl, &status);
+    GPtrArray *gateways = gateways_fetch(ctl, &status);
     if (gateways == NULL) {
         return ctl_fail_status(&status);
     }
-    gateways_ask(ctl, gateways, "/v1/status");
+    gateways_query(ctl, gateways, "/v1/status");
     const struct gateway *gateway = find_gateway(gateways, incarnation);
     enum ctl_exit code = CTL_OK;
     if (gateway == NULL) {
@@ -94,8 +94,8 @@
         code = ctl_fail(CTL_REFUSED, "%s is %s already", incarnation,
                         gateway->state);
     }
-    else if (g_strcmp0(gateway_text(gateway, "incarnation"), incarnation) ==
-             0) {
+    else if (g_strcmp0(gateway_response_string(gateway, "incarnation"),
+                       incarnation) == 0) {
         code =
             ctl_fail(CTL_REFUSED, "%s answers: it is not gone", incarnation);
     }
@@ -104,7 +104,7 @@
 }
 
 static enum ctl_exit
-write_gone(struct ctl *ctl, const char *incarnation)
+write_state_gone(struct ctl *ctl, const char *incarnation)
 {
     struct ctl_entry entry = ctl_get(ctl, STORE_KEY_MEMBERS);
     char *edited =
@@ -130,16 +130,16 @@
 command_gateway_forget(struct ctl *ctl, int n_args, char **args)
 {
     (void)n_args;
-    if (!ctl_has(ctl, CTL_FLAG_YES)) {
+    if (!ctl_option_given(ctl, CTL_FLAG_YES)) {
         return ctl_fail(CTL_USAGE,
                         "if the process still runs, team limits may be "
                         "exceeded; give --yes when it surely has ended");
     }
-    enum ctl_exit code = check_silent(ctl, args[0]);
+    enum ctl_exit code = check_unresponsive(ctl, args[0]);
     if (code != CTL_OK) {
         return code;
     }
-    code = write_gone(ctl, args[0]);
+    code = write_state_gone(ctl, args[0]);
     if (code == CTL_OK && !ctl->options.json) {
         printf("%s is marked as gone; its permits are taken back after its "
                "last task's lease\n",
--- a/egretctl/cmd_job.c
+++ b/egretctl/cmd_job.c
@@ -11,25 +11,25 @@
     "orders_suspended", "store_relayed", "store_failed",
 };
 
-/** struct story_line - one line of a log, in the order of its time */
-struct story_line {
+/** struct timeline_event - one line of a log, in the order of its time */
+struct timeline_event {
     int64_t at_ms;
     char *text;
 };
 
 static void
-line_free(void *data)
+event_free(void *data)
 {
-    struct story_line *line = data;
-    g_free(line->text);
-    g_free(line);
+    struct timeline_event *event = data;
+    g_free(event->text);
+    g_free(event);
 }
 
 static int
-compare_lines(const void *a, const void *b)
+compare_events(const void *a, const void *b)
 {
-    const struct story_line *x = *(const struct story_line *const *)a;
-    const struct story_line *y = *(const struct story_line *const *)b;
+    const struct timeline_event *x = *(const struct timeline_event *const *)a;
+    const struct timeline_event *y = *(const struct timeline_event *const *)b;
     return x->at_ms < y->at_ms ? -1 : x->at_ms > y->at_ms;
 }
 
@@ -53,30 +53,30 @@
 }
 
 static void
-take_line(GPtrArray *lines, const char *text, bool about_fleet)
+add_event(GPtrArray *events, const char *log_line, bool about_fleet)
 {
     JsonParser *parser = json_parser_new();
-    JsonNode *root = json_parser_load_from_data(parser, text, -1, NULL)
+    JsonNode *root = json_parser_load_from_data(parser, log_line, -1, NULL)
                          ? json_parser_get_root(parser)
                          : NULL;
     if (root != NULL && JSON_NODE_HOLDS_OBJECT(root)) {
         JsonObject *object = json_node_get_object(root);
-        struct story_line *line = g_new0(struct story_line, 1);
-        GString *told = g_string_new(NULL);
-        line->at_ms = json_object_get_int_member_with_default(object, "t", 0);
+        struct timeline_event *event = g_new0(struct timeline_event, 1);
+        GString *text = g_string_new(NULL);
+        event->at_ms = json_object_get_int_member_with_default(object, "t", 0);
         g_string_append_printf(
-            told, "%s%-14s %-18s", about_fleet ? "  " : "",
+            text, "%s%-14s %-18s", about_fleet ? "  " : "",
             json_object_get_string_member_with_default(object, "node", "?"),
             json_object_get_string_member_with_default(object, "event", "?"));
-        json_object_foreach_member(object, add_member, told);
-        line->text = g_string_free(told, FALSE);
-        g_ptr_array_add(lines, line);
+        json_object_foreach_member(object, add_member, text);
+        event->text = g_string_free(text, FALSE);
+        g_ptr_array_add(events, event);
     }
     g_object_unref(parser);
 }
 
 static bool
-about_fleet(const char *text)
+is_fleet_event(const char *text)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(fleet_events); i++) {
         char *mark = g_strdup_printf("\"event\":\"%s\"", fleet_events[i]);
@@ -90,7 +90,7 @@
 }
 
 static bool
-read_log(GPtrArray *lines, const char *file, const char *id)
+read_log(GPtrArray *events, const char *file, const char *id)
 {
     char *text = NULL;
     GError *error = NULL;
@@ -102,8 +102,8 @@
     char **rows = g_strsplit(text, "\n", 0);
     for (char **row = rows; *row != NULL; row++) {
         bool own = strstr(*row, id) != NULL;
-        if (own || about_fleet(*row)) {
-            take_line(lines, *row, !own);
+        if (own || is_fleet_event(*row)) {
+            add_event(events, *row, !own);
         }
     }
     g_strfreev(rows);
@@ -113,22 +113,22 @@
 
 /* Lines of the fleet count only between the job's first and last one. */
 static void
-print_story(const GPtrArray *lines)
+print_timeline(const GPtrArray *events)
 {
     int64_t first_ms = 0;
     int64_t last_ms = 0;
-    for (guint i = 0; i < lines->len; i++) {
-        const struct story_line *line = g_ptr_array_index(lines, i);
-        if (line->text[0] != ' ') {
-            first_ms = first_ms == 0 ? line->at_ms : first_ms;
-            last_ms = line->at_ms;
+    for (guint i = 0; i < events->len; i++) {
+        const struct timeline_event *event = g_ptr_array_index(events, i);
+        if (event->text[0] != ' ') {
+            first_ms = first_ms == 0 ? event->at_ms : first_ms;
+            last_ms = event->at_ms;
         }
     }
-    for (guint i = 0; i < lines->len; i++) {
-        const struct story_line *line = g_ptr_array_index(lines, i);
-        if (line->at_ms >= first_ms && line->at_ms <= last_ms) {
-            printf("%+8.3f s  %s\n", (double)(line->at_ms - first_ms) / 1000,
-                   line->text);
+    for (guint i = 0; i < events->len; i++) {
+        const struct timeline_event *event = g_ptr_array_index(events, i);
+        if (event->at_ms >= first_ms && event->at_ms <= last_ms) {
+            printf("%+8.3f s  %s\n", (double)(event->at_ms - first_ms) / 1000,
+                   event->text);
         }
     }
     if (first_ms == 0) {
@@ -140,13 +140,13 @@
 command_job(struct ctl *ctl, int n_args, char **args)
 {
     (void)ctl;
-    GPtrArray *lines = g_ptr_array_new_with_free_func(line_free);
+    GPtrArray *events = g_ptr_array_new_with_free_func(event_free);
     bool read = true;
     for (int i = 1; i < n_args; i++) {
-        read = read_log(lines, args[i], args[0]) && read;
+        read = read_log(events, args[i], args[0]) && read;
     }
-    g_ptr_array_sort(lines, compare_lines);
-    print_story(lines);
-    g_ptr_array_unref(lines);
+    g_ptr_array_sort(events, compare_events);
+    print_timeline(events);
+    g_ptr_array_unref(events);
     return read ? CTL_OK : CTL_REFUSED;
 }
--- a/egretctl/cmd_key.c
+++ b/egretctl/cmd_key.c
@@ -15,11 +15,11 @@
 };
 
 static enum ctl_exit
-edit_issue(void *ctx, const struct config *in_force, struct config **config)
+edit_issue(void *ctx, const struct config *active, struct config **config)
 {
     const struct key_issue *issue = ctx;
     struct config_team *team =
-        in_force == NULL
+        active == NULL
             ? NULL
             : (struct config_team *)config_find_team(*config, issue->team);
     if (team == NULL) {
@@ -30,7 +30,7 @@
     key->id = g_strdup(issue->id);
     key->expires_s = issue->expires_s;
     key_hash(issue->text, key->hash_hex);
-    struct config *rebuilt = change_rebuild(*config);
+    struct config *rebuilt = config_rebuild(*config);
     config_destroy(*config);
     *config = rebuilt;
     return rebuilt == NULL ? CTL_REFUSED : CTL_OK;
@@ -58,19 +58,19 @@
         return ctl_fail(CTL_REFUSED, "no random numbers");
     }
     struct key_issue issue = {.team = args[0], .id = id, .text = text};
-    if (ctl_has(ctl, CTL_FLAG_EXPIRES)) {
+    if (ctl_option_given(ctl, CTL_FLAG_EXPIRES)) {
         issue.expires_s =
             g_get_real_time() / G_USEC_PER_SEC + ctl->options.expires_s;
     }
     char *subject = g_strdup_printf("teams[%s].keys[%s]", args[0], id);
     char *summary = g_strdup_printf("key issue %s %s", args[0], id);
-    enum ctl_exit code = change_make(ctl, &(struct change){
-                                              .summary = summary,
-                                              .subject = subject,
-                                              .edit = edit_issue,
-                                              .ctx = &issue,
-                                              .quiet = true,
-                                          });
+    enum ctl_exit code = change_publish(ctl, &(struct config_change){
+                                                 .summary = summary,
+                                                 .subject = subject,
+                                                 .edit = edit_issue,
+                                                 .ctx = &issue,
+                                                 .quiet = true,
+                                             });
     if (code == CTL_OK || code == CTL_PENDING) {
         print_key(ctl, &issue);
     }
@@ -83,12 +83,12 @@
 }
 
 static enum ctl_exit
-edit_withdraw(void *ctx, const struct config *in_force, struct config **config)
+edit_withdraw(void *ctx, const struct config *active, struct config **config)
 {
     const char *id = ctx;
     const struct config_team *owner = NULL;
     const struct config_key *key =
-        in_force == NULL ? NULL : config_find_key(*config, id, &owner);
+        active == NULL ? NULL : config_find_key(*config, id, &owner);
     if (key == NULL) {
         return ctl_fail(CTL_REFUSED, "no key has the id %s", id);
     }
@@ -98,7 +98,7 @@
     team->n_keys--;
     memmove(&team->keys[place], &team->keys[place + 1],
             (team->n_keys - place) * sizeof(*team->keys));
-    struct config *rebuilt = change_rebuild(*config);
+    struct config *rebuilt = config_rebuild(*config);
     config_destroy(*config);
     *config = rebuilt;
     return rebuilt == NULL ? CTL_REFUSED : CTL_OK;
@@ -109,12 +109,12 @@
 {
     (void)n_args;
     char *summary = g_strdup_printf("key withdraw %s", args[0]);
-    enum ctl_exit code = change_make(ctl, &(struct change){
-                                              .summary = summary,
-                                              .subject = "teams",
-                                              .edit = edit_withdraw,
-                                              .ctx = args[0],
-                                          });
+    enum ctl_exit code = change_publish(ctl, &(struct config_change){
+                                                 .summary = summary,
+                                                 .subject = "teams",
+                                                 .edit = edit_withdraw,
+                                                 .ctx = args[0],
+                                             });
     g_free(summary);
     return code;
 }
--- a/egretctl/cmd_maintain.c
+++ b/egretctl/cmd_maintain.c
@@ -15,7 +15,7 @@
 }
 
 static void
-find_highest(void *ctx, const struct store_entry *entry)
+update_highest_number(void *ctx, const struct store_entry *entry)
 {
     int64_t *highest = ctx;
     int64_t number =
@@ -35,7 +35,7 @@
 }
 
 static char *
-make_write_id(const struct ctl *ctl)
+create_write_id(const struct ctl *ctl)
 {
     return g_strdup_printf("%s:%" PRId64, ctl->author, g_get_real_time());
 }
@@ -43,7 +43,7 @@
 static char *
 render_wave(const struct ctl *ctl, int64_t number)
 {
-    char *write = make_write_id(ctl);
+    char *write = create_write_id(ctl);
     JsonBuilder *builder = json_builder_new();
     json_builder_begin_object(builder);
     json_write_text(builder, "write", write);
@@ -107,7 +107,7 @@
     }
     int64_t highest = 0;
     struct status status =
-        ctl_list(ctl, STORE_KEY_WAVES, find_highest, &highest);
+        ctl_list(ctl, STORE_KEY_WAVES, update_highest_number, &highest);
     if (!status_ok(&status)) {
         return ctl_fail_status(&status);
     }
@@ -152,7 +152,7 @@
         ctl_fail(CTL_REFUSED, "the wave is %s", present);
     }
     else {
-        char *write = make_write_id(ctl);
+        char *write = create_write_id(ctl);
         json_object_set_string_member(record, "write", write);
         json_object_set_string_member(record, "state", state);
         edited = json_to_string(root, FALSE);
--- a/egretctl/cmd_status.c
+++ b/egretctl/cmd_status.c
@@ -28,21 +28,21 @@
         const struct gateway *gateway = g_ptr_array_index(gateways, i);
         char numbers[4][24];
         const char *work =
-            gateway_flag(gateway, "standing") ? "starts" : "stopped";
+            gateway_response_bool(gateway, "standing") ? "starts" : "stopped";
         const char *const cells[] = {
             gateway->name,
             gateway->dc,
             gateway->state,
             format_number(numbers[0], sizeof(numbers[0]),
-                          gateway_number(gateway, "generation")),
+                          gateway_response_int(gateway, "generation")),
             format_number(numbers[1], sizeof(numbers[1]),
-                          gateway_number(gateway, "epoch")),
+                          gateway_response_int(gateway, "epoch")),
             format_number(numbers[2], sizeof(numbers[2]),
-                          gateway_number(gateway, "peers_linked")),
+                          gateway_response_int(gateway, "peers_linked")),
             format_number(numbers[3], sizeof(numbers[3]),
-                          gateway_number(gateway, "inflight")),
-            gateway->answer == NULL ? NULL : work,
-            gateway->problem,
+                          gateway_response_int(gateway, "inflight")),
+            gateway->response == NULL ? NULL : work,
+            gateway->error_text,
         };
         table_add(table, cells);
     }
@@ -111,11 +111,11 @@
     (void)n_args;
     (void)args;
     struct status status;
-    GPtrArray *gateways = gateways_read(ctl, &status);
+    GPtrArray *gateways = gateways_fetch(ctl, &status);
     if (gateways == NULL) {
         return ctl_fail_status(&status);
     }
-    gateways_ask(ctl, gateways, "/v1/status");
+    gateways_query(ctl, gateways, "/v1/status");
     struct config_snapshot snapshot = ctl_fetch(ctl);
     enum ctl_exit code = print_status(ctl, gateways, &snapshot);
     ctl_snapshot_clear(&snapshot);
@@ -136,29 +136,31 @@
     };
     const char *heading[N_NUMBERS + 2] = {"gateway"};
     struct status status;
-    GPtrArray *gateways = gateways_read(ctl, &status);
+    GPtrArray *gateways = gateways_fetch(ctl, &status);
     if (gateways == NULL) {
         return ctl_fail_status(&status);
     }
     char *escaped = g_uri_escape_string(args[0], NULL, FALSE);
     char *path = g_strconcat("/v1/explain/", escaped, NULL);
-    gateways_ask(ctl, gateways, path);
+    gateways_query(ctl, gateways, path);
     memcpy(heading + 1, numbers, sizeof(numbers));
     heading[N_NUMBERS + 1] = "waits for";
     struct table *table = table_create(G_N_ELEMENTS(heading), heading);
-    unsigned answers = 0;
+    unsigned n_responses = 0;
     for (guint i = 0; i < gateways->len; i++) {
         const struct gateway *gateway = g_ptr_array_index(gateways, i);
         char texts[N_NUMBERS][24];
         const char *cells[N_NUMBERS + 2] = {gateway->name};
         for (size_t k = 0; k < N_NUMBERS; k++) {
-            cells[k + 1] = format_number(texts[k], sizeof(texts[k]),
-                                         gateway_number(gateway, numbers[k]));
+            cells[k + 1] =
+                format_number(texts[k], sizeof(texts[k]),
+                              gateway_response_int(gateway, numbers[k]));
         }
-        cells[N_NUMBERS + 1] = gateway->answer == NULL
-                                   ? gateway->problem
-                                   : gateway_text(gateway, "waits_for");
-        answers += gateway->answer != NULL;
+        cells[N_NUMBERS + 1] =
+            gateway->response == NULL
+                ? gateway->error_text
+                : gateway_response_string(gateway, "waits_for");
+        n_responses += gateway->response != NULL;
         table_add(table, cells);
     }
     table_print(table, ctl->options.json);
@@ -166,6 +168,7 @@
     g_ptr_array_unref(gateways);
     g_free(escaped);
     g_free(path);
-    return answers > 0 ? CTL_OK
-                       : ctl_fail(CTL_REFUSED, "no gateway knows the queue");
+    return n_responses > 0
+               ? CTL_OK
+               : ctl_fail(CTL_REFUSED, "no gateway knows the queue");
 }
--- a/egretctl/ctl.h
+++ b/egretctl/ctl.h
@@ -72,9 +72,9 @@
     uint64_t version;
 };
 
-/** ctl_has() - whether an option was given. */
+/** ctl_option_given() - whether an option was given. */
 bool
-ctl_has(const struct ctl *ctl, enum ctl_flag flag);
+ctl_option_given(const struct ctl *ctl, enum ctl_flag flag);
 
 /** ctl_fail() - print a message to standard error; returns @code. */
 enum ctl_exit
@@ -116,8 +116,8 @@
 void
 ctl_snapshot_clear(struct config_snapshot *snapshot);
 
-/** struct ctl_published - outcome of ctl_publish() */
-struct ctl_published {
+/** struct ctl_publish_result - outcome of ctl_publish() */
+struct ctl_publish_result {
     struct status status;
     uint64_t generation;
     char id[CONFIG_ID_BYTES + 1];
@@ -125,7 +125,7 @@
 
 /** ctl_publish() - put @config in force on top of @base, with a generation
  * above @above. */
-struct ctl_published
+struct ctl_publish_result
 ctl_publish(struct ctl *ctl, const struct config_snapshot *base,
             const struct config *config, const char *summary, uint64_t above);
 
--- a/egretctl/gateways.c
+++ b/egretctl/gateways.c
@@ -8,8 +8,8 @@
 #include "store/store_keys.h"
 
 enum {
-    ANSWER_TIMEOUT_S = 2,
-    ANSWER_MAX_CONNECTIONS = 64,
+    RESPONSE_TIMEOUT_S = 2,
+    CONNECTIONS_MAX = 64,
 };
 
 static void
@@ -21,8 +21,8 @@
     g_free(gateway->address);
     g_free(gateway->dc);
     g_free(gateway->state);
-    g_free(gateway->problem);
-    g_clear_pointer(&gateway->answer, json_node_unref);
+    g_free(gateway->error_text);
+    g_clear_pointer(&gateway->response, json_node_unref);
     g_free(gateway);
 }
 
@@ -89,7 +89,7 @@
 }
 
 GPtrArray *
-gateways_read(struct ctl *ctl, struct status *status)
+gateways_fetch(struct ctl *ctl, struct status *status)
 {
     struct ctl_entry entry = ctl_get(ctl, STORE_KEY_MEMBERS);
     GPtrArray *gateways = NULL;
@@ -112,88 +112,90 @@
  * struct asking - questions under way
  * @pending: answers still awaited
  */
-struct asking {
+struct query_batch {
     struct ctl *ctl;
     SoupSession *session;
     char *secret;
     unsigned pending;
 };
 
-struct question {
-    struct asking *asking;
+struct query {
+    struct query_batch *batch;
     struct gateway *gateway;
     SoupMessage *message;
 };
 
 static void
-take_answer(struct gateway *gateway, unsigned http_status, GBytes *body)
+store_response(struct gateway *gateway, unsigned http_status, GBytes *body)
 {
     gsize size = 0;
     const char *bytes = g_bytes_get_data(body, &size);
     if (http_status != SOUP_STATUS_OK) {
-        gateway->problem =
+        gateway->error_text =
             g_strdup_printf("answered with status %u", http_status);
         return;
     }
     struct findings *findings = findings_create();
-    gateway->answer = json_read_text(bytes, (int64_t)size, "answer", findings);
-    if (gateway->answer == NULL) {
-        gateway->problem = g_strdup("malformed answer");
+    gateway->response =
+        json_read_text(bytes, (int64_t)size, "answer", findings);
+    if (gateway->response == NULL) {
+        gateway->error_text = g_strdup("malformed answer");
     }
     findings_destroy(findings);
 }
 
 static void
-on_answer(GObject *source, GAsyncResult *result, void *data)
+on_response(GObject *source, GAsyncResult *result, void *data)
 {
-    struct question *question = data;
+    struct query *query = data;
     GError *error = NULL;
     GBytes *body = soup_session_send_and_read_finish(SOUP_SESSION(source),
                                                      result, &error);
     if (body == NULL) {
-        question->gateway->problem = g_strdup(error->message);
+        query->gateway->error_text = g_strdup(error->message);
         g_error_free(error);
     }
     else {
-        take_answer(question->gateway,
-                    soup_message_get_status(question->message), body);
+        store_response(query->gateway, soup_message_get_status(query->message),
+                       body);
         g_bytes_unref(body);
     }
-    question->asking->pending--;
-    if (question->asking->pending == 0) {
-        g_main_loop_quit(question->asking->ctl->loop);
+    query->batch->pending--;
+    if (query->batch->pending == 0) {
+        g_main_loop_quit(query->batch->ctl->loop);
     }
-    g_object_unref(question->message);
-    g_free(question);
+    g_object_unref(query->message);
+    g_free(query);
 }
 
 static void
-ask_one(struct asking *asking, struct gateway *gateway, const char *path)
+query_gateway(struct query_batch *batch, struct gateway *gateway,
+              const char *path)
 {
-    struct question *question = g_new0(struct question, 1);
+    struct query *query = g_new0(struct query, 1);
     char *url = g_strdup_printf("http://%s:%u%s", gateway->address,
                                 gateway->http_port, path);
-    question->asking = asking;
-    question->gateway = gateway;
-    question->message = soup_message_new("GET", url);
+    query->batch = batch;
+    query->gateway = gateway;
+    query->message = soup_message_new("GET", url);
     g_free(url);
-    if (question->message == NULL) {
-        gateway->problem = g_strdup("malformed address");
-        g_free(question);
+    if (query->message == NULL) {
+        gateway->error_text = g_strdup("malformed address");
+        g_free(query);
         return;
     }
     SoupMessageHeaders *headers =
-        soup_message_get_request_headers(question->message);
-    if (asking->secret != NULL) {
-        char *value = request_auth_sign(asking->secret, "GET", path, NULL);
+        soup_message_get_request_headers(query->message);
+    if (batch->secret != NULL) {
+        char *value = request_auth_sign(batch->secret, "GET", path, NULL);
         soup_message_headers_replace(headers, "Egret-Auth", value);
         g_free(value);
     }
     soup_message_headers_replace(headers, "Connection", "close");
-    asking->pending++;
-    soup_session_send_and_read_async(asking->session, question->message,
-                                     G_PRIORITY_DEFAULT, NULL, on_answer,
-                                     question);
+    batch->pending++;
+    soup_session_send_and_read_async(batch->session, query->message,
+                                     G_PRIORITY_DEFAULT, NULL, on_response,
+                                     query);
 }
 
 static char *
@@ -213,41 +215,41 @@
 }
 
 void
-gateways_ask(struct ctl *ctl, GPtrArray *gateways, const char *path)
+gateways_query(struct ctl *ctl, GPtrArray *gateways, const char *path)
 {
-    struct asking asking = {
+    struct query_batch batch = {
         .ctl = ctl,
         .secret = read_secret(ctl),
         .session = soup_session_new_with_options(
-            "timeout", ANSWER_TIMEOUT_S, "max-conns", ANSWER_MAX_CONNECTIONS,
-            "max-conns-per-host", ANSWER_MAX_CONNECTIONS, NULL),
+            "timeout", RESPONSE_TIMEOUT_S, "max-conns", CONNECTIONS_MAX,
+            "max-conns-per-host", CONNECTIONS_MAX, NULL),
     };
     for (guint i = 0; i < gateways->len; i++) {
         struct gateway *gateway = g_ptr_array_index(gateways, i);
-        g_clear_pointer(&gateway->answer, json_node_unref);
-        g_clear_pointer(&gateway->problem, g_free);
+        g_clear_pointer(&gateway->response, json_node_unref);
+        g_clear_pointer(&gateway->error_text, g_free);
         if (g_strcmp0(gateway->state, "live") == 0) {
-            ask_one(&asking, gateway, path);
+            query_gateway(&batch, gateway, path);
         }
         else {
-            gateway->problem = g_strdup("not live");
+            gateway->error_text = g_strdup("not live");
         }
     }
-    if (asking.pending > 0) {
+    if (batch.pending > 0) {
         g_main_loop_run(ctl->loop);
     }
-    g_object_unref(asking.session);
-    g_free(asking.secret);
+    g_object_unref(batch.session);
+    g_free(batch.secret);
 }
 
 static JsonNode *
 value_member(const struct gateway *gateway, const char *member, GType type)
 {
-    if (gateway->answer == NULL) {
+    if (gateway->response == NULL) {
         return NULL;
     }
-    JsonNode *node =
-        json_object_get_member(json_node_get_object(gateway->answer), member);
+    JsonNode *node = json_object_get_member(
+        json_node_get_object(gateway->response), member);
     if (node == NULL || !JSON_NODE_HOLDS_VALUE(node) ||
         json_node_get_value_type(node) != type) {
         return NULL;
@@ -256,21 +258,21 @@
 }
 
 const char *
-gateway_text(const struct gateway *gateway, const char *member)
+gateway_response_string(const struct gateway *gateway, const char *member)
 {
     JsonNode *node = value_member(gateway, member, G_TYPE_STRING);
     return node == NULL ? NULL : json_node_get_string(node);
 }
 
 int64_t
-gateway_number(const struct gateway *gateway, const char *member)
+gateway_response_int(const struct gateway *gateway, const char *member)
 {
     JsonNode *node = value_member(gateway, member, G_TYPE_INT64);
     return node == NULL ? -1 : json_node_get_int(node);
 }
 
 bool
-gateway_flag(const struct gateway *gateway, const char *member)
+gateway_response_bool(const struct gateway *gateway, const char *member)
 {
     JsonNode *node = value_member(gateway, member, G_TYPE_BOOLEAN);
     return node != NULL && json_node_get_boolean(node);
--- a/egretctl/main.c
+++ b/egretctl/main.c
@@ -17,7 +17,7 @@
     KEY_POOL,
     KEY_DC,
     KEY_OLDER_THAN,
-    HOST_NAME_BYTES = 64,
+    HOST_NAME_MAX_BYTES = 64,
     /* Longer than any healthy gateway takes; what is left is reported. */
     DEFAULT_WAIT_S = 15,
 };
@@ -146,7 +146,7 @@
 };
 
 static void
-take_member(const struct json_place *place, const char *member, char **into)
+read_default(const struct json_place *place, const char *member, char **into)
 {
     const char *text = json_read_string(place, member, false);
     if (*into == NULL) {
@@ -173,8 +173,8 @@
             .findings = findings,
         };
         json_read_only(&place, members);
-        take_member(&place, "store_url", &parsed->store_url);
-        take_member(&place, "secret_file", &parsed->secret_file);
+        read_default(&place, "store_url", &parsed->store_url);
+        read_default(&place, "secret_file", &parsed->secret_file);
         json_node_unref(root);
     }
     bool good = findings_count(findings) == 0;
@@ -184,9 +184,9 @@
 }
 
 static char *
-make_author(void)
+create_author(void)
 {
-    char host[HOST_NAME_BYTES] = "";
+    char host[HOST_NAME_MAX_BYTES] = "";
     gethostname(host, sizeof(host) - 1);
     return g_strdup_printf("%s@%s", g_get_user_name(), host);
 }
@@ -201,7 +201,7 @@
                                    "named by " SETTINGS_VARIABLE);
     }
     ctl.loop = g_main_loop_new(NULL, FALSE);
-    ctl.author = make_author();
+    ctl.author = create_author();
     if (!command->offline) {
         ctl.store = store_create(&(struct store_options){
             .url = ctl.options.store_url,
@@ -218,7 +218,7 @@
 }
 
 static enum ctl_exit
-choose_command(struct arguments *arguments)
+run_command_line(struct arguments *arguments)
 {
     int used = 0;
     int n_words = (int)arguments->words->len;
@@ -252,7 +252,7 @@
     };
     argp_err_exit_status = CTL_USAGE;
     argp_parse(&argp, argc, argv, 0, NULL, &arguments);
-    enum ctl_exit code = choose_command(&arguments);
+    enum ctl_exit code = run_command_line(&arguments);
     g_ptr_array_unref(arguments.options.pools);
     g_ptr_array_unref(arguments.options.dcs);
     g_ptr_array_unref(arguments.words);
--- a/egretctl/session.c
+++ b/egretctl/session.c
@@ -11,7 +11,7 @@
  */
 
 bool
-ctl_has(const struct ctl *ctl, enum ctl_flag flag)
+ctl_option_given(const struct ctl *ctl, enum ctl_flag flag)
 {
     return (ctl->options.given & flag) != 0;
 }
@@ -149,7 +149,7 @@
 }
 
 static void
-fetch_kept(struct snapshot_wait *wait, const struct config_head *head)
+fetch_stored(struct snapshot_wait *wait, const struct config_head *head)
 {
     char *text = config_head_render(head);
     struct store_entry entry = {
@@ -173,7 +173,7 @@
     for (guint i = 0; i < history->heads->len; i++) {
         const struct config_head *head = g_ptr_array_index(history->heads, i);
         if (head->generation == wait->generation) {
-            fetch_kept(wait, head);
+            fetch_stored(wait, head);
             return;
         }
     }
@@ -224,7 +224,7 @@
 
 struct publish_wait {
     struct ctl *ctl;
-    struct ctl_published published;
+    struct ctl_publish_result published;
     uint64_t head_version;
 };
 
@@ -251,7 +251,7 @@
     PRUNE_EVERY_GENERATIONS = 10,
 };
 
-struct ctl_published
+struct ctl_publish_result
 ctl_publish(struct ctl *ctl, const struct config_snapshot *base,
             const struct config *config, const char *summary, uint64_t above)
 {
--- a/egretctl/wait.c
+++ b/egretctl/wait.c
@@ -5,92 +5,92 @@
 #include "gateways.h"
 
 enum {
-    POLL_MS = 200,
+    POLL_INTERVAL_MS = 200,
 };
 
 /**
  * struct progress - gateways that have a generation in force
  * @stored: head at the store, read after the gateways had answered; NULL
  *          when it can't be read
- * @n_votes: registered ones; a majority of them makes a change accepted
+ * @n_voting: registered ones; a majority of them makes a change accepted
  * @pending: names of those that do not, or do not answer
  */
-struct progress {
+struct rollout {
     struct config_head *stored;
-    unsigned n_votes;
+    unsigned n_voting;
     unsigned n_live;
-    unsigned n_in_force;
+    unsigned n_active;
     GString *pending;
 };
 
 /* Why a live gateway does not count as having it in force, or NULL. */
 static const char *
-pending_reason(const struct progress *progress, const struct gateway *gateway,
+pending_reason(const struct rollout *rollout, const struct gateway *gateway,
                uint64_t generation)
 {
-    int64_t in_force = gateway_number(gateway, "generation");
-    const char *id = gateway_text(gateway, "config_id");
-    const struct config_head *head = progress->stored;
-    if (gateway->problem != NULL) {
-        return gateway->problem;
+    int64_t active_generation = gateway_response_int(gateway, "generation");
+    const char *id = gateway_response_string(gateway, "config_id");
+    const struct config_head *head = rollout->stored;
+    if (gateway->error_text != NULL) {
+        return gateway->error_text;
     }
-    if (in_force < (int64_t)generation) {
+    if (active_generation < (int64_t)generation) {
         return "older generation";
     }
-    if (head != NULL && in_force > (int64_t)head->generation) {
+    if (head != NULL && active_generation > (int64_t)head->generation) {
         return "holds a generation that the store does not know; see apply "
                "--yes";
     }
-    if (head != NULL && in_force == (int64_t)head->generation && id != NULL &&
-        !g_str_equal(id, head->id)) {
+    if (head != NULL && active_generation == (int64_t)head->generation &&
+        id != NULL && !g_str_equal(id, head->id)) {
         return "holds another content under this number; see apply --yes";
     }
     return NULL;
 }
 
 static void
-count_gateway(struct progress *progress, const struct gateway *gateway,
+count_gateway(struct rollout *rollout, const struct gateway *gateway,
               uint64_t generation)
 {
-    progress->n_votes += g_strcmp0(gateway->state, "fenced") != 0;
+    rollout->n_voting += g_strcmp0(gateway->state, "fenced") != 0;
     if (g_strcmp0(gateway->state, "live") != 0) {
         return;
     }
-    progress->n_live++;
-    const char *reason = pending_reason(progress, gateway, generation);
+    rollout->n_live++;
+    const char *reason = pending_reason(rollout, gateway, generation);
     if (reason == NULL) {
-        progress->n_in_force++;
+        rollout->n_active++;
         return;
     }
-    g_string_append_printf(progress->pending, "%s%s (%s)",
-                           progress->pending->len == 0 ? "" : ", ",
+    g_string_append_printf(rollout->pending, "%s%s (%s)",
+                           rollout->pending->len == 0 ? "" : ", ",
                            gateway->name, reason);
 }
 
 static bool
-read_progress(struct ctl *ctl, uint64_t generation, struct progress *progress)
+read_rollout(struct ctl *ctl, uint64_t generation, struct rollout *rollout)
 {
     struct status status;
-    GPtrArray *gateways = gateways_read(ctl, &status);
-    progress->n_votes = 0;
-    progress->n_live = 0;
-    progress->n_in_force = 0;
-    g_string_set_size(progress->pending, 0);
+    GPtrArray *gateways = gateways_fetch(ctl, &status);
+    rollout->n_voting = 0;
+    rollout->n_live = 0;
+    rollout->n_active = 0;
+    g_string_set_size(rollout->pending, 0);
     if (gateways == NULL) {
         return false;
     }
-    gateways_ask(ctl, gateways, "/v1/status");
-    config_head_destroy(progress->stored);
-    progress->stored = ctl_head(ctl);
+    gateways_query(ctl, gateways, "/v1/status");
+    config_head_destroy(rollout->stored);
+    rollout->stored = ctl_head(ctl);
     for (guint i = 0; i < gateways->len; i++) {
-        count_gateway(progress, g_ptr_array_index(gateways, i), generation);
+        count_gateway(rollout, g_ptr_array_index(gateways, i), generation);
     }
     g_ptr_array_unref(gateways);
     return true;
 }
 
 static gboolean
-on_pause_over(void *data)
+on_delay_over(void *data)
 {
     struct ctl *ctl = data;
     g_main_loop_quit(ctl->loop);
@@ -98,70 +98,70 @@
 }
 
 static void
-pause_ms(struct ctl *ctl, guint delay_ms)
+run_loop_for_ms(struct ctl *ctl, guint delay_ms)
 {
-    g_timeout_add(delay_ms, on_pause_over, ctl);
+    g_timeout_add(delay_ms, on_delay_over, ctl);
     g_main_loop_run(ctl->loop);
 }
 
 static void
-print_progress(const struct ctl *ctl, const struct progress *progress,
-               uint64_t generation, bool accepted)
+print_rollout(const struct ctl *ctl, const struct rollout *rollout,
+              uint64_t generation, bool accepted)
 {
     if (ctl->options.json) {
         printf("{\"generation\": %" PRIu64 ", \"accepted\": %s, "
                "\"in_force\": %u, \"gateways\": %u, \"pending\": \"%s\"}\n",
-               generation, accepted ? "true" : "false", progress->n_in_force,
-               progress->n_live, progress->pending->str);
+               generation, accepted ? "true" : "false", rollout->n_active,
+               rollout->n_live, rollout->pending->str);
         return;
     }
     printf("generation %" PRIu64 " is %s: in force on %u of %u gateways\n",
            generation, accepted ? "accepted" : "written, not yet accepted",
-           progress->n_in_force, progress->n_live);
-    if (progress->pending->len > 0) {
-        printf("pending: %s\n", progress->pending->str);
+           rollout->n_active, rollout->n_live);
+    if (rollout->pending->len > 0) {
+        printf("pending: %s\n", rollout->pending->str);
     }
 }
 
 static bool
-is_accepted(const struct progress *progress)
+is_accepted(const struct rollout *rollout)
 {
-    return progress->n_in_force * 2 > progress->n_votes;
+    return rollout->n_active * 2 > rollout->n_voting;
 }
 
 /* Told once, for an operator who watches a gateway that lags behind. */
 static void
-tell_accepted(const struct ctl *ctl, const struct progress *progress,
-              bool *told)
+report_accepted_once(const struct ctl *ctl, const struct rollout *rollout,
+                     bool *reported)
 {
-    if (*told || ctl->options.json || !is_accepted(progress)) {
+    if (*reported || ctl->options.json || !is_accepted(rollout)) {
         return;
     }
-    *told = true;
+    *reported = true;
     fprintf(stderr, "accepted by %u of %u gateways, waiting for %s\n",
-            progress->n_in_force, progress->n_live, progress->pending->str);
+            rollout->n_active, rollout->n_live, rollout->pending->str);
 }
 
 enum ctl_exit
 change_wait(struct ctl *ctl, uint64_t generation)
 {
-    struct progress progress = {.pending = g_string_new(NULL)};
+    struct rollout rollout = {.pending = g_string_new(NULL)};
     int64_t end_us =
         g_get_monotonic_time() + ctl->options.wait_s * G_USEC_PER_SEC;
-    bool everywhere = false;
-    bool told = false;
+    bool active_everywhere = false;
+    bool reported = false;
     for (;;) {
-        bool known = read_progress(ctl, generation, &progress);
-        everywhere = known && progress.n_live > 0 &&
-                     progress.n_in_force == progress.n_live;
-        if (everywhere || g_get_monotonic_time() >= end_us) {
+        bool known = read_rollout(ctl, generation, &rollout);
+        active_everywhere =
+            known && rollout.n_live > 0 && rollout.n_active == rollout.n_live;
+        if (active_everywhere || g_get_monotonic_time() >= end_us) {
             break;
         }
-        tell_accepted(ctl, &progress, &told);
-        pause_ms(ctl, POLL_MS);
+        report_accepted_once(ctl, &rollout, &reported);
+        run_loop_for_ms(ctl, POLL_INTERVAL_MS);
     }
-    print_progress(ctl, &progress, generation, is_accepted(&progress));
-    config_head_destroy(progress.stored);
-    g_string_free(progress.pending, TRUE);
-    return everywhere ? CTL_OK : CTL_PENDING;
+    print_rollout(ctl, &rollout, generation, is_accepted(&rollout));
+    config_head_destroy(rollout.stored);
+    g_string_free(rollout.pending, TRUE);
+    return active_everywhere ? CTL_OK : CTL_PENDING;
 }
