--- a/egretctl/change.c
+++ b/egretctl/change.c
@@ -18,7 +18,8 @@
     }
 }
 
-/* Shows what another operator changed; whether it meets @subject. */
+/* Prints what another operator changed; returns whether it concerns @subject,
+ * which is assumed if the configuration can't be fetched. */
 static bool
 conflicts_with_other_change(struct ctl *ctl,
                             const struct config_snapshot *base,
@@ -61,8 +62,9 @@
 }
 
 /*
- * Gateways never go back to a lower number. After the store was set back, as
- * from a copy, a change has to go above what they hold; that takes --yes.
+ * Highest generation active on a gateway; 0 without --yes. Gateways ignore a
+ * generation lower than their own. After the store was restored from a backup,
+ * a change therefore needs a generation above theirs, and --yes to confirm it.
  */
 static uint64_t
 highest_active_generation(struct ctl *ctl)
@@ -86,7 +88,7 @@
     return highest_generation;
 }
 
-/* CTL_CONFLICT with @retry set asks for another attempt. */
+/* CTL_CONFLICT with @retry set: the caller fetches and tries again. */
 static enum ctl_exit
 publish_once(struct ctl *ctl, const struct config_change *change,
              const struct config_snapshot *base, const struct config *config,
--- a/egretctl/change.h
+++ b/egretctl/change.h
@@ -1,18 +1,23 @@
-/* A change of the configuration, from the version read to being in force. */
+/*
+ * Changing the configuration: fetch the active one, edit a copy, publish it
+ * and wait until the gateways have activated it.
+ */
 #ifndef EGRETCTL_CHANGE_H
 #define EGRETCTL_CHANGE_H
 
 #include "ctl.h"
 
 /**
- * struct config_change - what a command wants changed
+ * struct config_change - an edit of the configuration requested by a command
  * @summary: one line for the history
- * @subject: path, as config_diff() writes it, of what it is about; when
- *           another operator has just changed the same, it is a conflict,
- *           else the change is made again on top. NULL makes every other
- *           change a conflict.
- * @edit: changes or replaces @config, a copy of what is in force or NULL;
- *        returns CTL_OK to go on
+ * @subject: path, as config_diff() writes it, that the command edits. If
+ *           another operator has meanwhile changed something at or below this
+ *           path, the result is CTL_CONFLICT; any other change is fetched and
+ *           the edit repeated on top of it. NULL: every other change is a
+ *           conflict.
+ * @edit: changes or replaces @config, a copy of the active configuration or
+ *        NULL if there is none; returns CTL_OK to go on
+ * @ctx: passed to @edit
  * @quiet: do not print the differences
  */
 struct config_change {
@@ -24,16 +29,18 @@
     bool quiet;
 };
 
-/** config_rebuild() - sorted and checked copy of an edited configuration;
- * prints findings and returns NULL when it does not fit together. */
+/** config_rebuild() - sorted and validated copy of an edited configuration;
+ * prints the findings and returns NULL if it is invalid. */
 struct config *
 config_rebuild(const struct config *config);
 
-/** change_publish() - read, edit, publish and, with --wait, wait. */
+/** change_publish() - fetch, edit, publish and, with --wait, wait for the
+ * gateways. */
 enum ctl_exit
 change_publish(struct ctl *ctl, const struct config_change *change);
 
-/** change_wait() - until @generation is in force on every live gateway. */
+/** change_wait() - wait until @generation is active on every live gateway, or
+ * until the time given with --wait is over. */
 enum ctl_exit
 change_wait(struct ctl *ctl, uint64_t generation);
 
--- a/egretctl/cmd_apply.c
+++ b/egretctl/cmd_apply.c
@@ -21,7 +21,8 @@
     team->n_keys++;
 }
 
-/* Keys are issued one by one; a file in version control carries none. */
+/* Keys are created by "key issue"; a configuration file in version control has
+ * none. */
 static void
 carry_over_keys(struct config *config, const struct config *active)
 {
@@ -50,7 +51,8 @@
     return false;
 }
 
-/* A data centre stays out when the file does not say otherwise. */
+/* A data centre that an operator took out of service stays out unless the file
+ * sets its state. */
 static void
 carry_over_dc_states(struct config *config, const struct config *active,
                      JsonNode *root)
--- a/egretctl/cmd_check.c
+++ b/egretctl/cmd_check.c
@@ -5,7 +5,8 @@
 #include "common/json_read.h"
 #include "common/settings.h"
 
-/* Settings of a daemon have members that a configuration never has. */
+/* Tells a daemon's settings file from a configuration by members that only
+ * settings have. */
 static bool
 is_settings_file(JsonNode *root)
 {
--- a/egretctl/cmd_diff.c
+++ b/egretctl/cmd_diff.c
@@ -73,7 +73,8 @@
     uint64_t second = 0;
     bool numbers = parse_generation(args[0], &first);
     if (n_args == 2 && (!numbers || !parse_generation(args[1], &second))) {
-        return ctl_fail(CTL_USAGE, "two arguments must be generations");
+        return ctl_fail(CTL_USAGE,
+                        "with two arguments, both must be generation numbers");
     }
     struct config_snapshot now =
         n_args == 2 ? ctl_fetch_generation(ctl, second) : ctl_fetch(ctl);
--- a/egretctl/cmd_gateway.c
+++ b/egretctl/cmd_gateway.c
@@ -37,7 +37,8 @@
     return CTL_OK;
 }
 
-/* The members record with @incarnation marked as gone, or NULL. */
+/* The members record with the state of @incarnation set to "gone"; NULL if the
+ * record is malformed or has no such member. */
 static char *
 mark_gone(const char *text, const char *incarnation)
 {
@@ -74,7 +75,8 @@
     return NULL;
 }
 
-/* Whether an operator may vouch that the process has ended. */
+/* Refuses unless the gateway is registered as live and does not respond: only
+ * then can an operator declare that its process has ended. */
 static enum ctl_exit
 check_unresponsive(struct ctl *ctl, const char *incarnation)
 {
@@ -91,13 +93,14 @@
                         incarnation);
     }
     else if (g_strcmp0(gateway->state, "live") != 0) {
-        code = ctl_fail(CTL_REFUSED, "%s is %s already", incarnation,
+        code = ctl_fail(CTL_REFUSED, "%s is already in state %s", incarnation,
                         gateway->state);
     }
     else if (g_strcmp0(gateway_response_string(gateway, "incarnation"),
                        incarnation) == 0) {
-        code =
-            ctl_fail(CTL_REFUSED, "%s answers: it is not gone", incarnation);
+        code = ctl_fail(CTL_REFUSED,
+                        "%s still responds; its process has not ended",
+                        incarnation);
     }
     g_ptr_array_unref(gateways);
     return code;
@@ -111,7 +114,8 @@
         status_ok(&entry.status) ? mark_gone(entry.value, incarnation) : NULL;
     enum ctl_exit code = CTL_OK;
     if (edited == NULL) {
-        code = ctl_fail(CTL_NO_STORE, "the members record can't be read");
+        code = ctl_fail(CTL_NO_STORE,
+                        "members record not readable or member missing");
     }
     else {
         struct ctl_entry written =
@@ -132,8 +136,8 @@
     (void)n_args;
     if (!ctl_option_given(ctl, CTL_FLAG_YES)) {
         return ctl_fail(CTL_USAGE,
-                        "if the process still runs, team limits may be "
-                        "exceeded; give --yes when it surely has ended");
+                        "team limits may be exceeded if the process still "
+                        "runs; give --yes if it has certainly ended");
     }
     enum ctl_exit code = check_unresponsive(ctl, args[0]);
     if (code != CTL_OK) {
@@ -141,9 +145,10 @@
     }
     code = write_state_gone(ctl, args[0]);
     if (code == CTL_OK && !ctl->options.json) {
-        printf("%s is marked as gone; its permits are taken back after its "
-               "last task's lease\n",
-               args[0]);
+        printf(
+            "%s is marked as gone; its permits are reclaimed when the lease "
+            "of its last task has expired\n",
+            args[0]);
     }
     return code;
 }
--- a/egretctl/cmd_get.c
+++ b/egretctl/cmd_get.c
@@ -10,7 +10,8 @@
     uint64_t generation = 0;
     if (n_args == 1 && !g_ascii_string_to_unsigned(args[0], 10, 1, INT64_MAX,
                                                    &generation, NULL)) {
-        return ctl_fail(CTL_USAGE, "not a generation: %s", args[0]);
+        return ctl_fail(CTL_USAGE, "expected a generation number, got: %s",
+                        args[0]);
     }
     struct config_snapshot snapshot =
         n_args == 1 ? ctl_fetch_generation(ctl, generation) : ctl_fetch(ctl);
--- a/egretctl/cmd_job.c
+++ b/egretctl/cmd_job.c
@@ -1,17 +1,21 @@
-/* The story of one job, from the logs of all entry hosts. */
+/* Timeline of one job, merged from the logs of all entry hosts. */
 #include <stdio.h>
 #include <string.h>
 
 #include "commands.h"
 #include "common/json_read.h"
 
-/* A holder's change concerns every job that is open at that time. */
+/* Events of the leader or the store, which concern every unfinished job. */
 static const char *const fleet_events[] = {
     "duty_won",         "duty_lost",     "leader_ready",
     "orders_suspended", "store_relayed", "store_failed",
 };
 
-/** struct timeline_event - one line of a log, in the order of its time */
+/**
+ * struct timeline_event - one log line
+ * @at_ms: wall time
+ * @text: text to print; indented if the line is not about this job
+ */
 struct timeline_event {
     int64_t at_ms;
     char *text;
@@ -111,7 +115,8 @@
     return true;
 }
 
-/* Lines of the fleet count only between the job's first and last one. */
+/* Events that are not about the job are printed only between its first and its
+ * last one. */
 static void
 print_timeline(const GPtrArray *events)
 {
@@ -132,7 +137,7 @@
         }
     }
     if (first_ms == 0) {
-        printf("no line names this job\n");
+        printf("no log line mentions this job\n");
     }
 }
 
--- a/egretctl/cmd_key.c
+++ b/egretctl/cmd_key.c
@@ -55,7 +55,8 @@
     char text[KEY_TEXT_MAX_BYTES + 1];
     char id[KEY_ID_BYTES + 1];
     if (!key_generate(text) || !key_parse_id(text, id)) {
-        return ctl_fail(CTL_REFUSED, "no random numbers");
+        return ctl_fail(CTL_REFUSED,
+                        "cannot generate a key: no random numbers");
     }
     struct key_issue issue = {.team = args[0], .id = id, .text = text};
     if (ctl_option_given(ctl, CTL_FLAG_EXPIRES)) {
@@ -75,7 +76,7 @@
         print_key(ctl, &issue);
     }
     else if (code == CTL_UNKNOWN) {
-        ctl_fail(code, "the key may have been stored: withdraw %s", id);
+        ctl_fail(code, "the key may have been stored; withdraw it: %s", id);
     }
     g_free(subject);
     g_free(summary);
--- a/egretctl/cmd_maintain.c
+++ b/egretctl/cmd_maintain.c
@@ -69,7 +69,8 @@
     return text;
 }
 
-/* A wave that selects what does not exist would never do anything. */
+/* Refuses unknown pools and data centres: a wave for them would never reboot
+ * any host. */
 static enum ctl_exit
 check_selection(struct ctl *ctl)
 {
@@ -134,7 +135,8 @@
     return json_object_get_string_member_with_default(record, member, "");
 }
 
-/* The record with another state, or NULL when that can't be. */
+/* The wave record with @state set; NULL if the record is malformed or the wave
+ * has ended. */
 static char *
 edit_state(const struct ctl *ctl, const char *text, const char *state)
 {
@@ -149,7 +151,7 @@
     const char *present = text_member(record, "state");
     char *edited = NULL;
     if (g_str_equal(present, "stopped") || g_str_equal(present, "done")) {
-        ctl_fail(CTL_REFUSED, "the wave is %s", present);
+        ctl_fail(CTL_REFUSED, "the wave has already ended: %s", present);
     }
     else {
         char *write = create_write_id(ctl);
@@ -166,7 +168,8 @@
     STATE_ATTEMPTS = 8,
 };
 
-/* Controllers write progress to the same record: a conflict is tried again. */
+/* The fleet controllers write the wave's progress to the same record, so a
+ * write that conflicts is retried. */
 static enum ctl_exit
 set_state(struct ctl *ctl, const char *number, const char *state)
 {
--- a/egretctl/cmd_status.c
+++ b/egretctl/cmd_status.c
@@ -99,7 +99,7 @@
     printf(ctl->options.json ? "}\n" : "");
     table_destroy(table);
     if (snapshot->status.code == STATUS_NOT_FOUND) {
-        return ctl_fail(CTL_OK, "no configuration was ever applied");
+        return ctl_fail(CTL_OK, "no configuration has been applied yet");
     }
     return status_ok(&snapshot->status) ? CTL_OK
                                         : ctl_fail_status(&snapshot->status);
@@ -170,5 +170,6 @@
     g_free(path);
     return n_responses > 0
                ? CTL_OK
-               : ctl_fail(CTL_REFUSED, "no gateway knows the queue");
+               : ctl_fail(CTL_REFUSED,
+                          "no gateway has information on this queue");
 }
--- a/egretctl/commands.c
+++ b/egretctl/commands.c
@@ -3,12 +3,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Sorted by name: it is searched by halves. */
+/* Sorted by name for bsearch(). */
 static const struct command commands[] = {
     {
         .name = "apply",
         .arguments = "FILE",
-        .summary = "put a configuration in force",
+        .summary = "apply a configuration file",
         .min_args = 1,
         .max_args = 1,
         .flags = CTL_FLAG_WAIT | CTL_FLAG_YES,
@@ -17,7 +17,7 @@
     {
         .name = "check",
         .arguments = "FILE...",
-        .summary = "report every finding in configuration or settings files",
+        .summary = "validate configuration or settings files",
         .min_args = 1,
         .max_args = INT32_MAX,
         .offline = true,
@@ -26,7 +26,7 @@
     {
         .name = "dc in",
         .arguments = "NAME",
-        .summary = "let work start in a data centre again",
+        .summary = "take a data centre back into service",
         .min_args = 1,
         .max_args = 1,
         .flags = CTL_FLAG_WAIT,
@@ -35,7 +35,8 @@
     {
         .name = "dc out",
         .arguments = "NAME",
-        .summary = "let no more work start in a data centre",
+        .summary =
+            "take a data centre out of service: no more work starts there",
         .min_args = 1,
         .max_args = 1,
         .flags = CTL_FLAG_WAIT,
@@ -44,7 +45,7 @@
     {
         .name = "diff",
         .arguments = "FILE | GENERATION [GENERATION]",
-        .summary = "show what differs from the configuration in force",
+        .summary = "show differences from the configuration in force",
         .min_args = 1,
         .max_args = 2,
         .run = command_diff,
@@ -52,7 +53,7 @@
     {
         .name = "explain",
         .arguments = "QUEUE",
-        .summary = "tell why a queue waits, as each gateway sees it",
+        .summary = "show what a queue waits for, by gateway",
         .min_args = 1,
         .max_args = 1,
         .run = command_explain,
@@ -60,7 +61,8 @@
     {
         .name = "gateway forget",
         .arguments = "INCARNATION",
-        .summary = "vouch that the process of a silent gateway has ended",
+        .summary =
+            "declare that the process of an unreachable gateway has ended",
         .min_args = 1,
         .max_args = 1,
         .flags = CTL_FLAG_YES,
@@ -82,13 +84,14 @@
     {
         .name = "history",
         .arguments = "",
-        .summary = "list the generations that are kept",
+        .summary = "list the stored generations",
         .run = command_history,
     },
     {
         .name = "job",
         .arguments = "ID LOG...",
-        .summary = "tell the story of a job from the logs of entry hosts",
+        .summary =
+            "print the timeline of a job from the logs of the entry hosts",
         .min_args = 2,
         .max_args = INT32_MAX,
         .offline = true,
@@ -97,7 +100,8 @@
     {
         .name = "key issue",
         .arguments = "TEAM",
-        .summary = "make a key for a team and print it once",
+        .summary =
+            "create a key for a team and print it; it is not shown again",
         .min_args = 1,
         .max_args = 1,
         .flags = CTL_FLAG_WAIT | CTL_FLAG_EXPIRES,
@@ -113,7 +117,7 @@
     {
         .name = "key withdraw",
         .arguments = "ID",
-        .summary = "refuse a key from now on",
+        .summary = "revoke a key",
         .min_args = 1,
         .max_args = 1,
         .flags = CTL_FLAG_WAIT,
@@ -130,7 +134,7 @@
     {
         .name = "maintain resume",
         .arguments = "WAVE",
-        .summary = "go on with a paused wave",
+        .summary = "resume a paused wave",
         .min_args = 1,
         .max_args = 1,
         .run = command_maintain_resume,
@@ -152,7 +156,7 @@
     {
         .name = "maintain stop",
         .arguments = "WAVE",
-        .summary = "end a wave for good",
+        .summary = "end a wave; it cannot be resumed",
         .min_args = 1,
         .max_args = 1,
         .run = command_maintain_stop,
--- a/egretctl/commands.h
+++ b/egretctl/commands.h
@@ -1,4 +1,4 @@
-/* The commands of egretctl. */
+/* Table of the commands of egretctl. */
 #ifndef EGRETCTL_COMMANDS_H
 #define EGRETCTL_COMMANDS_H
 
@@ -6,11 +6,12 @@
 
 /**
  * struct command - one command
- * @name: first word, or first two words when there are subcommands
- * @arguments: shown in help
- * @flags: bits of enum ctl_flag that it takes
- * @offline: works without the store
- * @run: does it; @args has between @min_args and @max_args strings
+ * @name: first word, or first two words if it has subcommands
+ * @arguments: shown in the help text
+ * @summary: shown in the help text
+ * @flags: accepted options, bits of enum ctl_flag
+ * @offline: needs no connection to the store
+ * @run: runs it; @args has between @min_args and @max_args strings
  */
 struct command {
     const char *name;
@@ -24,8 +25,8 @@
 };
 
 /**
- * command_find() - command by its words
- * @used: receives how many of the words name it
+ * command_find() - look up a command by the words of the command line
+ * @used: receives how many of the words belong to its name
  *
  * Returns: the command, or NULL.
  */
--- a/egretctl/config_diff.c
+++ b/egretctl/config_diff.c
@@ -6,7 +6,7 @@
 diff_nodes(GPtrArray *lines, const char *path, JsonNode *old_node,
            JsonNode *new_node);
 
-/* Entries of an array go by their name, keys of a team by their id. */
+/* Entries of an array are matched by name, keys of a team by id. */
 static const char *
 entry_name(JsonNode *node)
 {
--- a/egretctl/ctl.h
+++ b/egretctl/ctl.h
@@ -1,4 +1,4 @@
-/* State of one run of egretctl and what its commands share. */
+/* State of one invocation of egretctl, and helpers shared by its commands. */
 #ifndef EGRETCTL_CTL_H
 #define EGRETCTL_CTL_H
 
@@ -10,14 +10,14 @@
 #include "store/store.h"
 
 /**
- * enum ctl_exit - exit codes, part of the interface
- * @CTL_OK: done
- * @CTL_REFUSED: findings, or the request makes no sense now
+ * enum ctl_exit - exit codes, part of the public interface
+ * @CTL_OK: success
+ * @CTL_REFUSED: invalid input, or not possible in the present state
  * @CTL_USAGE: wrong command line or settings
  * @CTL_CONFLICT: another operator's change came first
  * @CTL_NO_STORE: the store can't be reached; nothing was changed
- * @CTL_UNKNOWN: the change may or may not come into force
- * @CTL_PENDING: accepted by the store, not yet in force everywhere
+ * @CTL_UNKNOWN: the change may or may not have been stored
+ * @CTL_PENDING: written to the store, not yet active on every live gateway
  */
 enum ctl_exit {
     CTL_OK = 0,
@@ -29,7 +29,7 @@
     CTL_PENDING = 6,
 };
 
-/** enum ctl_flag - options, as bits, that a command takes */
+/** enum ctl_flag - bits for the options that only some commands accept */
 enum ctl_flag {
     CTL_FLAG_WAIT = 1 << 0,
     CTL_FLAG_YES = 1 << 1,
@@ -40,11 +40,11 @@
 };
 
 /**
- * struct ctl_options - the command line
- * @given: bits of enum ctl_flag that were given
+ * struct ctl_options - options from the command line and the settings file
+ * @given: bits of enum ctl_flag for the options that were given
  * @expires_s, @older_than_s: durations in seconds
- * @wait_s: longest time to wait for gateways
- * @pools, @dcs: selection of a wave
+ * @wait_s: longest time to wait for the gateways
+ * @pools, @dcs: hosts that a maintenance wave selects; empty for all
  */
 struct ctl_options {
     char *store_url;
@@ -65,7 +65,7 @@
     char *author;
 };
 
-/** struct ctl_entry - a key of the store, owned by the caller. */
+/** struct ctl_entry - value of a key in the store, owned by the caller */
 struct ctl_entry {
     struct status status;
     char *value;
@@ -76,16 +76,17 @@
 bool
 ctl_option_given(const struct ctl *ctl, enum ctl_flag flag);
 
-/** ctl_fail() - print a message to standard error; returns @code. */
+/** ctl_fail() - print an error message; returns @code. */
 enum ctl_exit
 ctl_fail(enum ctl_exit code, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 
-/** ctl_fail_status() - the same for a status of the store. */
+/** ctl_fail_status() - print the message of a failed store request; returns
+ * the exit code for it. */
 enum ctl_exit
 ctl_fail_status(const struct status *status);
 
-/** ctl_get() - read a key and wait for the answer. */
+/** ctl_get() - read a key; blocks until the store has responded. */
 struct ctl_entry
 ctl_get(struct ctl *ctl, const char *key);
 
@@ -94,22 +95,26 @@
 ctl_list(struct ctl *ctl, const char *prefix,
          void (*each)(void *ctx, const struct store_entry *entry), void *ctx);
 
-/** ctl_cas() - write a key and wait for the outcome. */
+/** ctl_cas() - write a key if its version is still @version; blocks until the
+ * store has responded. */
 struct ctl_entry
 ctl_cas(struct ctl *ctl, const char *key, const char *value, uint64_t version);
 
 void
 ctl_entry_clear(struct ctl_entry *entry);
 
-/** ctl_fetch() - read the configuration in force; the caller clears it. */
+/** ctl_fetch() - read the active configuration; free it with
+ * ctl_snapshot_clear(). */
 struct config_snapshot
 ctl_fetch(struct ctl *ctl);
 
-/** ctl_fetch_generation() - an earlier one, as long as it is kept. */
+/** ctl_fetch_generation() - read an earlier configuration that is still
+ * stored. */
 struct config_snapshot
 ctl_fetch_generation(struct ctl *ctl, uint64_t generation);
 
-/** ctl_head() - head at the store, or NULL; config_head_destroy() it. */
+/** ctl_head() - read the configuration head, or NULL; free it with
+ * config_head_destroy(). */
 struct config_head *
 ctl_head(struct ctl *ctl);
 
@@ -123,8 +128,8 @@
     char id[CONFIG_ID_BYTES + 1];
 };
 
-/** ctl_publish() - put @config in force on top of @base, with a generation
- * above @above. */
+/** ctl_publish() - publish @config as the successor of @base, with a
+ * generation higher than @above. */
 struct ctl_publish_result
 ctl_publish(struct ctl *ctl, const struct config_snapshot *base,
             const struct config *config, const char *summary, uint64_t above);
--- a/egretctl/gateways.c
+++ b/egretctl/gateways.c
@@ -109,8 +109,9 @@
 }
 
 /**
- * struct asking - questions under way
- * @pending: answers still awaited
+ * struct query_batch - requests sent to the gateways in parallel
+ * @secret: signs the requests; NULL to send them unsigned
+ * @pending: outstanding responses
  */
 struct query_batch {
     struct ctl *ctl;
@@ -131,15 +132,14 @@
     gsize size = 0;
     const char *bytes = g_bytes_get_data(body, &size);
     if (http_status != SOUP_STATUS_OK) {
-        gateway->error_text =
-            g_strdup_printf("answered with status %u", http_status);
+        gateway->error_text = g_strdup_printf("HTTP status %u", http_status);
         return;
     }
     struct findings *findings = findings_create();
     gateway->response =
-        json_read_text(bytes, (int64_t)size, "answer", findings);
+        json_read_text(bytes, (int64_t)size, "response", findings);
     if (gateway->response == NULL) {
-        gateway->error_text = g_strdup("malformed answer");
+        gateway->error_text = g_strdup("malformed response");
     }
     findings_destroy(findings);
 }
@@ -180,7 +180,8 @@
     query->message = soup_message_new("GET", url);
     g_free(url);
     if (query->message == NULL) {
-        gateway->error_text = g_strdup("malformed address");
+        gateway->error_text =
+            g_strdup("malformed address in the members record");
         g_free(query);
         return;
     }
--- a/egretctl/gateways.h
+++ b/egretctl/gateways.h
@@ -1,4 +1,4 @@
-/* The registered gateways and what they say about themselves. */
+/* The registered gateways, and HTTP requests to them. */
 #ifndef EGRETCTL_GATEWAYS_H
 #define EGRETCTL_GATEWAYS_H
 
@@ -7,8 +7,8 @@
 /**
  * struct gateway - a registered gateway
  * @state: as in the members record
- * @response: JSON object it answered, or NULL
- * @error_text: why there is no answer
+ * @response: JSON object from the last gateways_query(), or NULL
+ * @error_text: why there is no response
  */
 struct gateway {
     char *incarnation;
@@ -21,24 +21,28 @@
     char *error_text;
 };
 
-/** gateways_fetch() - those in the members record, sorted by name; NULL and
- * @status when it can't be read. No record means no gateways. */
+/** gateways_fetch() - gateways in the members record, sorted by name; NULL
+ * with
+ * @status set if the record can't be read. Without a record the array is
+ * empty. */
 GPtrArray *
 gateways_fetch(struct ctl *ctl, struct status *status);
 
-/** gateways_query() - GET @path from every one that is live. */
+/** gateways_query() - send GET @path to every gateway in state "live" and wait
+ * for the responses. */
 void
 gateways_query(struct ctl *ctl, GPtrArray *gateways, const char *path);
 
-/** gateway_response_string() - string member of an answer, or NULL. */
+/** gateway_response_string() - string member of the response, or NULL. */
 const char *
 gateway_response_string(const struct gateway *gateway, const char *member);
 
-/** gateway_response_int() - integer member of an answer, or -1. */
+/** gateway_response_int() - integer member of the response, or -1. */
 int64_t
 gateway_response_int(const struct gateway *gateway, const char *member);
 
-/** gateway_response_bool() - boolean member of an answer. */
+/** gateway_response_bool() - boolean member of the response; false if there is
+ * none. */
 bool
 gateway_response_bool(const struct gateway *gateway, const char *member);
 
--- a/egretctl/main.c
+++ b/egretctl/main.c
@@ -18,7 +18,7 @@
     KEY_DC,
     KEY_OLDER_THAN,
     HOST_NAME_MAX_BYTES = 64,
-    /* Longer than any healthy gateway takes; what is left is reported. */
+    /* Healthy gateways need less; those that are late are reported. */
     DEFAULT_WAIT_S = 15,
 };
 
@@ -36,7 +36,7 @@
     {"json", 'j', 0, 0, "print JSON in place of tables", 0},
     {"wait", 'w', "TIME", OPTION_ARG_OPTIONAL,
      "wait until the change is in force everywhere, 15s at most or TIME", 1},
-    {"yes", KEY_YES, 0, 0, "confirm what can do harm", 1},
+    {"yes", KEY_YES, 0, 0, "confirm an operation that can do harm", 1},
     {"expires", KEY_EXPIRES, "TIME", 0,
      "lifetime of a key: a number and s, m, h or d", 1},
     {"pool", KEY_POOL, "POOL", 0, "only hosts of this pool; repeatable", 2},
@@ -46,7 +46,7 @@
     {0},
 };
 
-/* A number with its unit, in seconds. */
+/* Parses a number with the unit s, m, h or d; returns seconds. */
 static int64_t
 parse_duration_s(const char *text, struct argp_state *state)
 {
@@ -62,7 +62,7 @@
             return (int64_t)number * units[i].seconds;
         }
     }
-    argp_error(state, "not a time such as 90d or 12h: %s", text);
+    argp_error(state, "expected a duration such as 90d or 12h, got: %s", text);
     return 0;
 }
 
@@ -138,10 +138,11 @@
     .options = options,
     .parser = parse_option,
     .args_doc = "COMMAND [ARGUMENT...]",
-    .doc = "Operators' command line of egretglade.\v"
-           "Exit status: 0 done, 1 refused, 2 usage, 3 conflict, 4 store not "
-           "reachable, 5 outcome unknown, 6 accepted but not yet in force "
-           "everywhere.",
+    .doc =
+        "Command line for operators of egretglade.\v"
+        "Exit status: 0 success, 1 refused, 2 usage, 3 conflict, 4 store not "
+        "reachable, 5 outcome unknown, 6 accepted but not yet in force "
+        "everywhere.",
     .help_filter = list_commands,
 };
 
@@ -154,7 +155,7 @@
     }
 }
 
-/* The command line goes before the settings file. */
+/* Options on the command line take precedence over the settings file. */
 static bool
 read_settings(struct ctl_options *parsed)
 {
@@ -197,8 +198,8 @@
 {
     struct ctl ctl = {.options = arguments->options};
     if (!command->offline && ctl.options.store_url == NULL) {
-        return ctl_fail(CTL_USAGE, "give --store or set store_url in the file "
-                                   "named by " SETTINGS_VARIABLE);
+        return ctl_fail(CTL_USAGE, "no store: give --store or set store_url "
+                                   "in the file named by " SETTINGS_VARIABLE);
     }
     ctl.loop = g_main_loop_new(NULL, FALSE);
     ctl.author = create_author();
@@ -225,7 +226,7 @@
     char **words = (char **)arguments->words->pdata;
     const struct command *command = command_find(n_words, words, &used);
     if (command == NULL) {
-        return ctl_fail(CTL_USAGE, "no such command; see egretctl --help");
+        return ctl_fail(CTL_USAGE, "unknown command; see egretctl --help");
     }
     int n_args = n_words - used;
     if (n_args < command->min_args || n_args > command->max_args) {
@@ -233,7 +234,8 @@
                         command->arguments);
     }
     if ((arguments->options.given & ~command->flags) != 0) {
-        return ctl_fail(CTL_USAGE, "%s does not take one of the options given",
+        return ctl_fail(CTL_USAGE,
+                        "%s does not accept one of the options given",
                         command->name);
     }
     if (!read_settings(&arguments->options)) {
--- a/egretctl/session.c
+++ b/egretctl/session.c
@@ -6,8 +6,8 @@
 #include "store/store_keys.h"
 
 /*
- * egretctl does one thing after another: each call to the store runs the
- * main loop until its answer is there.
+ * Blocking calls to the store: each runs the main loop until the store has
+ * responded.
  */
 
 bool
@@ -179,7 +179,7 @@
     }
     if (status_ok(&history->status)) {
         status_set(&wait->snapshot.status, STATUS_NOT_FOUND,
-                   "generation %" G_GUINT64_FORMAT " is not kept",
+                   "generation %" G_GUINT64_FORMAT " is not stored",
                    wait->generation);
     }
     g_main_loop_quit(wait->ctl->loop);
--- a/egretctl/table.c
+++ b/egretctl/table.c
@@ -68,7 +68,7 @@
     }
 }
 
-/* Headings have spaces, members of objects don't. */
+/* Spaces in a heading become underscores in the name of the JSON member. */
 static void
 add_name(JsonBuilder *builder, const char *heading)
 {
--- a/egretctl/table.h
+++ b/egretctl/table.h
@@ -1,4 +1,4 @@
-/* Aligned columns on standard output. */
+/* Tables printed as aligned columns or as JSON. */
 #ifndef EGRETCTL_TABLE_H
 #define EGRETCTL_TABLE_H
 
@@ -6,7 +6,7 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/** struct table - rows of texts; the first row is the heading */
+/** struct table - rows of strings; the first row is the heading */
 struct table;
 
 struct table *
@@ -18,8 +18,8 @@
 void
 table_add(struct table *table, const char *const *cells);
 
-/** table_print() - aligned columns, or an array of objects whose members are
- * named by the heading. */
+/** table_print() - print aligned columns, or with @json an array of objects
+ * whose members are named after the heading. */
 void
 table_print(const struct table *table, bool json);
 
--- a/egretctl/wait.c
+++ b/egretctl/wait.c
@@ -9,11 +9,14 @@
 };
 
 /**
- * struct progress - gateways that have a generation in force
- * @stored: head at the store, read after the gateways had answered; NULL
- *          when it can't be read
- * @n_voting: registered ones; a majority of them makes a change accepted
- * @pending: names of those that do not, or do not answer
+ * struct rollout - which gateways have activated a generation
+ * @stored: head at the store, read after the gateways have responded so that
+ *          it is at least as new as their state; NULL if it can't be read
+ * @n_voting: registered gateways that are not fenced; a change is accepted
+ *            once a majority of them has activated it
+ * @n_live: gateways in state "live"
+ * @n_active: live gateways that have activated the generation
+ * @pending: names of the other live gateways, with the reasons
  */
 struct rollout {
     struct config_head *stored;
@@ -23,7 +26,8 @@
     GString *pending;
 };
 
-/* Why a live gateway does not count as having it in force, or NULL. */
+/* Why a live gateway does not count as having activated @generation, or
+ * NULL. */
 static const char *
 pending_reason(const struct rollout *rollout, const struct gateway *gateway,
                uint64_t generation)
@@ -38,12 +42,12 @@
         return "older generation";
     }
     if (head != NULL && active_generation > (int64_t)head->generation) {
-        return "holds a generation that the store does not know; see apply "
+        return "has a generation that the store does not know; see apply "
                "--yes";
     }
     if (head != NULL && active_generation == (int64_t)head->generation &&
         id != NULL && !g_str_equal(id, head->id)) {
-        return "holds another content under this number; see apply --yes";
+        return "has different content under this generation; see apply --yes";
     }
     return NULL;
 }
@@ -129,7 +133,8 @@
     return rollout->n_active * 2 > rollout->n_voting;
 }
 
-/* Told once, for an operator who watches a gateway that lags behind. */
+/* Printed once, so that an operator who waits for a slow gateway sees that the
+ * change is already accepted. */
 static void
 report_accepted_once(const struct ctl *ctl, const struct rollout *rollout,
                      bool *reported)
