--- a/tests/jobs/model_state.h
+++ b/tests/jobs/model_state.h
@@ -106,7 +106,7 @@
 void
 send_command(struct sim *sim, struct leader *leader, struct message command);
 
-/* model_holder.c */
+/* model_leader.c */
 struct stored_job *
 find_stored_job(struct sim *sim, const char *id);
 void
@@ -116,7 +116,7 @@
 void
 take_over(struct sim *sim);
 
-/* model_arrive.c */
+/* model_deliver.c */
 void
 deliver(struct sim *sim, struct message *message);
 
