--- a/tests/jobs/advice_test.c
+++ b/tests/jobs/advice_test.c
@@ -1,4 +1,4 @@
-/* Queues whose policy allows only some backend servers. */
+/* Placement advice: queues whose policy allows only some backend servers. */
 #include <stdio.h>
 #include <string.h>
 
@@ -16,7 +16,7 @@
 static const char four_tasks[] =
     "[{\"count\":4,\"cpu\":8000,\"mem_mb\":100,\"estimate_ms\":500}]";
 
-/* Queue "p" needs advice; its backend servers are b00, b01, ... */
+/* Queue "p" needs placement advice; its backend servers are b00, b01, ... */
 static void
 init_with_advice(struct fleet_fixture *f, int n_backends)
 {
@@ -33,7 +33,8 @@
     fixture_reconcile(f);
 }
 
-/* Answers the open question: @allowed_id is allowed, or nobody if NULL. */
+/* Answers the open request for advice: @allowed_id gets a ticket, or none does
+ * if NULL. */
 static void
 give_advice(struct fleet_fixture *f, const char *allowed_id)
 {
@@ -46,8 +47,8 @@
     fixture_tick(f, f->now_ms + 10);
 }
 
-/* Nothing starts on a backend server that was not named, and a start carries
- * its ticket. */
+/* Tasks start only on backend servers that the advice allows, and each start
+ * carries the ticket. */
 static void
 test_starts_need_a_ticket(void)
 {
@@ -59,7 +60,7 @@
     CU_ASSERT_EQUAL_FATAL(fixture_count(&f, COMMAND_REQUEST_ADVICE, NULL), 1);
     CU_ASSERT_STRING_EQUAL(fixture_last(&f, COMMAND_REQUEST_ADVICE)->task,
                            JOB_A ".0.0");
-    /* One question at a time. */
+    /* One request at a time. */
     fixture_tick(&f, f.now_ms + 10);
     CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_REQUEST_ADVICE, NULL), 1);
     give_advice(&f, "b01");
@@ -69,8 +70,8 @@
     fixture_clear(&f);
 }
 
-/* A large pool: a question names few, and what was refused is not asked
- * again. */
+/* In a large pool each request names few backend servers, and those that were
+ * refused are not requested again. */
 static void
 test_requests_are_small(void)
 {
@@ -99,8 +100,8 @@
     fixture_clear(&f);
 }
 
-/* Tickets end: those who were allowed are asked about again, and only they
- * if they suffice. */
+/* When tickets expire, advice is requested again for the backend servers that
+ * were allowed before, and only for these if they suffice. */
 static void
 test_tickets_are_renewed(void)
 {
@@ -127,7 +128,7 @@
     fixture_clear(&f);
 }
 
-/* A ticket that is not taken is forgotten and asked for again. */
+/* A ticket that a backend server refuses is dropped and requested anew. */
 static void
 test_refused_ticket(void)
 {
@@ -150,8 +151,8 @@
     fixture_clear(&f);
 }
 
-/* The service is away or busy: the question is asked again after a pause, and
- * other queues go on. */
+/* While the advice service is unavailable or busy, the request is repeated
+ * after a delay, and other queues go on. */
 static void
 test_advice_unavailable(void)
 {
@@ -177,10 +178,10 @@
 {
     static const struct suite_test tests[] = {
         {"starts need a ticket", test_starts_need_a_ticket},
-        {"questions are small", test_requests_are_small},
+        {"requests for advice are small", test_requests_are_small},
         {"tickets are renewed", test_tickets_are_renewed},
-        {"a refused ticket", test_refused_ticket},
-        {"the service is away", test_advice_unavailable},
+        {"a refused ticket is requested anew", test_refused_ticket},
+        {"advice is unavailable", test_advice_unavailable},
     };
     return suite_main("jobs advice", tests, sizeof(tests) / sizeof(tests[0]));
 }
--- a/tests/jobs/arrivals_test.c
+++ b/tests/jobs/arrivals_test.c
@@ -1,4 +1,4 @@
-/* Hosts for work that arrives, each the replay of a load. */
+/* Hosts requested for arriving jobs; each test replays a load. */
 #include <stdio.h>
 #include <string.h>
 
@@ -8,18 +8,18 @@
 enum {
     SPARE_HOSTS = 160,
     TICK_MS = 100,
-    /* Two steps of a second each; a job is over after about this time. */
+    /* Duration of a job: two steps of a second each. */
     JOB_MS = 2000,
     STEADY_LOAD_MS = 20000,
 };
 
-/* Nine cores for a second, then nine again. */
+/* Nine cores for a second, then nine cores for another second. */
 static const char two_steps[] =
     "[{\"count\":9,\"cpu\":1000,\"mem_mb\":100,\"estimate_ms\":1000},"
     "{\"count\":9,\"cpu\":1000,\"mem_mb\":100,\"estimate_ms\":1000,"
     "\"after\":[0]}]";
 
-/** struct arrival - a job and when it is over */
+/** struct arrival - a job and when it ends; @ends_ms: 0 after its end */
 struct arrival {
     char id[JOB_ID_CHARS + 1];
     int64_t ends_ms;
@@ -46,7 +46,8 @@
     fixture_tick(f, f->now_ms + TICK_MS);
 }
 
-/* Plays one tick in which @n_jobs arrive; those that are over end. */
+/* Runs one tick in which @n_jobs arrive; jobs whose time is over are cancelled
+ * as a stand-in for their end. */
 static void
 run_tick(struct fleet_fixture *f, GArray *arrivals, int n_jobs)
 {
@@ -66,9 +67,9 @@
     fixture_tick(f, f->now_ms + TICK_MS);
 }
 
-/* A peak that builds up over four seconds to 120 jobs a second: hosts take
- * work 1.5 s after they are asked for, so after two seconds those are asked
- * for that the third second needs. */
+/* A peak builds up over four seconds to 120 jobs a second. Hosts take work
+ * 1.5 s after they are requested, so after two seconds the hosts that the
+ * third second needs have to be requested. */
 static void
 test_rise_is_extrapolated(void)
 {
@@ -83,14 +84,14 @@
         run_tick(&f, arrivals, n_jobs);
     }
     uint32_t requested = fixture_count(&f, COMMAND_MOVE, NULL);
-    printf("%u hosts asked for ", requested);
+    printf("%u hosts requested ", requested);
     /* 90 jobs a second of 18 core-seconds would need 119 hosts. */
     CU_ASSERT(requested >= 55);
     g_array_unref(arrivals);
     fixture_clear(&f);
 }
 
-/* A steady load whose arrivals come by chance: no rise is seen in it. */
+/* The random variation of a steady load is not taken for a rise. */
 static void
 test_steady_load_is_not_a_rise(void)
 {
@@ -108,7 +109,7 @@
         }
         uint32_t requested = fixture_count(&f, COMMAND_MOVE, NULL);
         printf("%u ", requested);
-        /* 8 jobs a second need 11 hosts, a chance cluster twice as many. */
+        /* 8 jobs a second need 11 hosts, a random cluster twice as many. */
         CU_ASSERT(requested <= 22);
         g_array_unref(arrivals);
         g_rand_free(rng);
@@ -120,8 +121,9 @@
 main(void)
 {
     static const struct suite_test tests[] = {
-        {"a rise is carried on", test_rise_is_extrapolated},
-        {"a steady load is not a rise", test_steady_load_is_not_a_rise},
+        {"a rise is extrapolated", test_rise_is_extrapolated},
+        {"a steady load is not taken for a rise",
+         test_steady_load_is_not_a_rise},
     };
     return suite_main("jobs arrivals", tests,
                       sizeof(tests) / sizeof(tests[0]));
--- a/tests/jobs/committer_test.c
+++ b/tests/jobs/committer_test.c
@@ -1,4 +1,4 @@
-/* Transactions when answers of the store are lost. */
+/* Transactions whose answers from the store are lost. */
 #include <signal.h>
 
 #include "../suite.h"
@@ -16,8 +16,10 @@
 #define STORE_ADDRESS "127.0.0.1:20921"
 
 /**
- * struct lossy_store - answers no request but each @answers_every th
- * @refuses: what it answers is that it did nothing
+ * struct lossy_store - store that leaves most requests without an answer
+ * @answers_every: it answers one request in this many
+ * @refuses: its answers are refusals
+ * @withheld: requests without an answer
  */
 struct lossy_store {
     int answers_every;
@@ -57,7 +59,7 @@
     seen->count++;
 }
 
-/* Commits once against @store; returns what came within @within_ms. */
+/* Commits once to @store; returns the outcome seen within @within_ms. */
 static struct outcome_seen
 commit_once(struct lossy_store *store, int within_ms)
 {
@@ -92,7 +94,7 @@
     return seen;
 }
 
-/* The answer to the first attempt is lost; the second attempt gives the
+/* The answer to the first attempt is lost; the second attempt learns the
  * outcome of the transaction long before the timeout. */
 static void
 test_lost_answer_is_retried_soon(void)
@@ -130,10 +132,10 @@
 {
     signal(SIGPIPE, SIG_IGN);
     static const struct suite_test tests[] = {
-        {"a lost answer is learnt soon", test_lost_answer_is_retried_soon},
-        {"a refusal after silence is unknown",
+        {"a lost answer is retried soon", test_lost_answer_is_retried_soon},
+        {"a refusal after no answer is unknown",
          test_refusal_after_no_answer_is_unknown},
-        {"a refusal is one", test_refusal_is_reported},
+        {"a refusal is reported", test_refusal_is_reported},
     };
     return suite_main("committer", tests, sizeof(tests) / sizeof(tests[0]));
 }
--- a/tests/jobs/fleet_fixture.h
+++ b/tests/jobs/fleet_fixture.h
@@ -1,4 +1,4 @@
-/* A scheduler with recorded orders, for tests of single decisions. */
+/* A scheduler whose commands are recorded, for tests of its decisions. */
 #ifndef TESTS_JOBS_FLEET_FIXTURE_H
 #define TESTS_JOBS_FLEET_FIXTURE_H
 
@@ -6,7 +6,7 @@
 
 #include "core/jobs/scheduler.h"
 
-/** enum command_kind - kind of a recorded order */
+/** enum command_kind - kind of a recorded command */
 enum command_kind {
     COMMAND_START,
     COMMAND_STOP,
@@ -18,12 +18,13 @@
 };
 
 /**
- * struct order - an order that the scheduler gave; texts are owned
- * @target: backend server or host; for a question about advice the ids of
- *          the backend servers, separated by spaces
- * @task: task, pool, or the step that advice is asked for
+ * struct recorded_command - a command of the scheduler; owns its strings
+ * @target: backend server or host; for a request for advice the ids of the
+ *          backend servers, separated by spaces
+ * @task: task, pool of a move, or the step that advice is requested for
  * @ticket: ticket of a start, or NULL
- * @number: number of the run, wave of a reboot, or percent of a pace
+ * @number: number of the run, wave of a reboot, or CPU limit in percent
+ * @at_ms: when it was sent, on the fixture's clock
  */
 struct recorded_command {
     enum command_kind kind;
@@ -36,10 +37,10 @@
 };
 
 /**
- * struct fleet_fixture - the scheduler and what it ordered
- * @now_ms: its clock
+ * struct fleet_fixture - a scheduler and its recorded commands
+ * @now_ms: the scheduler's clock
  * @incarnation_start_ms: Unix time at which every backend server started
- * @commands: struct order, oldest first
+ * @commands: struct recorded_command, oldest first
  */
 struct fleet_fixture {
     struct scheduler *sched;
@@ -49,57 +50,59 @@
     GPtrArray *commands;
 };
 
-/** fixture_init() - two pools "p" and "q" with queues of the same names, a
- * spare pool "s", and a client account "t". */
+/** fixture_init() - create two pools "p" and "q" with queues of the same
+ * names, a spare pool "s", and a client account "t". */
 void
 fixture_init(struct fleet_fixture *fixture, uint32_t term);
 void
 fixture_clear(struct fleet_fixture *fixture);
 
-/** fixture_add_backend() - a backend server with 16 cores is listed. */
+/** fixture_add_backend() - list a backend server with 16 cores. */
 void
 fixture_add_backend(struct fleet_fixture *fixture, const char *id,
                     const char *pool, const char *host);
 
-/** fixture_drain_backend() - it says that it leaves soon. */
+/** fixture_drain_backend() - list a backend server as draining. */
 void
 fixture_drain_backend(struct fleet_fixture *fixture, const char *id,
                       const char *pool, const char *host);
 
-/** fixture_add_hosts() - hosts m0, m1, ... of these pools, NULL-terminated,
- * with backend servers b0, b1, ...; the list of hosts is read. */
+/** fixture_add_hosts() - list hosts m0, m1, ... of these pools,
+ * NULL-terminated, with backend servers b0, b1, ... */
 void
 fixture_add_hosts(struct fleet_fixture *fixture, const char *const *pools);
 
-/** fixture_reconcile() - register backend servers and answer first lists. */
+/** fixture_reconcile() - store the registration of backend servers and answer
+ * their first report requests with no runs. */
 void
 fixture_reconcile(struct fleet_fixture *fixture);
 
-/** fixture_add_job() - a job of queue @pool from its steps as JSON. */
+/** fixture_add_job() - add a job of queue @pool; @steps is JSON. */
 struct job *
 fixture_add_job(struct fleet_fixture *fixture, const char *id,
                 const char *pool, const char *steps);
 
-/** fixture_tick() - advance to @now_ms and decide; stores at once. */
+/** fixture_tick() - advance the clock to @now_ms, let the scheduler decide and
+ * store its changes at once. */
 void
 fixture_tick(struct fleet_fixture *fixture, int64_t now_ms);
 
-/** fixture_report() - answer of a backend server with these runs and ends */
+/** fixture_report() - deliver a run report of backend server @id. */
 void
 fixture_report(struct fleet_fixture *fixture, const char *id,
                struct reported_run *running, size_t n_running,
                struct run_completion *completions, size_t n_completions);
 
-/** fixture_count() - orders of a kind, to @target if not NULL. */
+/** fixture_count() - number of commands of a kind, to @target if not NULL. */
 uint32_t
 fixture_count(const struct fleet_fixture *fixture, enum command_kind kind,
               const char *target);
 
-/** fixture_last() - last order of a kind, or NULL. */
+/** fixture_last() - last command of a kind, or NULL. */
 const struct recorded_command *
 fixture_last(const struct fleet_fixture *fixture, enum command_kind kind);
 
-/** fixture_accept_starts() - acknowledge every start that is open. */
+/** fixture_accept_starts() - acknowledge every recorded start. */
 void
 fixture_accept_starts(struct fleet_fixture *fixture);
 
--- a/tests/jobs/host_commands_test.c
+++ b/tests/jobs/host_commands_test.c
@@ -1,4 +1,4 @@
-/* Orders about hosts at their allowed rate, each the replay of a load. */
+/* Host commands within their allowed rate; each test replays a load. */
 #include <stdio.h>
 #include <string.h>
 
@@ -12,7 +12,7 @@
     COMMANDS_PER_S = 64,
 };
 
-/* Many idle hosts in pool "q", one in "p". */
+/* Lists many idle hosts in pool "q" and one in "p". */
 static void
 init_with_idle_hosts(struct fleet_fixture *f, uint32_t term,
                      int64_t incarnation_start_ms)
@@ -61,8 +61,9 @@
     return count;
 }
 
-/* Idle hosts of a large fleet are given back: the platform takes no more than
- * its rate, and what is ordered beyond it would wait. */
+/* Idle hosts of a large fleet return to the spare pool no faster than the
+ * platform accepts host commands; commands beyond that rate would wait there.
+ */
 static void
 test_moves_keep_to_the_rate(void)
 {
@@ -79,8 +80,8 @@
     fixture_clear(&f);
 }
 
-/* A peak begins while idle hosts are being given back: hosts for it are
- * ordered at once, not behind those. */
+/* A peak begins while idle hosts return to the spare pool: moves for the peak
+ * are sent at once, not after the moves that are due. */
 static void
 test_peak_goes_before_returning_hosts(void)
 {
@@ -99,8 +100,8 @@
     fixture_clear(&f);
 }
 
-/* After a takeover no order may be given for some seconds about the hosts that
- * the holder before ordered about; idle ones serve until then. */
+/* After a takeover no command may be sent for some seconds about hosts that
+ * the previous leader sent commands about; idle ones take tasks until then. */
 static void
 test_hosts_serve_until_commands_are_allowed(void)
 {
@@ -122,8 +123,8 @@
     fixture_clear(&f);
 }
 
-/* A peak just after a takeover: spare hosts that the holder before gave no
- * order about come at once, the others when its orders are long enough ago. */
+/* A peak just after a takeover: spare hosts that the previous leader sent no
+ * command about are moved at once, the others when the command gap is over. */
 static void
 test_spare_hosts_after_a_takeover(void)
 {
@@ -164,13 +165,13 @@
 main(void)
 {
     static const struct suite_test tests[] = {
-        {"moves keep the rate", test_moves_keep_to_the_rate},
-        {"a peak goes before giving back",
+        {"moves keep to the rate", test_moves_keep_to_the_rate},
+        {"a peak goes before returning idle hosts",
          test_peak_goes_before_returning_hosts},
-        {"hosts serve until orders are allowed",
+        {"hosts serve until commands are allowed",
          test_hosts_serve_until_commands_are_allowed},
         {"spare hosts after a takeover", test_spare_hosts_after_a_takeover},
     };
-    return suite_main("jobs host orders", tests,
+    return suite_main("jobs host commands", tests,
                       sizeof(tests) / sizeof(tests[0]));
 }
--- a/tests/jobs/kv_test.c
+++ b/tests/jobs/kv_test.c
@@ -1,4 +1,4 @@
-/* The client of the store when its way changes between calls. */
+/* The store client when its route changes between calls. */
 #include <signal.h>
 
 #include "../suite.h"
@@ -14,6 +14,12 @@
 #define UNRESPONSIVE_ADDRESS "127.0.0.1:20911"
 #define SERVING_ADDRESS "127.0.0.1:20912"
 
+/**
+ * struct route_state - state behind the route callbacks
+ * @relay: peer that relays the next call
+ * @reports: number of answers and failures reported
+ * @failed: peer of the last call without an answer
+ */
 struct route_state {
     const char *relay;
     int reports;
@@ -57,8 +63,8 @@
     *(int *)ctx = (int)result->outcome;
 }
 
-/* A call that waits at one peer gets its end although the next call goes
- * through another; without it its caller would wait for good. */
+/* A call open through one peer still completes after the next call switched to
+ * another peer; otherwise its caller would wait forever. */
 static void
 test_switch_completes_calls(void)
 {
@@ -88,7 +94,7 @@
     CU_ASSERT_EQUAL(first, KV_UNKNOWN);
     CU_ASSERT_EQUAL(second, KV_NOT_FOUND);
     CU_ASSERT_EQUAL(state.reports, 2);
-    /* The failure is laid to the peer that the call went through. */
+    /* The failure is reported for the peer that the call went through. */
     CU_ASSERT_STRING_EQUAL(state.failed, UNRESPONSIVE_ADDRESS);
     g_free(state.failed);
     kv_destroy(kv);
@@ -101,8 +107,9 @@
     event_base_free(base);
 }
 
-/* Nothing listens: the call was certainly not carried out, and its caller may
- * be told so. One that was read and got no answer may have been. */
+/* Where nothing listens, the call was certainly not carried out, and its
+ * caller may get a refusal. A call that was read but not answered may have
+ * been carried out. */
 static void
 test_unsent_call_is_refused(void)
 {
@@ -141,7 +148,7 @@
 {
     signal(SIGPIPE, SIG_IGN);
     static const struct suite_test tests[] = {
-        {"a change of the way completes calls", test_switch_completes_calls},
+        {"a change of the route completes calls", test_switch_completes_calls},
         {"an unsent call is refused", test_unsent_call_is_refused},
     };
     return suite_main("store client", tests, sizeof(tests) / sizeof(tests[0]));
--- a/tests/jobs/leaving_test.c
+++ b/tests/jobs/leaving_test.c
@@ -1,4 +1,4 @@
-/* Backend servers that leave or fall silent, each the replay of a fault. */
+/* Backend servers that drain or stop answering; each test replays a fault. */
 #include <stdio.h>
 #include <string.h>
 
@@ -11,7 +11,7 @@
     "[{\"count\":2,\"cpu\":1000,\"mem_mb\":100,\"long_running\":true,"
     "\"may_miss\":1}]";
 
-/* Both tasks of a lasting job at work on the only backend server, "b1". */
+/* Starts both tasks of a service job on the only backend server, "b1". */
 static void
 start_two_service_tasks(struct fleet_fixture *f,
                         struct reported_run running[2])
@@ -30,8 +30,9 @@
     fixture_report(f, "b1", running, 2, NULL, 0);
 }
 
-/* A scale-in: tasks that last stayed on the server until it was gone, so all
- * of them ended at once, and a holder that died soon after kept them down. */
+/* At a scale-in, service tasks must not stay on a draining backend server
+ * until it is gone: all of them would end at once, and if the leader dies soon
+ * after, none would be replaced for a while. They move one by one instead. */
 static void
 test_service_tasks_leave_one_by_one(void)
 {
@@ -53,7 +54,7 @@
     fixture_report(&f, "b1", remaining, 1, &completion, 1);
     fixture_tick(&f, f.now_ms + 10);
     CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, "b2"), 1);
-    /* The other one waits until this one is at work again. */
+    /* The other task waits until this one runs again. */
     CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_STOP, "b1"), 1);
     fixture_accept_starts(&f);
     struct reported_run moved = *stopped;
@@ -64,7 +65,8 @@
     fixture_clear(&f);
 }
 
-/* Where nothing else has room, a task goes on as long as its server does. */
+/* Without free capacity elsewhere a service task stays on a draining backend
+ * server for as long as that runs. */
 static void
 test_service_tasks_stay_without_capacity(void)
 {
@@ -80,8 +82,9 @@
     fixture_clear(&f);
 }
 
-/* A server went away, then its holder: the next one has to wait for the
- * longest lease of the one before, but for less than the users allow. */
+/* A backend server became unreachable, then the leader died. The next leader
+ * waits until the longest lease that the previous one may have granted has
+ * expired, but for less time than callers allow. */
 static void
 test_wait_for_unreachable_server_is_bounded(void)
 {
@@ -106,7 +109,7 @@
         fixture_report(&f, "b2", NULL, 0, NULL, 0);
         fixture_tick(&f, f.now_ms + 100);
     }
-    /* The longest lease is over, and no more than 9 s have passed. */
+    /* The longest lease has expired, and at most 9 s have passed. */
     CU_ASSERT(f.now_ms > taken_over_ms + 8500);
     CU_ASSERT(f.now_ms < taken_over_ms + 9000);
     fixture_clear(&f);
@@ -116,10 +119,11 @@
 main(void)
 {
     static const struct suite_test tests[] = {
-        {"lasting tasks leave in time", test_service_tasks_leave_one_by_one},
-        {"lasting tasks stay without room",
+        {"service tasks leave one by one",
+         test_service_tasks_leave_one_by_one},
+        {"service tasks stay without free capacity",
          test_service_tasks_stay_without_capacity},
-        {"the wait for a silent server is bounded",
+        {"the wait for an unreachable server is bounded",
          test_wait_for_unreachable_server_is_bounded},
     };
     return suite_main("jobs leaving", tests, sizeof(tests) / sizeof(tests[0]));
--- a/tests/jobs/model.c
+++ b/tests/jobs/model.c
@@ -1,4 +1,4 @@
-/* Schedules: messages on their way, faults, callers, and what is judged. */
+/* Schedules of the model: message queue, faults, callers, final checks. */
 #include "model_state.h"
 
 #include <stdio.h>
@@ -9,11 +9,12 @@
 static const char *const mutation_names[] = {
     [MUTATION_NONE] = "none",
     [MUTATION_NO_FENCE] = "no fencing token",
-    [MUTATION_NO_REPORT_WAIT] = "no wait for lists after a takeover",
+    [MUTATION_NO_REPORT_WAIT] = "no wait for run reports after a takeover",
     [MUTATION_NO_REGISTRATION] = "no record of used backend servers",
-    [MUTATION_NO_STOP_WAIT] = "no wait for stops of the holder before",
-    [MUTATION_ACK_UNSTORED] = "ends acknowledged before they are stored",
-    [MUTATION_NO_LEASE_EXPIRY] = "leases that never end",
+    [MUTATION_NO_STOP_WAIT] = "no wait for stops of the previous leader",
+    [MUTATION_ACK_UNSTORED] =
+        "completions acknowledged before they are stored",
+    [MUTATION_NO_LEASE_EXPIRY] = "leases that never expire",
 };
 
 const char *
@@ -84,7 +85,8 @@
     return g_rand_int_range(sim->random, 1, 12);
 }
 
-/* An order: lost, late or on time; its caller learns of a loss later. */
+/* Sends a command, which may be lost, late or on time. If it is cut off or
+ * lost, the leader gets "no answer" after the time-out. */
 void
 send_command(struct sim *sim, struct leader *leader, struct message command)
 {
@@ -115,7 +117,7 @@
     sent->answer_lost = lost;
 }
 
-/* Cuts, renewals and changes of the holder, a tenth of a second at a time. */
+/* Cut links, renewals of leadership and takeovers; called every 100 ms. */
 static void
 inject_faults(struct sim *sim)
 {
@@ -139,7 +141,7 @@
         take_over(sim);
     }
     else if (faults_active(sim) && chance(sim, 0.01)) {
-        /* The process is killed; another takes over. */
+        /* The leader's process is killed; another one takes over. */
         leader->killed = true;
         take_over(sim);
     }
@@ -268,7 +270,7 @@
         const struct job *job =
             scheduler_find_job(sim->current->sched, sim->jobs[i].id);
         if (job == NULL) {
-            record_violation(sim, "an accepted job is not known");
+            record_violation(sim, "an accepted job is unknown to the leader");
         }
         else if (job->state == JOB_ACTIVE) {
             sim->result.unfinished++;
@@ -277,7 +279,7 @@
             sim->result.completed++;
         }
         else if (job->state == JOB_FAILED) {
-            record_violation(sim, "a job failed without its attempts used");
+            record_violation(sim, "a job failed with attempts left");
         }
     }
 }
--- a/tests/jobs/model.h
+++ b/tests/jobs/model.h
@@ -1,7 +1,7 @@
 /*
- * Seeded model of schedulers, backend servers, the store and the messages
- * between them. Drives the real scheduler; messages get lost, come late and
- * overtake each other, holders lose the store and are replaced.
+ * Seeded model of leaders, backend servers, the store and the messages between
+ * them. Drives the real scheduler: messages get lost, arrive late and overtake
+ * each other, leaders lose the store and are replaced.
  */
 #ifndef TESTS_JOBS_MODEL_H
 #define TESTS_JOBS_MODEL_H
@@ -10,15 +10,17 @@
 #include <stdint.h>
 
 /**
- * enum model_mutation - one mechanism taken away
- * @MUTATION_NO_FENCE: backend servers take orders of any holder
- * @MUTATION_NO_REPORT_WAIT: a new holder trusts what it does not see
- * @MUTATION_NO_REGISTRATION: a new holder isn't told which backend servers
- * were used
- * @MUTATION_NO_STOP_WAIT: a new holder does not wait for stops of the one
- * before
- * @MUTATION_ACK_UNSTORED: ends are acknowledged before they are stored
- * @MUTATION_NO_LEASE_EXPIRY: leases never end at backend servers
+ * enum model_mutation - mechanism that is switched off
+ * @MUTATION_NO_FENCE: backend servers accept commands of any leader
+ * @MUTATION_NO_REPORT_WAIT: a new leader takes runs that it has no report of
+ *                           for ended
+ * @MUTATION_NO_REGISTRATION: a new leader does not know which backend
+ *                            servers previous leaders used
+ * @MUTATION_NO_STOP_WAIT: a new leader does not wait for stops of the
+ *                         previous one
+ * @MUTATION_ACK_UNSTORED: completions are acknowledged before they are
+ *                         stored
+ * @MUTATION_NO_LEASE_EXPIRY: leases never expire at backend servers
  */
 enum model_mutation {
     MUTATION_NONE,
@@ -32,12 +34,12 @@
 };
 
 /**
- * struct model_result - what a schedule showed
- * @violation: a promise that was broken, or NULL; static text
- * @starts: runs that backend servers began
- * @takeovers: changes of the holder
- * @completed: jobs shown as completed
- * @unfinished: jobs not finished although the fleet was calm at the end
+ * struct model_result - result of a schedule
+ * @violation: first invariant violated, or NULL; static text
+ * @starts: runs that backend servers started
+ * @takeovers: leaders in the schedule, the first included
+ * @completed: completed jobs
+ * @unfinished: jobs not finished although the faults had ended
  */
 struct model_result {
     const char *violation;
@@ -47,11 +49,11 @@
     uint32_t unfinished;
 };
 
-/** model_run() - one schedule. */
+/** model_run() - run one schedule. */
 struct model_result
 model_run(uint32_t seed, enum model_mutation mutation);
 
-/** model_mutation_name() - stable name for reports. */
+/** model_mutation_name() - text for the test's output. */
 const char *
 model_mutation_name(enum model_mutation mutation);
 
--- a/tests/jobs/model_deliver.c
+++ b/tests/jobs/model_deliver.c
@@ -1,4 +1,4 @@
-/* Messages that arrive at backend servers, holders and the store. */
+/* Delivery of messages to backend servers, leaders and the store. */
 #include "model_state.h"
 
 #include <stdio.h>
@@ -6,7 +6,8 @@
 
 #include "egretjobd/records.h"
 
-/* No task runs twice at once, and none starts after its end was noted. */
+/* No task has two runs at once, none starts after its completion was
+ * acknowledged, and none long after its job was cancelled. */
 static void
 check_start(struct sim *sim, const struct message *command)
 {
@@ -22,13 +23,14 @@
         }
     }
     if (g_hash_table_contains(sim->done_acked, command->task)) {
-        record_violation(sim, "a start after an end as done was acknowledged");
+        record_violation(
+            sim, "a start after a completion as done was acknowledged");
     }
     char id[JOB_ID_CHARS + 1];
     memcpy(id, command->task, JOB_ID_CHARS);
     id[JOB_ID_CHARS] = '\0';
     const struct stored_job *stored = find_stored_job(sim, id);
-    /* An order that was on its way may still be carried out. */
+    /* A start that was sent before may still be carried out. */
     if (stored->cancel_stored_ms != 0 && !command->answer_lost &&
         sim->now_ms > stored->cancel_stored_ms + 3000) {
         record_violation(sim, "a start long after a cancel was stored");
@@ -82,7 +84,8 @@
     answer_command(sim, command, answer, true);
 }
 
-/* Ends that an acknowledgement reaches are noted for good. */
+/* Records tasks whose completion as done is acknowledged: they must not start
+ * again. */
 static void
 record_acked(struct sim *sim, const struct model_backend *backend,
              int64_t acked_completion)
@@ -111,7 +114,7 @@
     };
     for (guint i = 0; i < backend->runs->len; i++) {
         const struct model_task_run *run = g_ptr_array_index(backend->runs, i);
-        /* A run that is being stopped stands in neither list. */
+        /* A run that is being stopped is neither running nor completed. */
         if (run->stops_ms == 0) {
             report.running[report.n_running++] = (struct reported_run){
                 .task = run->task,
--- a/tests/jobs/model_leader.c
+++ b/tests/jobs/model_leader.c
@@ -1,4 +1,4 @@
-/* Holders: the real scheduler, what it sends, and takeovers. */
+/* Leaders of the model: the real scheduler, its commands, and takeovers. */
 #include "model_state.h"
 
 #include <stdio.h>
@@ -81,7 +81,7 @@
     return NULL;
 }
 
-/* Sends the next batch to the store; the answer or the write may be lost. */
+/* Sends the next batch to the store; the write or its answer may get lost. */
 void
 flush(struct leader *leader)
 {
@@ -133,7 +133,7 @@
     return ((struct sim *)ctx)->now_ms;
 }
 
-/* True time plus a constant, so that no clock of the model starts at 0. */
+/* Model time plus a constant, so that no clock starts at 0. */
 int64_t
 sim_unix(void *ctx)
 {
--- a/tests/jobs/model_state.h
+++ b/tests/jobs/model_state.h
@@ -11,7 +11,7 @@
     BACKENDS = 4,
     JOBS = 5,
     SCHEDULE_MS = 33000,
-    /* Faults end here; what is left has to finish by the end. */
+    /* No faults after this time; all jobs have to finish by SCHEDULE_MS. */
     FAULTS_END_MS = 10000,
     LEADERSHIP_MS = 3000,
     LEASE_MAX_MS = 6000,
@@ -22,7 +22,16 @@
 
 struct sim;
 
-/** struct holder - a process with the duty, maybe without knowing its end */
+/**
+ * struct leader - a process that leads, or that has not noticed yet that it no
+ *                 longer does
+ * @token: its fencing token
+ * @valid_until_ms: end of its leadership
+ * @cut_from_store: it can't reach the store
+ * @cut_from: backend servers that it can't reach
+ * @storing: a batch is on its way to the store
+ * @killed: its process is gone
+ */
 struct leader {
     struct sim *sim;
     struct scheduler *sched;
@@ -34,6 +43,13 @@
     bool killed;
 };
 
+/**
+ * struct stored_job - a job's records in the store
+ * @value: record of the job; NULL before it is submitted
+ * @progress: record of its progress, or NULL
+ * @cancelled: its cancellation was accepted
+ * @cancel_stored_ms: when the cancellation was stored; 0: not yet
+ */
 struct stored_job {
     char id[JOB_ID_CHARS + 1];
     char *value;
@@ -43,6 +59,12 @@
     int64_t cancel_stored_ms;
 };
 
+/**
+ * enum message_kind - kind of a message
+ * @MESSAGE_REPORT_WAIT_END: a backend server's wait for a completion is over,
+ *                           so it answers the report request
+ * @MESSAGE_ANSWER: answer of a backend server, or the time-out of a call to it
+ */
 enum message_kind {
     MESSAGE_START,
     MESSAGE_STOP,
@@ -52,6 +74,17 @@
     MESSAGE_COMMIT,
 };
 
+/**
+ * struct message - a message on its way
+ * @at_ms: when it arrives
+ * @sequence: order of messages that arrive at the same time
+ * @leader: leader that sent it, or gets the answer
+ * @backend: index of the backend server
+ * @number: number of the run; of a report request its wait in ms
+ * @answer_lost: the answer to the command gets lost
+ * @answered_kind: of an answer, kind of the command
+ * @batch: changes to store, with the records of progress in @values
+ */
 struct message {
     int64_t at_ms;
     uint64_t sequence;
@@ -73,6 +106,14 @@
     GPtrArray *values;
 };
 
+/**
+ * struct sim - state of a schedule
+ * @messages: struct message by time of arrival
+ * @registered: ids of backend servers registered in the store
+ * @done_acked: tasks whose completion as done was acknowledged
+ * @leaders: struct leader, all that there were
+ * @current: the leader that the store knows
+ */
 struct sim {
     GRand *random;
     enum model_mutation mutation;
--- a/tests/jobs/model_test.c
+++ b/tests/jobs/model_test.c
@@ -1,6 +1,6 @@
 /*
- * Seeded schedules of take-over, orders, leases and storing. Arguments are
- * the number of schedules and the first seed; CI plays some.
+ * Seeded schedules of takeovers, commands, leases and storing. Arguments:
+ * number of schedules, first seed; CI runs a few.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,7 +10,8 @@
 
 enum {
     SCHEDULES = 400,
-    /* Schedules in which a missing mechanism has to show. */
+    /* A violation must show within this many schedules when a mechanism is
+     * switched off. */
     MUTATION_SCHEDULES = 600,
 };
 
@@ -36,7 +37,7 @@
             printf("seed %u: %u unfinished\n", seed, result.unfinished);
         }
     }
-    printf("%u schedules, %lu starts, %lu takeovers, %u broken, "
+    printf("%u schedules, %lu starts, %lu takeovers, %u violating, "
            "%u unfinished\n",
            schedules, (unsigned long)starts, (unsigned long)takeovers,
            n_violating, unfinished);
@@ -46,7 +47,7 @@
     CU_ASSERT(takeovers > schedules);
 }
 
-/* Each mechanism is missed by the model when it is taken away. */
+/* Without any one of the mechanisms the model finds a violation. */
 static void
 test_mutations(void)
 {
@@ -64,7 +65,7 @@
         }
         printf("%s: seed %u, %s\n",
                model_mutation_name((enum model_mutation)m), first,
-               violation == NULL ? "not noticed" : violation);
+               violation == NULL ? "not detected" : violation);
         CU_ASSERT(first > 0);
     }
 }
@@ -79,8 +80,8 @@
         first_seed = (uint32_t)strtoul(argv[2], NULL, 10);
     }
     static const struct suite_test tests[] = {
-        {"seeded schedules keep every promise", test_schedules},
-        {"the model notices each missing mechanism", test_mutations},
+        {"no seeded schedule violates an invariant", test_schedules},
+        {"the model detects each missing mechanism", test_mutations},
     };
     return suite_main("jobs model", tests, sizeof(tests) / sizeof(tests[0]));
 }
--- a/tests/jobs/pools_test.c
+++ b/tests/jobs/pools_test.c
@@ -1,4 +1,4 @@
-/* Hosts of pools under load and maintenance. */
+/* Hosts of pools under load and during maintenance. */
 #include <stdio.h>
 #include <string.h>
 
@@ -7,7 +7,8 @@
 
 #define JOB_A "00000000000000aa"
 
-/* A wave never takes more hosts than allowed, and is done at its end. */
+/* A maintenance wave makes no more hosts unavailable than allowed and is not
+ * reported done before its hosts were maintained. */
 static void
 test_wave_keeps_its_limit(void)
 {
@@ -41,8 +42,8 @@
     fixture_clear(&f);
 }
 
-/* A pool keeps as many hosts as a step has to be spread over, though their
- * processors are idle. */
+/* A pool keeps as many hosts as the anti-affinity of a step needs, even if
+ * their processors are idle. */
 static void
 test_spread_keeps_hosts(void)
 {
@@ -65,8 +66,8 @@
     fixture_clear(&f);
 }
 
-/* A peak: a pool that is asked for far more than it holds gets hosts from
- * the spare pool and from an idle one, at once. */
+/* At a peak beyond its capacity a pool gets hosts at once, from the spare pool
+ * and from an idle pool. */
 static void
 test_peak_brings_hosts(void)
 {
@@ -95,12 +96,12 @@
             CU_ASSERT(command->at_ms - peak_ms <= 150);
         }
     }
-    /* Both spare hosts and those that the idle pool does not keep. */
+    /* Both spare hosts and the hosts that the idle pool does not keep. */
     CU_ASSERT(to_p >= 4);
     fixture_clear(&f);
 }
 
-/* One large job now and then does not make a pool grow and shrink. */
+/* A single large job does not make a pool grow and shrink. */
 static void
 test_single_jobs_move_nothing(void)
 {
--- a/tests/jobs/scheduler_test.c
+++ b/tests/jobs/scheduler_test.c
@@ -1,4 +1,4 @@
-/* Single decisions of the scheduler, each the replay of a fault or a load. */
+/* Single decisions of the scheduler; each test replays a fault or a load. */
 #include <stdio.h>
 #include <string.h>
 
@@ -13,8 +13,9 @@
 static const char one_task[] =
     "[{\"count\":1,\"cpu\":1000,\"mem_mb\":100,\"estimate_ms\":500}]";
 
-/* A holder that lost the store counted failures that it could not store;
- * their ends are listed again to the next one, which has no run of its own. */
+/* A leader without the store counts failures that it can't store. Their
+ * completions are reported again to the next leader, which tracks no run of
+ * that task and has to count them all the same. */
 static void
 test_failures_reported_again(void)
 {
@@ -29,7 +30,7 @@
     };
     fixture_tick(&f, f.now_ms + 10);
     fixture_report(&f, "b1", NULL, 0, completions, 3);
-    /* Listed once more before the acknowledgement arrives. */
+    /* Reported once more before the acknowledgement arrives. */
     fixture_report(&f, "b1", NULL, 0, completions, 3);
     fixture_tick(&f, f.now_ms + 10);
     CU_ASSERT_EQUAL(job->state, JOB_FAILED);
@@ -37,7 +38,7 @@
     fixture_clear(&f);
 }
 
-/* A failure that was stored and is listed again counts once. */
+/* A failure that was stored and is reported again counts once. */
 static void
 test_failure_counts_once(void)
 {
@@ -57,8 +58,9 @@
     fixture_clear(&f);
 }
 
-/* A run that is being stopped stands in neither list of its backend server;
- * its task must not start elsewhere before the stop has surely ended it. */
+/* A run that is being stopped is neither among the runs nor among the
+ * completions of its backend server's report. Its task must not start
+ * elsewhere before the longest time of a stop is over. */
 static void
 test_stopping_run_is_waited_for(void)
 {
@@ -80,7 +82,7 @@
     fixture_report(&f, where, NULL, 0, NULL, 0);
     fixture_tick(&f, f.now_ms + 10);
     CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, NULL), 1);
-    /* A list that is asked for after the stop's time proves the absence. */
+    /* A report requested after that time proves that the run has ended. */
     fixture_tick(&f, f.now_ms + 700);
     fixture_report(&f, where, NULL, 0, NULL, 0);
     fixture_tick(&f, f.now_ms + 10);
@@ -90,8 +92,8 @@
     fixture_clear(&f);
 }
 
-/* A lasting task whose start got no answer is not stopped while a list may
- * still show it at work. */
+/* A service task whose start got no answer is not stopped while a run report
+ * may still show it running. */
 static void
 test_unanswered_start_of_service_task(void)
 {
@@ -116,7 +118,8 @@
     fixture_clear(&f);
 }
 
-/* After a takeover a host whose lists are unread is not taken for empty. */
+/* After a takeover a host is not taken for empty, and so not rebooted, before
+ * the run report of its backend server was read. */
 static void
 test_unread_host_is_not_empty(void)
 {
@@ -180,8 +183,8 @@
     fixture_clear(&f);
 }
 
-/* After a takeover a wave is not said to be complete before the list of hosts
- * was read, though backend servers name some. */
+/* After a takeover a wave is not reported complete before the list of hosts
+ * was read, even if backend servers name some of the hosts. */
 static void
 test_wave_needs_the_host_list(void)
 {
@@ -208,8 +211,8 @@
     fixture_clear(&f);
 }
 
-/* Overload: a job that can still meet its objective goes before one that is
- * late, and the smaller of two attainable ones first. */
+/* Under overload a job that can still meet its objective goes before a late
+ * one, and the smaller of two that can goes first. */
 static void
 test_job_order_under_overload(void)
 {
@@ -241,7 +244,7 @@
     fixture_clear(&f);
 }
 
-/* The limit of a client account holds over all pools. */
+/* The limit of a client account applies to all pools together. */
 static void
 test_team_limit_over_pools(void)
 {
@@ -261,7 +264,8 @@
     fixture_clear(&f);
 }
 
-/* Members of a gang start together or not at all, with one number. */
+/* The tasks of a gang start together, with the same run number, or not at
+ * all. */
 static void
 test_gang_starts_whole(void)
 {
@@ -281,7 +285,7 @@
     fixture_clear(&f);
 }
 
-/* Without validity nothing starts; afterwards it goes on. */
+/* Nothing starts while leadership is not valid; then the job goes on. */
 static void
 test_no_start_without_leadership(void)
 {
@@ -299,7 +303,7 @@
     fixture_clear(&f);
 }
 
-/* A server that drains and a data centre that is out get nothing. */
+/* A data centre that is out of service gets no new tasks. */
 static void
 test_out_of_service_data_centre(void)
 {
@@ -319,8 +323,9 @@
     fixture_clear(&f);
 }
 
-/* Many hosts see a vacancy: a weak one waits longer than any strong one, also
- * when it had waited for an earlier vacancy that another one took. */
+/* When many hosts see vacant leadership, a weak host waits longer than any
+ * strong one, also if it has waited before for a vacancy that another host
+ * filled. */
 static void
 test_weak_host_waits_each_time(void)
 {
@@ -343,8 +348,9 @@
     }
 }
 
-/* A cut holder has many calls under way through a peer that is cut as well;
- * their late failures do not take it away from the peer that serves. */
+/* A leader cut off from the store has many calls open through a peer that is
+ * cut off as well. Their late failures must not make it leave the next peer,
+ * which works. */
 static void
 test_late_failures_keep_the_peer(void)
 {
@@ -367,18 +373,21 @@
 main(void)
 {
     static const struct suite_test tests[] = {
-        {"failed ends listed again count", test_failures_reported_again},
+        {"failures reported again count", test_failures_reported_again},
         {"a stored failure counts once", test_failure_counts_once},
         {"a stopping run is waited for", test_stopping_run_is_waited_for},
-        {"an uncertain lasting run", test_unanswered_start_of_service_task},
-        {"an unread host is not empty", test_unread_host_is_not_empty},
-        {"a lingering entry is away", test_lingering_entry_is_unavailable},
+        {"an unanswered start of a service task",
+         test_unanswered_start_of_service_task},
+        {"a host without a report is not empty",
+         test_unread_host_is_not_empty},
+        {"a lingering entry is unavailable",
+         test_lingering_entry_is_unavailable},
         {"a wave needs the host list", test_wave_needs_the_host_list},
-        {"order under overload", test_job_order_under_overload},
-        {"a team's limit holds over pools", test_team_limit_over_pools},
+        {"job order under overload", test_job_order_under_overload},
+        {"a team's limit applies over pools", test_team_limit_over_pools},
         {"a gang starts whole", test_gang_starts_whole},
-        {"no start without validity", test_no_start_without_leadership},
-        {"draining and out", test_out_of_service_data_centre},
+        {"no start without leadership", test_no_start_without_leadership},
+        {"a data centre out of service", test_out_of_service_data_centre},
         {"a weak host waits each time", test_weak_host_waits_each_time},
         {"late failures keep the peer", test_late_failures_keep_the_peer},
     };
--- a/tests/jobs/throttle_test.c
+++ b/tests/jobs/throttle_test.c
@@ -1,4 +1,5 @@
-/* Filling tasks beside serving ones: replays of tails that change. */
+/* Best-effort tasks beside latency-sensitive ones; the tests replay tail
+ * latencies that change. */
 #include <stdio.h>
 #include <string.h>
 
@@ -12,20 +13,22 @@
 enum {
     STEP_MS = 50,
     SAMPLE_MS = 300,
-    /* A change of pace takes effect, then half a second is measured. */
+    /* A new CPU limit takes effect after this time; tail latency is measured
+     * over the window that follows. */
     EFFECT_MS = 100,
     WINDOW_MS = 500,
     TRACE_MS = 60000,
     TARGET_MS = 100,
-    /* Half of what the users allow on end. */
+    /* Half of the longest time that the tail latency may exceed its target
+     * without a break. */
     ABOVE_TARGET_MAX_MS = 2000,
 };
 
 /**
- * struct series - tails of a serving task
- * @alone_ms: its tail without filling tasks
- * @added_ms: what filling tasks at full speed add to it
- * @change_interval_ms: after how long both are drawn anew; 0: never
+ * struct latency_trace - tail latency of a latency-sensitive task
+ * @alone_ms: its tail latency without best-effort tasks
+ * @added_ms: what best-effort tasks without a CPU limit add to it
+ * @change_interval_ms: interval at which both are drawn anew; 0: never
  */
 struct latency_trace {
     double alone_ms;
@@ -33,7 +36,13 @@
     int64_t change_interval_ms;
 };
 
-/** struct replay - what came of a series */
+/**
+ * struct replay - result of a trace
+ * @above_target_ms: longest time above the target without a break, while
+ *                   best-effort tasks ran
+ * @mean_limit: mean CPU limit in percent
+ * @mean_ideal_limit: mean of the highest limit that meets the target
+ */
 struct replay {
     int64_t above_target_ms;
     double mean_limit;
@@ -104,8 +113,8 @@
     return replay;
 }
 
-/* Tails that change every few seconds: never long over the bound, and not at
- * the price of standing still. */
+/* Tail latencies that change every few seconds are never above the target for
+ * long, and the best-effort tasks still make progress. */
 static void
 test_changing_latencies(void)
 {
@@ -121,7 +130,8 @@
     }
 }
 
-/* Harmless neighbours get all their speed; hopeless ones none. */
+/* Best-effort tasks that hardly add latency run without a limit. They don't
+ * run where the target is missed even without them. */
 static void
 test_steady_latencies(void)
 {
@@ -136,8 +146,9 @@
     CU_ASSERT(overloaded.mean_limit < 10);
 }
 
-/* A filling task is slowed down when it comes to stand beside a serving one,
- * is not taken for stalled, and is let go when it stands alone. */
+/* A best-effort task beside a latency-sensitive one over its target is
+ * throttled, is not taken for stalled, and runs without a limit again once it
+ * is alone. */
 static void
 test_limit_is_applied(void)
 {
@@ -179,7 +190,7 @@
     CU_ASSERT_STRING_EQUAL(fixture_last(&f, COMMAND_THROTTLE)->task,
                            BEST_EFFORT_JOB ".0.0.0");
     CU_ASSERT_EQUAL(fixture_last(&f, COMMAND_THROTTLE)->number, 0);
-    /* Its progress has stood still for four seconds, by our order. */
+    /* It has made no progress for four seconds because of the limit. */
     CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_STOP, NULL), 0);
     struct run_completion completion = {.number = 1,
                                         .task = LATENCY_SENSITIVE_JOB ".0.0.0",
@@ -192,7 +203,7 @@
     fixture_clear(&f);
 }
 
-/* A new holder does not know the pace that it finds, and orders its own. */
+/* A new leader does not know the limits set before and sets its own. */
 static void
 test_limit_after_a_takeover(void)
 {
@@ -217,10 +228,11 @@
 main(void)
 {
     static const struct suite_test tests[] = {
-        {"changing tails", test_changing_latencies},
-        {"steady tails", test_steady_latencies},
-        {"the pace is carried out", test_limit_is_applied},
-        {"the pace after a takeover", test_limit_after_a_takeover},
+        {"changing tail latencies", test_changing_latencies},
+        {"steady tail latencies", test_steady_latencies},
+        {"the limit is applied", test_limit_is_applied},
+        {"the limit after a takeover", test_limit_after_a_takeover},
     };
-    return suite_main("jobs pace", tests, sizeof(tests) / sizeof(tests[0]));
+    return suite_main("jobs throttle", tests,
+                      sizeof(tests) / sizeof(tests[0]));
 }
