--- a/tests/standing/limit_property_test.c
+++ b/tests/standing/limit_property_test.c
@@ -1,3 +1,10 @@
+/*
+ * A team never runs more tasks than its limit, under random outages, lost and
+ * late messages, kills and pauses of gateways. Two gateways that both count a
+ * permit as theirs would break the limit. Switching off any one mechanism
+ * that prevents this has to give a violation, else the schedules are too mild
+ * to show anything.
+ */
 #include <inttypes.h>
 
 #include "../suite.h"
@@ -5,26 +12,26 @@
 
 enum {
     SCHEDULES = 1000,
-    /* Schedules within which a missing mechanism has to show. */
-    MUTATED_SCHEDULES = 1000,
+    /* A switched-off mechanism has to give a violation within so many. */
+    FAULT_SCHEDULES_MAX = 1000,
 };
 
 static struct model_result
-run_all(const char *what, uint64_t first_seed, uint64_t n_schedules,
-        uint32_t n_broken, unsigned faults)
+run_schedules(const char *label, uint64_t first_seed, uint64_t n_schedules,
+              uint32_t n_violated_max, unsigned faults)
 {
     struct model_result total = {0};
-    uint32_t broken = 0;
+    uint32_t n_violated = 0;
     uint64_t n_run = 0;
-    for (uint64_t seed = first_seed; n_run < n_schedules && broken < n_broken;
-         seed++) {
+    for (uint64_t seed = first_seed;
+         n_run < n_schedules && n_violated < n_violated_max; seed++) {
         struct model_result one = model_run(seed, faults);
-        if (one.violations > 0 && faults == MODEL_WHOLE) {
+        if (one.violations > 0 && faults == MODEL_FAULT_NONE) {
             printf("\n    seed %" PRIu64 ": %u violations", seed,
                    one.violations);
         }
         n_run++;
-        broken += one.violations > 0;
+        n_violated += one.violations > 0;
         total.violations += one.violations;
         total.starts += one.starts;
         total.outage_starts += one.outage_starts;
@@ -32,9 +39,9 @@
         total.reclaims += one.reclaims;
         total.joins += one.joins;
     }
-    printf("\n    %s: %u of %" PRIu64 " schedules broken, %u starts, %u in "
+    printf("\n    %s: %u of %" PRIu64 " schedules violated, %u starts, %u in "
            "outages (%u late), %u proposals to join, %u to remove ",
-           what, broken, n_run, total.starts, total.outage_starts,
+           label, n_violated, n_run, total.starts, total.outage_starts,
            total.late_outage_starts, total.joins, total.reclaims);
     return total;
 }
@@ -43,32 +50,38 @@
 test_limit_holds(void)
 {
     struct model_result all =
-        run_all("whole", 1, SCHEDULES, UINT32_MAX, MODEL_WHOLE);
+        run_schedules("no faults", 1, SCHEDULES, UINT32_MAX, MODEL_FAULT_NONE);
     CU_ASSERT_EQUAL(all.violations, 0);
-    /* A fleet that starts nothing would hold its limit, too. */
+    /* A fleet that starts nothing would also stay within its limit. */
     CU_ASSERT(all.starts > 50 * SCHEDULES);
     CU_ASSERT(all.late_outage_starts > 4 * SCHEDULES);
     CU_ASSERT(all.reclaims > SCHEDULES);
 }
 
 static void
-check_breaks(const char *what, uint64_t first_seed, unsigned faults)
+check_fault_found(const char *label, uint64_t first_seed, unsigned faults)
 {
     struct model_result all =
-        run_all(what, first_seed, MUTATED_SCHEDULES, 1, faults);
+        run_schedules(label, first_seed, FAULT_SCHEDULES_MAX, 1, faults);
     CU_ASSERT(all.violations > 0);
 }
 
 static void
 test_each_mechanism_is_needed(void)
 {
-    check_breaks("no wait for support and lease", 1, MODEL_NO_WAIT);
-    check_breaks("support whatever the epoch", 1, MODEL_ANY_EPOCH);
-    check_breaks("changes without a majority", 1, MODEL_NO_MAJORITY);
-    check_breaks("no age check", 1, MODEL_NO_AGE_CHECK);
-    check_breaks("holding used as read", 1, MODEL_HOLDING_AS_READ);
-    check_breaks("renewal record kept", 340, MODEL_BEAT_KEPT);
-    check_breaks("old limit after a pause", 490, MODEL_STALE_LIMIT);
+    check_fault_found("no wait for quorum and task leases", 1,
+                      MODEL_FAULT_NO_WAIT);
+    check_fault_found("leases granted whatever the epoch", 1,
+                      MODEL_FAULT_ANY_EPOCH);
+    check_fault_found("changes without a majority", 1,
+                      MODEL_FAULT_NO_MAJORITY);
+    check_fault_found("no check of the quorum lease", 1,
+                      MODEL_FAULT_NO_LEASE_CHECK);
+    check_fault_found("stored holding used as permits", 1,
+                      MODEL_FAULT_HOLDING_AS_STORED);
+    check_fault_found("renewal record not deleted", 340,
+                      MODEL_FAULT_RENEWAL_KEPT);
+    check_fault_found("old limit after a pause", 490, MODEL_FAULT_STALE_LIMIT);
 }
 
 int
--- a/tests/standing/link_fixture.h
+++ b/tests/standing/link_fixture.h
@@ -1,4 +1,4 @@
-/* Gateways' peer links within one test process. */
+/* Peer links between gateways within one test process. */
 #ifndef TESTS_STANDING_LINK_FIXTURE_H
 #define TESTS_STANDING_LINK_FIXTURE_H
 
@@ -7,11 +7,11 @@
 #include "egretd/peers.h"
 #include "wait.h"
 
-/** struct node - one end with what it was told */
+/** struct node - one gateway with counts of its link events */
 struct node {
     struct peers *peers;
     const char *incarnation;
-    uint32_t n_messages;
+    uint32_t n_heartbeats;
     uint32_t n_up;
     uint32_t n_down;
     char *replaced;
@@ -21,7 +21,7 @@
 node_message(void *ctx, const char *incarnation, const struct message *message)
 {
     struct node *node = ctx;
-    node->n_messages += message->type == MESSAGE_BEAT;
+    node->n_heartbeats += message->type == MESSAGE_BEAT;
 }
 
 static void
@@ -47,7 +47,7 @@
 
 static void
 node_start(struct node *node, const char *incarnation, const char *secret,
-           uint16_t port, int64_t silence_ms)
+           uint16_t port, int64_t idle_timeout_ms)
 {
     struct status status;
     status_clear(&status);
@@ -59,7 +59,7 @@
             .secret = secret,
             .incarnation = incarnation,
             .name = incarnation,
-            .idle_timeout_ms = silence_ms,
+            .idle_timeout_ms = idle_timeout_ms,
             .clock = ms_clock_system(),
             .handler = {.message = node_message,
                         .up = node_up,
@@ -78,10 +78,10 @@
     *node = (struct node){0};
 }
 
-/* Names @a and @b, reached at @port, as the two members. */
+/* Sets @a and @b as the two members of the fleet. */
 static void
-node_join(struct node *node, const char *a, uint16_t a_port, const char *b,
-          uint16_t b_port)
+node_set_members(struct node *node, const char *a, uint16_t a_port,
+                 const char *b, uint16_t b_port)
 {
     struct peer_address members[] = {{a, "127.0.0.1", a_port},
                                      {b, "127.0.0.1", b_port}};
@@ -89,7 +89,7 @@
 }
 
 static void
-node_beat(struct node *node)
+node_send_heartbeat(struct node *node)
 {
     peers_broadcast(node->peers, &(struct message){.type = MESSAGE_BEAT});
 }
--- a/tests/standing/model.c
+++ b/tests/standing/model.c
@@ -11,11 +11,11 @@
 };
 
 static void
-note_destroy(void *data)
+destroy_message(void *data)
 {
-    struct model_note *note = data;
-    members_record_destroy(note->record);
-    g_free(note);
+    struct model_message *message = data;
+    members_record_destroy(message->record);
+    g_free(message);
 }
 
 static void
@@ -31,7 +31,7 @@
 }
 
 static bool
-cut_at_border(struct model *model, int from, int to, unsigned group)
+cut_between_groups(struct model *model, int from, int to, unsigned group)
 {
     return (group >> from & 1) != (group >> to & 1);
 }
@@ -48,7 +48,7 @@
     return false;
 }
 
-/* The store is cut off from the gateways whose bit is set in @group. */
+/* Cuts the gateways whose bit is set in @group off from the store. */
 static void
 cut_store(struct model *model, unsigned group)
 {
@@ -70,20 +70,21 @@
     }
     else if (kind == 2) {
         cut_store(model, group);
-        cut_peers(model, cut_at_border, group);
+        cut_peers(model, cut_between_groups, group);
     }
     else if (kind == 3) {
         cut_store(model, group);
         cut_peers(model, cut_at_random, 0);
     }
     else if (kind == 4) {
-        /* Two see the store, three see one another. */
+        /* Two gateways reach the store, the other three only each other. */
         unsigned pair = 3U << random_below(&model->random, MODEL_NODES - 1);
         cut_store(model, all & ~pair);
-        cut_peers(model, cut_at_border, pair);
+        cut_peers(model, cut_between_groups, pair);
     }
     else if (kind == 5) {
-        /* One without the store is heard by two, unheard by two. */
+        /* One gateway without the store has links to only two of the four
+         * others. */
         int lone = (int)random_below(&model->random, MODEL_NODES);
         cut_store(model, 1U << lone);
         for (int i = 1; i <= 2; i++) {
@@ -96,7 +97,7 @@
 }
 
 static void
-stir(struct model *model, int step)
+inject_faults(struct model *model, int step)
 {
     if (model->faults_until_ms <= model->now_ms) {
         choose_faults(model);
@@ -141,31 +142,33 @@
 }
 
 static bool
-call_over(const struct model *model, const struct model_call *call)
+call_finished(const struct model *model, const struct model_call *call)
 {
     const struct model_node *node = &model->nodes[call->node];
-    bool heard = call->delivered || node->life != call->life;
-    return heard &&
+    bool outcome_known =
+        call->delivered || node->incarnation_id != call->incarnation_id;
+    return outcome_known &&
            (call->executed || call->refused || call->arrive_ms == INT64_MAX);
 }
 
 static void
-drop_finished(struct model *model)
+remove_finished(struct model *model)
 {
     for (guint i = model->calls->len; i > 0; i--) {
-        if (call_over(model, model->calls->pdata[i - 1])) {
+        if (call_finished(model, model->calls->pdata[i - 1])) {
             g_ptr_array_remove_index(model->calls, i - 1);
         }
     }
-    for (guint i = model->notes->len; i > 0; i--) {
-        struct model_note *note = model->notes->pdata[i - 1];
-        if (note->arrive_ms == INT64_MAX || !model->nodes[note->to].alive) {
-            g_ptr_array_remove_index(model->notes, i - 1);
+    for (guint i = model->messages->len; i > 0; i--) {
+        struct model_message *message = model->messages->pdata[i - 1];
+        if (message->arrive_ms == INT64_MAX ||
+            !model->nodes[message->to].alive) {
+            g_ptr_array_remove_index(model->messages, i - 1);
         }
     }
     for (guint i = model->tasks->len; i > 0; i--) {
-        if (g_array_index(model->tasks, struct model_task, i - 1).known_ms <=
-            model->now_ms) {
+        if (g_array_index(model->tasks, struct model_task, i - 1)
+                .end_known_ms <= model->now_ms) {
             g_array_remove_index(model->tasks, i - 1);
         }
     }
@@ -190,31 +193,32 @@
 start_task(struct model *model, int at)
 {
     struct model_node *node = &model->nodes[at];
-    bool fresh = model->now_ms < quorum_lease_expires_ms(node->freshness);
-    if ((model->faults & MODEL_NO_AGE_CHECK) != 0) {
-        fresh = members_self_live(node->members);
+    bool lease_held =
+        model->now_ms < quorum_lease_expires_ms(node->quorum_lease);
+    if ((model->faults & MODEL_FAULT_NO_LEASE_CHECK) != 0) {
+        lease_held = members_self_live(node->members);
     }
-    if (!fresh ||
+    if (!lease_held ||
         model_node_running(model, at) >= model_node_usable(model, at)) {
         return;
     }
     int64_t steps =
-        1 + random_below(&model->random, MODEL_LEASE_MS / MODEL_STEP_MS);
+        1 + random_below(&model->random, MODEL_TASK_LEASE_MS / MODEL_STEP_MS);
     struct model_task task = {
         .node = at,
-        .life = node->life,
+        .incarnation_id = node->incarnation_id,
         .end_ms = model->now_ms + steps * MODEL_STEP_MS,
-        .known_ms = model->now_ms + MODEL_LEASE_MS,
+        .end_known_ms = model->now_ms + MODEL_TASK_LEASE_MS,
     };
     if (!model_chance(model, 8)) {
-        task.known_ms =
+        task.end_known_ms =
             task.end_ms + MODEL_STEP_MS * random_below(&model->random, 3);
     }
     g_array_append_val(model->tasks, task);
     int64_t outage_ms = model->now_ms - model->outage_since_ms;
     model->result.starts++;
     model->result.outage_starts += outage_ms > 0;
-    model->result.late_outage_starts += outage_ms > 2 * MODEL_SUPPORT_MS;
+    model->result.late_outage_starts += outage_ms > 2 * MODEL_QUORUM_LEASE_MS;
     check_limit(model);
 }
 
@@ -231,7 +235,7 @@
     if (node->paused_until_ms > model->now_ms) {
         return;
     }
-    /* A process that wakes may start work before it does anything else. */
+    /* A process that resumes may start a task before anything else runs. */
     if (model_chance(model, 2)) {
         start_task(model, at);
     }
@@ -242,7 +246,7 @@
 }
 
 static void
-clear(struct model *model)
+clear_model(struct model *model)
 {
     for (int at = 0; at < MODEL_NODES; at++) {
         if (model->nodes[at].alive) {
@@ -250,7 +254,7 @@
         }
     }
     g_ptr_array_unref(model->calls);
-    g_ptr_array_unref(model->notes);
+    g_ptr_array_unref(model->messages);
     g_array_unref(model->tasks);
     model_store_clear(&model->store);
 }
@@ -263,21 +267,21 @@
         .faults = faults,
         .now_ms = MODEL_STEP_MS,
         .calls = g_ptr_array_new_with_free_func(model_call_destroy),
-        .notes = g_ptr_array_new_with_free_func(note_destroy),
+        .messages = g_ptr_array_new_with_free_func(destroy_message),
         .tasks = g_array_new(FALSE, FALSE, sizeof(struct model_task)),
         .limit = FIRST_LIMIT,
         .generation = 1,
-        .faults_until_ms = 2 * MODEL_SUPPORT_MS,
+        .faults_until_ms = 2 * MODEL_QUORUM_LEASE_MS,
     };
     for (int step = 0; step < STEPS; step++) {
-        stir(&model, step);
+        inject_faults(&model, step);
         execute_calls(&model);
         for (int at = 0; at < MODEL_NODES; at++) {
             step_node(&model, at);
         }
-        drop_finished(&model);
+        remove_finished(&model);
         model.now_ms += MODEL_STEP_MS;
     }
-    clear(&model);
+    clear_model(&model);
     return model.result;
 }
--- a/tests/standing/model.h
+++ b/tests/standing/model.h
@@ -1,26 +1,39 @@
-/* Random schedules of faults over the decisions of five gateways. */
+/* Simulates five gateways that share one team limit under random faults. */
 #ifndef TESTS_STANDING_MODEL_H
 #define TESTS_STANDING_MODEL_H
 
 #include <stdint.h>
 
-/** enum model_fault - mechanisms that a run does without */
+/**
+ * enum model_fault - safety mechanisms that a run switches off
+ * @MODEL_FAULT_NO_WAIT, @MODEL_FAULT_ANY_EPOCH, @MODEL_FAULT_NO_MAJORITY: the
+ *     same bits as in enum members_fault
+ * @MODEL_FAULT_NO_LEASE_CHECK: start while registered, quorum lease or not
+ * @MODEL_FAULT_HOLDING_AS_STORED: use the holding in the last record read,
+ *     also while a write that lowers it is under way
+ * @MODEL_FAULT_RENEWAL_KEPT: take the renewal record of a fenced gateway for
+ *     deleted without deleting it
+ * @MODEL_FAULT_STALE_LIMIT: start after a pause without asking for the
+ *     newest limit first
+ */
 enum model_fault {
-    MODEL_WHOLE = 0,
-    MODEL_NO_WAIT = 1 << 0,
-    MODEL_ANY_EPOCH = 1 << 1,
-    MODEL_NO_MAJORITY = 1 << 2,
-    MODEL_NO_AGE_CHECK = 1 << 3,
-    MODEL_HOLDING_AS_READ = 1 << 4,
-    MODEL_BEAT_KEPT = 1 << 5,
-    MODEL_STALE_LIMIT = 1 << 6,
+    MODEL_FAULT_NONE = 0,
+    MODEL_FAULT_NO_WAIT = 1 << 0,
+    MODEL_FAULT_ANY_EPOCH = 1 << 1,
+    MODEL_FAULT_NO_MAJORITY = 1 << 2,
+    MODEL_FAULT_NO_LEASE_CHECK = 1 << 3,
+    MODEL_FAULT_HOLDING_AS_STORED = 1 << 4,
+    MODEL_FAULT_RENEWAL_KEPT = 1 << 5,
+    MODEL_FAULT_STALE_LIMIT = 1 << 6,
 };
 
 /**
- * struct model_result - what one schedule showed
+ * struct model_result - counts of one schedule
  * @violations: starts that took the team over its limit
- * @starts: all starts; @outage_starts: those while nobody reached the store
- * @late_outage_starts: of these, more than a support period into the outage
+ * @starts: all starts
+ * @outage_starts: starts while no gateway reached the store
+ * @late_outage_starts: of these, those more than two quorum lease durations
+ *                      after the start of the outage
  * @joins: proposals to register
  * @reclaims: proposals to remove a gateway whose permits were all moved
  */
@@ -33,7 +46,7 @@
     uint32_t joins;
 };
 
-/** model_run() - one schedule; the same seed gives the same run. */
+/** model_run() - run one schedule; the same seed gives the same run. */
 struct model_result
 model_run(uint64_t seed, unsigned faults);
 
--- a/tests/standing/model_node.c
+++ b/tests/standing/model_node.c
@@ -19,13 +19,13 @@
     struct model_node *node = &model->nodes[at];
     *node = (struct model_node){
         .alive = true,
-        .life = ++model->lives,
+        .incarnation_id = ++model->n_incarnations,
         .limit = model->limit,
         .generation = model->generation,
-        .learn_ms = INT64_MAX,
+        .limit_known_ms = INT64_MAX,
     };
     g_snprintf(node->incarnation, MODEL_NAME_BYTES, "g%u-%u",
-               random_below(&model->random, 1000), node->life);
+               random_below(&model->random, 1000), node->incarnation_id);
     struct members_entry self = {
         .incarnation = node->incarnation,
         .name = node->incarnation,
@@ -36,11 +36,12 @@
     };
     node->members = members_create(&(struct members_options){
         .self = &self,
-        .quorum_lease_ms = MODEL_SUPPORT_MS,
-        .fence_after_ms = MODEL_SUPPORT_MS,
+        .quorum_lease_ms = MODEL_QUORUM_LEASE_MS,
+        .fence_after_ms = MODEL_QUORUM_LEASE_MS,
     });
     members_set_faults(node->members, model->faults & 7);
-    node->freshness = quorum_lease_create(node->incarnation, MODEL_SUPPORT_MS);
+    node->quorum_lease =
+        quorum_lease_create(node->incarnation, MODEL_QUORUM_LEASE_MS);
     node->permits = permits_create(node->incarnation);
     permits_set_limit(node->permits, node->limit, node->generation);
 }
@@ -50,7 +51,7 @@
 {
     struct model_node *node = &model->nodes[at];
     members_destroy(node->members);
-    quorum_lease_destroy(node->freshness);
+    quorum_lease_destroy(node->quorum_lease);
     permits_destroy(node->permits);
     *node = (struct model_node){
         .start_ms =
@@ -65,8 +66,8 @@
     int64_t now_ms = model->now_ms;
     call->kind = kind;
     call->node = at;
-    call->life = model->nodes[at].life;
-    call->asked_ms = now_ms;
+    call->incarnation_id = model->nodes[at].incarnation_id;
+    call->sent_ms = now_ms;
     call->timeout_ms = now_ms + TIMEOUT_MS;
     uint32_t slow = model_chance(model, 40) ? 60 : 2;
     call->arrive_ms =
@@ -84,74 +85,78 @@
     return call;
 }
 
-static struct model_note *
-send_note(struct model *model, int from, int to, enum model_note_kind kind)
+static struct model_message *
+send_message(struct model *model, int from, int to,
+             enum model_message_kind kind)
 {
     if (model->peer_cut[from][to] || model_chance(model, 50)) {
         return NULL;
     }
     struct model_node *node = &model->nodes[from];
-    struct model_note *note = g_new0(struct model_note, 1);
-    note->kind = kind;
-    note->from = from;
-    note->to = to;
-    g_strlcpy(note->sender, node->incarnation, MODEL_NAME_BYTES);
-    note->asked_ms = model->now_ms;
-    note->arrive_ms =
+    struct model_message *message = g_new0(struct model_message, 1);
+    message->kind = kind;
+    message->from = from;
+    message->to = to;
+    g_strlcpy(message->sender, node->incarnation, MODEL_NAME_BYTES);
+    message->sent_ms = model->now_ms;
+    message->arrive_ms =
         model->now_ms + MODEL_STEP_MS * random_below(&model->random, 2);
-    note->epoch = members_current(node->members)->epoch;
-    g_ptr_array_add(model->notes, note);
-    return note;
+    message->epoch = members_current(node->members)->epoch;
+    g_ptr_array_add(model->messages, message);
+    return message;
 }
 
 static void
-take_record(struct model *model, struct model_node *node,
-            const struct members_record *record)
+apply_record(struct model *model, struct model_node *node,
+             const struct members_record *record)
 {
     if (!members_update(node->members, record, model->now_ms)) {
         return;
     }
-    const char *voters[MODEL_BEATS_MAX];
+    const char *voters[MODEL_RENEWALS_MAX];
     size_t n_voters = 0;
     for (size_t i = 0; i < record->n_entries; i++) {
         if (record->entries[i].state != MEMBERS_FENCED) {
             voters[n_voters++] = record->entries[i].incarnation;
         }
     }
-    quorum_lease_set_voters(node->freshness, voters, n_voters);
+    quorum_lease_set_voters(node->quorum_lease, voters, n_voters);
 }
 
 static void
-take_note(struct model *model, struct model_note *note)
+handle_message(struct model *model, struct model_message *message)
 {
-    struct model_node *node = &model->nodes[note->to];
-    if (note->kind == NOTE_RECORD) {
-        take_record(model, node, note->record);
+    struct model_node *node = &model->nodes[message->to];
+    if (message->kind == MODEL_MEMBERS_RECORD) {
+        apply_record(model, node, message->record);
         return;
     }
-    if (note->kind == NOTE_WANT) {
-        permits_peer_request(node->permits, note->sender, 1);
+    if (message->kind == MODEL_PERMIT_REQUEST) {
+        permits_peer_request(node->permits, message->sender, 1);
         return;
     }
-    members_peer_seen(node->members, note->sender, note->epoch, model->now_ms);
-    if (note->kind == NOTE_ACK) {
-        if (note->supports) {
-            quorum_lease_granted(node->freshness, note->sender,
-                                 note->asked_ms);
+    members_peer_seen(node->members, message->sender, message->epoch,
+                      model->now_ms);
+    if (message->kind == MODEL_HEARTBEAT_ACK) {
+        if (message->grants_lease) {
+            quorum_lease_granted(node->quorum_lease, message->sender,
+                                 message->sent_ms);
         }
         return;
     }
-    struct model_note *ack = send_note(model, note->to, note->from, NOTE_ACK);
+    struct model_message *ack =
+        send_message(model, message->to, message->from, MODEL_HEARTBEAT_ACK);
     if (ack != NULL) {
-        ack->asked_ms = note->asked_ms;
-        ack->supports =
-            members_grants_lease(node->members, note->sender, note->epoch);
+        ack->sent_ms = message->sent_ms;
+        ack->grants_lease = members_grants_lease(
+            node->members, message->sender, message->epoch);
     }
     const struct members_record *record = members_current(node->members);
-    /* Mostly lost: then support must end without the peer being told. */
-    if (note->epoch < record->epoch && model_chance(model, 4)) {
-        struct model_note *push =
-            send_note(model, note->to, note->from, NOTE_RECORD);
+    /* Mostly lost: lease grants must end even if the peer never learns the
+     * newer epoch. */
+    if (message->epoch < record->epoch && model_chance(model, 4)) {
+        struct model_message *push = send_message(
+            model, message->to, message->from, MODEL_MEMBERS_RECORD);
         if (push != NULL) {
             push->record = members_record_copy(record);
         }
@@ -159,8 +164,8 @@
 }
 
 static void
-take_members(struct model *model, struct model_node *node,
-             struct model_call *call)
+handle_members(struct model *model, struct model_node *node,
+               struct model_call *call)
 {
     node->members_busy = false;
     if (call->answer >= ANSWER_NOT_SENT) {
@@ -170,59 +175,59 @@
     if (call->members != NULL && call->version > node->record_version) {
         node->record_version = call->version;
         node->record_epoch = call->members->epoch;
-        take_record(model, node, call->members);
+        apply_record(model, node, call->members);
     }
 }
 
 static void
-take_beat(struct model_node *node, struct model_call *call)
+handle_renewal(struct model_node *node, struct model_call *call)
 {
-    node->beat_busy = false;
+    node->renewal_busy = false;
     if (call->answer == ANSWER_OK) {
         node->created = true;
-        node->beat_version = call->version;
-        quorum_lease_renewed(node->freshness, call->asked_ms);
+        node->renewal_version = call->version;
+        quorum_lease_renewed(node->quorum_lease, call->sent_ms);
     }
     else if (call->answer == ANSWER_CONFLICT && call->version == 0) {
         node->fenced = true;
     }
     else if (call->answer == ANSWER_CONFLICT) {
         node->created = true;
-        node->beat_version = call->version;
+        node->renewal_version = call->version;
     }
 }
 
 static void
-take_beats(struct model *model, struct model_node *node,
-           struct model_call *call)
+handle_renewals(struct model *model, struct model_node *node,
+                struct model_call *call)
 {
-    node->beats_busy = false;
+    node->renewal_reads_busy = false;
     if (call->answer != ANSWER_OK) {
         return;
     }
     const struct members_record *record = members_current(node->members);
     for (size_t i = 0; i < record->n_entries; i++) {
         uint64_t version = 0;
-        for (size_t b = 0; b < call->n_beats; b++) {
-            if (strcmp(call->beats[b].incarnation,
+        for (size_t b = 0; b < call->n_renewals; b++) {
+            if (strcmp(call->renewals[b].incarnation,
                        record->entries[i].incarnation) == 0) {
-                version = call->beats[b].version;
+                version = call->renewals[b].version;
             }
         }
         members_renewal_read(node->members, record->entries[i].incarnation,
-                             version, MODEL_LEASE_MS, call->asked_ms,
+                             version, MODEL_TASK_LEASE_MS, call->sent_ms,
                              model->now_ms);
     }
 }
 
 static void
-note_reclaimed(struct model *model, struct model_node *node)
+mark_reclaimed(struct model *model, struct model_node *node)
 {
     const struct members_record *record = members_current(node->members);
     for (size_t i = 0; i < record->n_entries; i++) {
         const char *incarnation = record->entries[i].incarnation;
-        if (members_reclaimable(node->members, incarnation, MODEL_LEASE_MS,
-                                model->now_ms) &&
+        if (members_reclaimable(node->members, incarnation,
+                                MODEL_TASK_LEASE_MS, model->now_ms) &&
             !permits_incarnation_holds(node->permits, incarnation)) {
             members_reclaimed(node->members, incarnation);
         }
@@ -230,8 +235,8 @@
 }
 
 static void
-take_permits(struct model *model, struct model_node *node,
-             struct model_call *call)
+handle_permits(struct model *model, struct model_node *node,
+               struct model_call *call)
 {
     static const enum permits_write_result answers[] = {
         [ANSWER_OK] = PERMITS_WRITTEN,
@@ -245,35 +250,35 @@
     }
     if (call->answer < ANSWER_NOT_SENT) {
         permits_read(node->permits, call->permits, call->version);
-        note_reclaimed(model, node);
+        mark_reclaimed(model, node);
     }
 }
 
 static void
-take_answer(struct model *model, struct model_call *call)
+handle_answer(struct model *model, struct model_call *call)
 {
     struct model_node *node = &model->nodes[call->node];
     switch (call->kind) {
     case CALL_MEMBERS_READ:
     case CALL_MEMBERS_CAS:
-        take_members(model, node, call);
+        handle_members(model, node, call);
         break;
-    case CALL_BEAT_CAS:
-        take_beat(node, call);
+    case CALL_RENEWAL_CAS:
+        handle_renewal(node, call);
         break;
-    case CALL_BEAT_DELETE:
+    case CALL_RENEWAL_DELETE:
         node->members_busy = false;
         if (call->answer == ANSWER_OK) {
             members_renewal_read(node->members, call->incarnation, 0, 0,
-                                 call->asked_ms, model->now_ms);
+                                 call->sent_ms, model->now_ms);
         }
         break;
-    case CALL_BEATS_READ:
-        take_beats(model, node, call);
+    case CALL_RENEWALS_READ:
+        handle_renewals(model, node, call);
         break;
     case CALL_PERMITS_READ:
     case CALL_PERMITS_CAS:
-        take_permits(model, node, call);
+        handle_permits(model, node, call);
         break;
     }
 }
@@ -297,8 +302,8 @@
     struct model_node *node = &model->nodes[at];
     for (guint i = 0; i < model->calls->len; i++) {
         struct model_call *call = model->calls->pdata[i];
-        if (call->node != at || call->life != node->life || call->delivered ||
-            !is_due(model, call)) {
+        if (call->node != at || call->incarnation_id != node->incarnation_id ||
+            call->delivered || !is_due(model, call)) {
             continue;
         }
         call->delivered = true;
@@ -306,20 +311,21 @@
                     (!call->executed || call->answer_ms > call->timeout_ms);
         enum model_answer answer = call->answer;
         call->answer = late ? ANSWER_UNKNOWN : answer;
-        take_answer(model, call);
+        handle_answer(model, call);
     }
-    for (guint i = 0; i < model->notes->len; i++) {
-        struct model_note *note = model->notes->pdata[i];
-        if (note->to == at && note->arrive_ms <= model->now_ms) {
-            note->arrive_ms = INT64_MAX;
-            take_note(model, note);
+    for (guint i = 0; i < model->messages->len; i++) {
+        struct model_message *message = model->messages->pdata[i];
+        if (message->to == at && message->arrive_ms <= model->now_ms) {
+            message->arrive_ms = INT64_MAX;
+            handle_message(model, message);
         }
     }
 }
 
-/* Whoever answers at the address of a member that has ended proves it. */
+/* Another incarnation at the address of a member proves that the member's
+ * process has ended. */
 static void
-see_replaced(struct model *model, int at)
+detect_replaced(struct model *model, int at)
 {
     struct model_node *node = &model->nodes[at];
     const struct members_record *record = members_current(node->members);
@@ -353,14 +359,14 @@
     else if (node->created &&
              members_next(node->members, model->now_ms, &action)) {
         bool clear = action.step == MEMBERS_DELETE_RENEWAL;
-        if (clear && (model->faults & MODEL_BEAT_KEPT) != 0) {
+        if (clear && (model->faults & MODEL_FAULT_RENEWAL_KEPT) != 0) {
             members_renewal_read(node->members, action.incarnation, 0, 0,
                                  model->now_ms, model->now_ms);
             return;
         }
         node->members_busy = true;
-        struct model_call *call =
-            call_store(model, at, clear ? CALL_BEAT_DELETE : CALL_MEMBERS_CAS);
+        struct model_call *call = call_store(
+            model, at, clear ? CALL_RENEWAL_DELETE : CALL_MEMBERS_CAS);
         g_strlcpy(call->incarnation, action.incarnation, MODEL_NAME_BYTES);
         call->version = clear ? action.version : node->record_version;
         call->members = clear ? NULL : members_record_copy(action.proposal);
@@ -369,7 +375,7 @@
     }
 }
 
-/** struct fleet_ctx - what reclaimable needs */
+/** struct fleet_ctx - context of the callbacks of struct permits_fleet */
 struct fleet_ctx {
     struct model_node *node;
     int64_t now_ms;
@@ -389,7 +395,7 @@
 {
     struct fleet_ctx *fleet = ctx;
     return members_reclaimable(fleet->node->members, incarnation,
-                               MODEL_LEASE_MS, fleet->now_ms);
+                               MODEL_TASK_LEASE_MS, fleet->now_ms);
 }
 
 static void
@@ -422,46 +428,47 @@
     }
     else if (permits_shortage(node->permits, &fleet) > 0 ||
              model_chance(model, 10)) {
-        send_note(model, at, (int)random_below(&model->random, MODEL_NODES),
-                  NOTE_WANT);
+        send_message(model, at, (int)random_below(&model->random, MODEL_NODES),
+                     MODEL_PERMIT_REQUEST);
         permits_refresh(node->permits);
     }
 }
 
 static void
-renew(struct model *model, int at)
+renew_lease(struct model *model, int at)
 {
     struct model_node *node = &model->nodes[at];
-    if (!node->beat_busy) {
-        node->beat_busy = true;
-        struct model_call *call = call_store(model, at, CALL_BEAT_CAS);
+    if (!node->renewal_busy) {
+        node->renewal_busy = true;
+        struct model_call *call = call_store(model, at, CALL_RENEWAL_CAS);
         g_strlcpy(call->incarnation, node->incarnation, MODEL_NAME_BYTES);
-        call->version = node->beat_version;
+        call->version = node->renewal_version;
     }
-    if (!node->beats_busy &&
+    if (!node->renewal_reads_busy &&
         members_renewal_reads_due(node->members, model->now_ms)) {
-        node->beats_busy = true;
-        call_store(model, at, CALL_BEATS_READ);
+        node->renewal_reads_busy = true;
+        call_store(model, at, CALL_RENEWALS_READ);
     }
 }
 
 static void
-learn_limit(struct model *model, struct model_node *node)
+update_limit(struct model *model, struct model_node *node)
 {
     if (node->generation == model->generation) {
         return;
     }
-    /* A process that wakes asks for the generation before it takes work. */
+    /* After a pause a gateway asks for the newest generation before it starts
+     * tasks. */
     if (node->paused_until_ms == model->now_ms &&
-        (model->faults & MODEL_STALE_LIMIT) == 0) {
-        node->learn_ms = model->now_ms;
+        (model->faults & MODEL_FAULT_STALE_LIMIT) == 0) {
+        node->limit_known_ms = model->now_ms;
     }
-    if (node->learn_ms == INT64_MAX) {
-        node->learn_ms =
+    if (node->limit_known_ms == INT64_MAX) {
+        node->limit_known_ms =
             model->now_ms + MODEL_STEP_MS * random_below(&model->random, 6);
     }
-    if (node->learn_ms <= model->now_ms) {
-        node->learn_ms = INT64_MAX;
+    if (node->limit_known_ms <= model->now_ms) {
+        node->limit_known_ms = INT64_MAX;
         node->limit = model->limit;
         node->generation = model->generation;
         permits_set_limit(node->permits, node->limit, node->generation);
@@ -469,13 +476,13 @@
 }
 
 static void
-send_beats(struct model *model, int at)
+send_heartbeats(struct model *model, int at)
 {
     struct model_node *node = &model->nodes[at];
-    quorum_lease_granted(node->freshness, node->incarnation, model->now_ms);
+    quorum_lease_granted(node->quorum_lease, node->incarnation, model->now_ms);
     for (int to = 0; to < MODEL_NODES; to++) {
         if (to != at) {
-            send_note(model, at, to, NOTE_BEAT);
+            send_message(model, at, to, MODEL_HEARTBEAT);
         }
     }
 }
@@ -484,16 +491,16 @@
 model_node_step(struct model *model, int at)
 {
     struct model_node *node = &model->nodes[at];
-    learn_limit(model, node);
+    update_limit(model, node);
     deliver(model, at);
     if (members_self_fenced(node->members) || node->fenced) {
         model_node_kill(model, at);
         return;
     }
-    see_replaced(model, at);
+    detect_replaced(model, at);
     if ((model->now_ms / MODEL_STEP_MS + at) % HEARTBEAT_STEPS == 0) {
-        send_beats(model, at);
-        renew(model, at);
+        send_heartbeats(model, at);
+        renew_lease(model, at);
     }
     write_members(model, at);
     write_permits(model, at);
@@ -506,8 +513,9 @@
     for (guint i = 0; i < model->tasks->len; i++) {
         const struct model_task *task =
             &g_array_index(model->tasks, struct model_task, i);
-        running += task->node == at && task->life == model->nodes[at].life &&
-                   task->known_ms > model->now_ms;
+        running += task->node == at &&
+                   task->incarnation_id == model->nodes[at].incarnation_id &&
+                   task->end_known_ms > model->now_ms;
     }
     return running;
 }
@@ -517,7 +525,8 @@
 {
     const struct model_node *node = &model->nodes[at];
     const struct permits_record *record = permits_record(node->permits);
-    if ((model->faults & MODEL_HOLDING_AS_READ) != 0 && record != NULL) {
+    if ((model->faults & MODEL_FAULT_HOLDING_AS_STORED) != 0 &&
+        record != NULL) {
         return permits_record_held(record, node->incarnation);
     }
     return permits_usable(node->permits);
--- a/tests/standing/model_store.c
+++ b/tests/standing/model_store.c
@@ -2,12 +2,12 @@
 
 #include <string.h>
 
-static struct model_beat *
-find_beat(struct model_store *store, const char *incarnation)
+static struct model_renewal *
+find_renewal(struct model_store *store, const char *incarnation)
 {
-    for (size_t i = 0; i < store->n_beats; i++) {
-        if (strcmp(store->beats[i].incarnation, incarnation) == 0) {
-            return &store->beats[i];
+    for (size_t i = 0; i < store->n_renewals; i++) {
+        if (strcmp(store->renewals[i].incarnation, incarnation) == 0) {
+            return &store->renewals[i];
         }
     }
     return NULL;
@@ -52,23 +52,23 @@
 }
 
 static void
-execute_beat(struct model_store *store, struct model_call *call)
+execute_renewal(struct model_store *store, struct model_call *call)
 {
-    struct model_beat *beat = find_beat(store, call->incarnation);
-    if (!check_version(call, beat == NULL ? 0 : beat->version)) {
-        call->version = beat == NULL ? 0 : beat->version;
+    struct model_renewal *renewal = find_renewal(store, call->incarnation);
+    if (!check_version(call, renewal == NULL ? 0 : renewal->version)) {
+        call->version = renewal == NULL ? 0 : renewal->version;
         return;
     }
-    if (call->kind == CALL_BEAT_DELETE && beat != NULL) {
-        *beat = store->beats[--store->n_beats];
+    if (call->kind == CALL_RENEWAL_DELETE && renewal != NULL) {
+        *renewal = store->renewals[--store->n_renewals];
         return;
     }
-    if (beat == NULL && store->n_beats < MODEL_BEATS_MAX) {
-        beat = &store->beats[store->n_beats++];
-        g_strlcpy(beat->incarnation, call->incarnation, MODEL_NAME_BYTES);
+    if (renewal == NULL && store->n_renewals < MODEL_RENEWALS_MAX) {
+        renewal = &store->renewals[store->n_renewals++];
+        g_strlcpy(renewal->incarnation, call->incarnation, MODEL_NAME_BYTES);
     }
-    beat->version = ++store->index;
-    call->version = beat->version;
+    renewal->version = ++store->index;
+    call->version = renewal->version;
 }
 
 void
@@ -85,13 +85,13 @@
     case CALL_PERMITS_CAS:
         execute_permits(store, call);
         break;
-    case CALL_BEAT_CAS:
-    case CALL_BEAT_DELETE:
-        execute_beat(store, call);
+    case CALL_RENEWAL_CAS:
+    case CALL_RENEWAL_DELETE:
+        execute_renewal(store, call);
         break;
-    case CALL_BEATS_READ:
-        memcpy(call->beats, store->beats, sizeof(store->beats));
-        call->n_beats = store->n_beats;
+    case CALL_RENEWALS_READ:
+        memcpy(call->renewals, store->renewals, sizeof(store->renewals));
+        call->n_renewals = store->n_renewals;
         break;
     }
 }
--- a/tests/standing/model_store.h
+++ b/tests/standing/model_store.h
@@ -1,4 +1,4 @@
-/* The key-value service of the fleet model: late, lost and repeated calls. */
+/* The key-value store of the model: calls may be late or lost. */
 #ifndef TESTS_STANDING_MODEL_STORE_H
 #define TESTS_STANDING_MODEL_STORE_H
 
@@ -9,15 +9,15 @@
 
 enum {
     MODEL_NAME_BYTES = 16,
-    MODEL_BEATS_MAX = 64,
+    MODEL_RENEWALS_MAX = 64,
 };
 
 enum model_call_kind {
     CALL_MEMBERS_READ,
     CALL_MEMBERS_CAS,
-    CALL_BEAT_CAS,
-    CALL_BEAT_DELETE,
-    CALL_BEATS_READ,
+    CALL_RENEWAL_CAS,
+    CALL_RENEWAL_DELETE,
+    CALL_RENEWALS_READ,
     CALL_PERMITS_READ,
     CALL_PERMITS_CAS,
 };
@@ -29,23 +29,25 @@
     ANSWER_UNKNOWN,
 };
 
-struct model_beat {
+struct model_renewal {
     char incarnation[MODEL_NAME_BYTES];
     uint64_t version;
 };
 
 /**
- * struct model_call - one call under way
- * @life: which incarnation of @node asked
- * @arrive_ms, @answer_ms: INT64_MAX when lost
+ * struct model_call - one call to the store
+ * @incarnation_id: incarnation of @node that sent it
+ * @arrive_ms, @answer_ms: when it reaches the store and when its answer
+ *                         arrives; INT64_MAX when lost
  * @timeout_ms: when the node gives up; the call may take effect later
- * @version: asked for, then found or made
+ * @refused: the connection failed, so the call never takes effect
+ * @version: expected version; in the answer, the present one
  */
 struct model_call {
     enum model_call_kind kind;
     int node;
-    uint32_t life;
-    int64_t asked_ms;
+    uint32_t incarnation_id;
+    int64_t sent_ms;
     int64_t arrive_ms;
     int64_t answer_ms;
     int64_t timeout_ms;
@@ -57,8 +59,8 @@
     char incarnation[MODEL_NAME_BYTES];
     struct members_record *members;
     struct permits_record *permits;
-    struct model_beat beats[MODEL_BEATS_MAX];
-    size_t n_beats;
+    struct model_renewal renewals[MODEL_RENEWALS_MAX];
+    size_t n_renewals;
 };
 
 struct model_store {
@@ -67,11 +69,11 @@
     uint64_t members_version;
     struct permits_record *permits;
     uint64_t permits_version;
-    struct model_beat beats[MODEL_BEATS_MAX];
-    size_t n_beats;
+    struct model_renewal renewals[MODEL_RENEWALS_MAX];
+    size_t n_renewals;
 };
 
-/** model_store_execute() - let a call take effect. */
+/** model_store_execute() - apply a call and fill in its answer. */
 void
 model_store_execute(struct model_store *store, struct model_call *call);
 
--- a/tests/standing/peers_test.c
+++ b/tests/standing/peers_test.c
@@ -1,10 +1,15 @@
+/*
+ * Links between two gateways: each pair keeps exactly one link, a peer without
+ * the secret or with invalid input gets none, and a link that stops passing
+ * frames without being closed is replaced.
+ */
 #include <string.h>
 
 #include "../suite.h"
 #include "link_fixture.h"
 
 enum {
-    SILENCE_MS = 400,
+    IDLE_TIMEOUT_MS = 400,
 };
 
 static struct node low;
@@ -18,18 +23,18 @@
 }
 
 static void
-join_both(uint16_t high_port)
+set_members_of_both(uint16_t high_port)
 {
     uint16_t low_port = peers_port(low.peers);
-    node_join(&low, "a", low_port, "b", high_port);
-    node_join(&high, "a", low_port, "b", high_port);
+    node_set_members(&low, "a", low_port, "b", high_port);
+    node_set_members(&high, "a", low_port, "b", high_port);
 }
 
 static void
 start_both(const char *low_secret, const char *high_secret)
 {
-    node_start(&low, "a", low_secret, 0, SILENCE_MS);
-    node_start(&high, "b", high_secret, 0, SILENCE_MS);
+    node_start(&low, "a", low_secret, 0, IDLE_TIMEOUT_MS);
+    node_start(&high, "b", high_secret, 0, IDLE_TIMEOUT_MS);
 }
 
 static void
@@ -40,20 +45,20 @@
 }
 
 static bool
-beat_arrived(void *ctx)
+heartbeats_arrived(void *ctx)
 {
-    return high.n_messages > 0 && low.n_messages > 0;
+    return high.n_heartbeats > 0 && low.n_heartbeats > 0;
 }
 
 static void
 test_one_link_for_a_pair(void)
 {
     start_both("secret", "secret");
-    join_both(peers_port(high.peers));
+    set_members_of_both(peers_port(high.peers));
     CU_ASSERT(wait_until(both_linked, NULL));
-    node_beat(&low);
-    node_beat(&high);
-    CU_ASSERT(wait_until(beat_arrived, NULL));
+    node_send_heartbeat(&low);
+    node_send_heartbeat(&high);
+    CU_ASSERT(wait_until(heartbeats_arrived, NULL));
     CU_ASSERT_EQUAL(low.n_up, 1);
     CU_ASSERT_EQUAL(high.n_up, 1);
     CU_ASSERT_EQUAL(peers_get_stats(low.peers).rejected, 0);
@@ -71,7 +76,7 @@
 test_wrong_secret(void)
 {
     start_both("secret", "other");
-    join_both(peers_port(high.peers));
+    set_members_of_both(peers_port(high.peers));
     CU_ASSERT(wait_until(high_rejected, GUINT_TO_POINTER(2)));
     CU_ASSERT_EQUAL(low.n_up + high.n_up, 0);
     stop_both();
@@ -92,7 +97,7 @@
 }
 
 static void
-test_junk_on_the_port(void)
+test_invalid_input_on_the_port(void)
 {
     static const uint8_t oversized[] = {0x00, 0x00, 0x02, 0x01, 0x93};
     static const uint8_t huge[] = {0xff, 0xff, 0xff, 0xff};
@@ -100,7 +105,7 @@
     static const uint8_t proof_first[] = {0, 0, 0, 4, 0x93, 1, 2, 0xc0};
     static const char http[] = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
     start_both("secret", "secret");
-    join_both(peers_port(high.peers));
+    set_members_of_both(peers_port(high.peers));
     CU_ASSERT(wait_until(both_linked, NULL));
     send_raw(oversized, sizeof(oversized));
     send_raw(huge, sizeof(huge));
@@ -109,14 +114,14 @@
     send_raw(http, strlen(http));
     send_raw("", 0);
     CU_ASSERT(wait_until(high_rejected, GUINT_TO_POINTER(6)));
-    node_beat(&low);
-    node_beat(&high);
-    CU_ASSERT(wait_until(beat_arrived, NULL));
+    node_send_heartbeat(&low);
+    node_send_heartbeat(&high);
+    CU_ASSERT(wait_until(heartbeats_arrived, NULL));
     CU_ASSERT_EQUAL(high.n_up, 1);
     stop_both();
 }
 
-/** struct relay - passes connections on until it falls silent */
+/** struct relay - forwards connections until it is told to stop */
 struct relay {
     GSocketService *service;
     GPtrArray *connections;
@@ -159,9 +164,9 @@
                      relay);
 }
 
-/* What is connected stays open and passes nothing on any more. */
+/* Present connections stay open but forward nothing any more. */
 static void
-relay_silence(struct relay *relay)
+relay_stop_forwarding(struct relay *relay)
 {
     g_cancellable_cancel(relay->cancellable);
     g_object_unref(relay->cancellable);
@@ -174,58 +179,59 @@
     g_socket_service_stop(relay->service);
     g_socket_listener_close(G_SOCKET_LISTENER(relay->service));
     g_object_unref(relay->service);
-    relay_silence(relay);
+    relay_stop_forwarding(relay);
     g_main_context_iteration(NULL, FALSE);
     g_ptr_array_unref(relay->connections);
     g_object_unref(relay->cancellable);
 }
 
 static gboolean
-beat_both(void *ctx)
+send_heartbeats(void *ctx)
 {
-    node_beat(&low);
-    node_beat(&high);
+    node_send_heartbeat(&low);
+    node_send_heartbeat(&high);
     return G_SOURCE_CONTINUE;
 }
 
 static bool
-linked_again(void *ctx)
+link_replaced(void *ctx)
 {
     return low.n_down >= 1 && low.n_up >= 2 && both_linked(NULL);
 }
 
 static void
-test_silent_link_is_made_anew(void)
+test_idle_link_is_replaced(void)
 {
     struct relay relay;
     start_both("secret", "secret");
     relay_start(&relay, peers_port(high.peers));
-    join_both(relay.port);
-    guint beats = g_timeout_add(SILENCE_MS / 8, beat_both, NULL);
+    set_members_of_both(relay.port);
+    guint heartbeat_timer =
+        g_timeout_add(IDLE_TIMEOUT_MS / 8, send_heartbeats, NULL);
     CU_ASSERT(wait_until(both_linked, NULL));
-    relay_silence(&relay);
-    CU_ASSERT(wait_until(linked_again, NULL));
-    g_source_remove(beats);
+    relay_stop_forwarding(&relay);
+    CU_ASSERT(wait_until(link_replaced, NULL));
+    g_source_remove(heartbeat_timer);
     stop_both();
     relay_stop(&relay);
 }
 
 static bool
-told_replaced(void *ctx)
+replacement_reported(void *ctx)
 {
     return low.replaced != NULL;
 }
 
 static void
-test_replaced_process_is_told(void)
+test_replaced_process_is_reported(void)
 {
     start_both("secret", "secret");
     uint16_t port = peers_port(high.peers);
-    join_both(port);
+    set_members_of_both(port);
     CU_ASSERT(wait_until(both_linked, NULL));
     node_stop(&high);
-    node_start(&high, "c", "secret", port, SILENCE_MS);
-    CU_ASSERT(wait_until(told_replaced, NULL));
+    node_start(&high, "c", "secret", port, IDLE_TIMEOUT_MS);
+    CU_ASSERT(wait_until(replacement_reported, NULL));
     CU_ASSERT_STRING_EQUAL(low.replaced, "b");
     stop_both();
 }
@@ -236,9 +242,9 @@
     static const struct suite_test tests[] = {
         {"one link for a pair", test_one_link_for_a_pair},
         {"wrong secret", test_wrong_secret},
-        {"junk on the port", test_junk_on_the_port},
-        {"silent link is made anew", test_silent_link_is_made_anew},
-        {"replaced process is told", test_replaced_process_is_told},
+        {"invalid input on the port", test_invalid_input_on_the_port},
+        {"idle link is replaced", test_idle_link_is_replaced},
+        {"replaced process is reported", test_replaced_process_is_reported},
     };
     return suite_main("peers", tests, G_N_ELEMENTS(tests));
 }
--- a/tests/standing/wait.h
+++ b/tests/standing/wait.h
@@ -1,4 +1,4 @@
-/* Runs the main loop until something holds. */
+/* Runs the main loop until a condition is met. */
 #ifndef TESTS_STANDING_WAIT_H
 #define TESTS_STANDING_WAIT_H
 
@@ -12,25 +12,25 @@
 };
 
 static gboolean
-wake(void *ctx)
+on_wake_up(void *ctx)
 {
     return G_SOURCE_CONTINUE;
 }
 
-/* Runs the loop until @holds; false when it takes too long. */
+/* Runs the loop until @is_met returns true; false after WAIT_MAX_MS. */
 static bool
-wait_until(bool (*holds)(void *ctx), void *ctx)
+wait_until(bool (*is_met)(void *ctx), void *ctx)
 {
     struct ms_clock clock = ms_clock_system();
     int64_t end_ms = ms_clock_now(&clock) + WAIT_MAX_MS;
-    guint timer = g_timeout_add(5, wake, NULL);
-    bool good = holds(ctx);
-    while (!good && ms_clock_now(&clock) < end_ms) {
+    guint timer = g_timeout_add(5, on_wake_up, NULL);
+    bool met = is_met(ctx);
+    while (!met && ms_clock_now(&clock) < end_ms) {
         g_main_context_iteration(NULL, TRUE);
-        good = holds(ctx);
+        met = is_met(ctx);
     }
     g_source_remove(timer);
-    return good;
+    return met;
 }
 
 #endif
--- a/tests/standing/wire_test.c
+++ b/tests/standing/wire_test.c
@@ -1,3 +1,8 @@
+/*
+ * Messages and frames from the network: what a peer sends must never crash a
+ * gateway or make it allocate by an announced size, and a field that is wrong
+ * is named in the error.
+ */
 #include <string.h>
 
 #include "../suite.h"
@@ -38,7 +43,7 @@
     return message_decode((const uint8_t *)buffer->data, buffer->size, status);
 }
 
-/* What was decoded encodes to the same bytes. */
+/* A decoded message encodes to the same bytes. */
 static void
 check_round_trip(const struct message *message)
 {
@@ -79,9 +84,10 @@
     g_ptr_array_unref(config.as.config.part_texts);
 }
 
-/* msgpack gives an empty text no address; readers expect one. */
+/* msgpack decodes an empty string to a NULL pointer; readers of a message
+ * expect a string. */
 static void
-test_empty_texts_are_texts(void)
+test_empty_strings_are_not_null(void)
 {
     struct status status;
     struct message_usage_entry entry = {.team = "", .pool = ""};
@@ -103,7 +109,7 @@
 }
 
 static void
-check_fault(const char *bytes, size_t size_bytes, const char *field)
+check_error(const char *bytes, size_t size_bytes, const char *field)
 {
     struct status status;
     struct message *message =
@@ -115,39 +121,40 @@
 }
 
 static void
-test_faults_name_the_field(void)
+test_errors_name_the_field(void)
 {
-    check_fault("\x92\x02\x03", 3, "version");
-    check_fault("\x92\x01\x63", 3, "type");
-    check_fault("\x93\x01\x03\xa1x", 5, "number");
-    check_fault("\x95\x01\x03\x01\x01\xff", 6, "epoch");
-    check_fault("\x96\x01\x03\x01\x01\x01\x01", 7, "supports");
-    check_fault("\x97\x01\x03\x01\x01\x01\xc2\x01", 8, "entries too many");
-    check_fault("\x94\x01\x0a\xa0\x01", 5, "team");
-    check_fault("\x94\x01\x0a\xa2x\x00\x01", 7, "team");
-    check_fault("\x94\x01\x0a\xa2\xc3\x28\x01", 7, "team");
-    check_fault("\x93\x01\x09\x91\x91\x01", 6, "team");
-    check_fault("\x93\x01\x02\xc4\x01x", 6, "mac");
+    check_error("\x92\x02\x03", 3, "version");
+    check_error("\x92\x01\x63", 3, "type");
+    check_error("\x93\x01\x03\xa1x", 5, "number");
+    check_error("\x95\x01\x03\x01\x01\xff", 6, "epoch");
+    check_error("\x96\x01\x03\x01\x01\x01\x01", 7, "supports");
+    check_error("\x97\x01\x03\x01\x01\x01\xc2\x01", 8, "entries too many");
+    check_error("\x94\x01\x0a\xa0\x01", 5, "team");
+    check_error("\x94\x01\x0a\xa2x\x00\x01", 7, "team");
+    check_error("\x94\x01\x0a\xa2\xc3\x28\x01", 7, "team");
+    check_error("\x93\x01\x09\x91\x91\x01", 6, "team");
+    check_error("\x93\x01\x02\xc4\x01x", 6, "mac");
 }
 
 static void
 test_announced_sizes_are_bounded(void)
 {
     /* An array of 2^32 - 1 entries in seven bytes, and nested ones. */
-    check_fault("\xdd\xff\xff\xff\xff\x01\x03", 7, "not a msgpack array");
-    check_fault("\x93\x01\x09\xdd\x7f\xff\xff\xff", 8, "not a msgpack array");
-    check_fault("\x93\x01\x0a\xdb\xff\xff\xff\xff", 8, "not a msgpack array");
+    check_error("\xdd\xff\xff\xff\xff\x01\x03", 7, "not a msgpack array");
+    check_error("\x93\x01\x09\xdd\x7f\xff\xff\xff", 8, "not a msgpack array");
+    check_error("\x93\x01\x0a\xdb\xff\xff\xff\xff", 8, "not a msgpack array");
     char deep[200];
     memset(deep, '\x91', sizeof(deep));
-    check_fault(deep, sizeof(deep), "not a msgpack array");
-    /* As many objects as announced, but more than any message has. */
+    check_error(deep, sizeof(deep), "not a msgpack array");
+    /* Contains as many objects as announced, but more than any message may. */
     static const uint8_t header[] = {0xdd, 0x00, 0x02, 0x00, 0x00};
-    size_t crowd_bytes = sizeof(header) + (1 << 17);
-    uint8_t *crowd = g_malloc(crowd_bytes);
-    memset(crowd, 0xc0, crowd_bytes);
-    memcpy(crowd, header, sizeof(header));
-    check_fault((char *)crowd, crowd_bytes, "not a msgpack array");
-    g_free(crowd);
+    size_t many_objects_bytes = sizeof(header) + (1 << 17);
+    uint8_t *many_objects = g_malloc(many_objects_bytes);
+    memset(many_objects, 0xc0, many_objects_bytes);
+    memcpy(many_objects, header, sizeof(header));
+    check_error((char *)many_objects, many_objects_bytes,
+                "not a msgpack array");
+    g_free(many_objects);
     struct status status;
     uint8_t *large = g_malloc0(MESSAGE_MAX_BYTES + 1);
     CU_ASSERT_PTR_NULL(message_decode(large, MESSAGE_MAX_BYTES + 1, &status));
@@ -155,12 +162,12 @@
     g_free(large);
 }
 
-/* A decoder's answer is a message or a fault, never both or neither. */
+/* The decoder returns either a message or an error, never both or neither. */
 static bool
 try_decode(const uint8_t *bytes, size_t size_bytes)
 {
     struct status status;
-    /* A copy of the exact size lets a sanitizer see reads behind the end. */
+    /* A copy of the exact size lets a sanitizer detect reads past the end. */
     uint8_t *copy = g_memdup2(bytes, size_bytes);
     struct message *message = message_decode(copy, size_bytes, &status);
     bool accepted = message != NULL;
@@ -209,7 +216,7 @@
         n_accepted += try_decode((uint8_t *)buffer.data, buffer.size);
         msgpack_sbuffer_destroy(&buffer);
     }
-    /* Flipped bits of numbers and texts give other valid messages. */
+    /* Flipped bits in numbers and strings may give other valid messages. */
     CU_ASSERT(n_accepted > FUZZ_ROUNDS / 20 && n_accepted < FUZZ_ROUNDS);
 }
 
@@ -261,8 +268,8 @@
 {
     static const struct suite_test tests[] = {
         {"round trips", test_round_trips},
-        {"empty texts are texts", test_empty_texts_are_texts},
-        {"faults name the field", test_faults_name_the_field},
+        {"empty strings are not NULL", test_empty_strings_are_not_null},
+        {"errors name the field", test_errors_name_the_field},
         {"announced sizes are bounded", test_announced_sizes_are_bounded},
         {"truncated messages", test_truncated_messages_are_refused},
         {"fuzz", test_fuzz},
