--- a/tests/standing/registration_test.c
+++ b/tests/standing/registration_test.c
@@ -1,3 +1,9 @@
+/*
+ * Registration, quorum leases and permits of several gateways in one process,
+ * over real peer links and a stand-in store: gateways that start, are
+ * replaced, killed or cut off from the store must neither share out more
+ * permits than the limit nor stay without a quorum lease.
+ */
 #include <string.h>
 
 #include "../../egretd/members_json.h"
@@ -10,15 +16,16 @@
 enum {
     GATEWAYS = 7,
     LIMIT = 21,
-    SUPPORT_MS = 1000,
+    QUORUM_LEASE_MS = 1000,
     HEARTBEAT_MS = 250,
-    LEASE_MS = 300,
-    /* Heartbeats a second in service, and the bound on what they may cost. */
-    BEATS_PER_S = 2,
-    CONTROL_BYTES_PER_S = 4096,
+    TASK_LEASE_MS = 300,
+    /* Heartbeats per second with the default settings, and their most
+     * traffic per gateway. */
+    HEARTBEATS_PER_S = 2,
+    HEARTBEAT_BYTES_PER_S_MAX = 4096,
 };
 
-/** struct gateway - one incarnation with the parts under test */
+/** struct gateway - one gateway incarnation with the modules under test */
 struct gateway {
     char incarnation[16];
     struct settings settings;
@@ -28,7 +35,7 @@
     struct registration *registration;
     struct permit_accounts *accounts;
     guint tick;
-    int64_t until_ms;
+    int64_t lease_expires_ms;
     uint32_t n_live;
     uint32_t n_entries;
     uint32_t permits;
@@ -70,9 +77,9 @@
 }
 
 static void
-on_until(void *ctx, int64_t until_ms)
+on_lease_changed(void *ctx, int64_t lease_expires_ms)
 {
-    ((struct gateway *)ctx)->until_ms = until_ms;
+    ((struct gateway *)ctx)->lease_expires_ms = lease_expires_ms;
 }
 
 static void
@@ -99,17 +106,17 @@
 }
 
 static void
-on_reclaimed(void *ctx, const char *incarnation)
+on_permits_reclaimed(void *ctx, const char *incarnation)
 {
     registration_permits_reclaimed(((struct gateway *)ctx)->registration,
                                    incarnation);
 }
 
 static void
-on_reclaim(void *ctx, const char *incarnation)
+on_reclaim_permits(void *ctx, const char *incarnation)
 {
     permit_accounts_reclaim(((struct gateway *)ctx)->accounts, incarnation,
-                            on_reclaimed, ctx);
+                            on_permits_reclaimed, ctx);
 }
 
 static uint64_t
@@ -119,25 +126,25 @@
 }
 
 static void
-on_newer(void *ctx, const char *peer)
+on_newer_config(void *ctx, const char *peer)
 {
 }
 
 static void
-on_refresh(void *ctx)
+on_refresh_config(void *ctx)
 {
 }
 
 static int64_t
-on_confirmed(void *ctx)
+on_config_confirmed(void *ctx)
 {
     return INT64_MAX;
 }
 
 static int64_t
-on_lease(void *ctx)
+on_longest_task_lease(void *ctx)
 {
-    return LEASE_MS;
+    return TASK_LEASE_MS;
 }
 
 static uint32_t
@@ -192,15 +199,15 @@
         .peer_port = peers_port(gateway->peers),
         .http_port = 1,
         .generation = on_generation,
-        .newer_config = on_newer,
-        .refresh_config = on_refresh,
-        .config_confirmed_ms = on_confirmed,
-        .longest_task_lease_ms = on_lease,
+        .newer_config = on_newer_config,
+        .refresh_config = on_refresh_config,
+        .config_confirmed_ms = on_config_confirmed,
+        .longest_task_lease_ms = on_longest_task_lease,
         .ctx = gateway,
-        .listener = {.lease_changed = on_until,
+        .listener = {.lease_changed = on_lease_changed,
                      .members_changed = on_members,
                      .fenced = on_fenced,
-                     .reclaim_permits = on_reclaim,
+                     .reclaim_permits = on_reclaim_permits,
                      .ctx = gateway},
     });
 }
@@ -209,12 +216,12 @@
 gateway_start(int at, const char *incarnation, uint16_t port)
 {
     struct gateway *gateway = &gateways[at];
-    *gateway = (struct gateway){.until_ms = INT64_MIN};
+    *gateway = (struct gateway){.lease_expires_ms = INT64_MIN};
     g_strlcpy(gateway->incarnation, incarnation, sizeof(gateway->incarnation));
     gateway->settings = (struct settings){.name = gateway->incarnation,
                                           .dc = "dc",
                                           .address = "127.0.0.1",
-                                          .support_ms = SUPPORT_MS,
+                                          .support_ms = QUORUM_LEASE_MS,
                                           .heartbeat_ms = HEARTBEAT_MS};
     gateway->counters = counters_create();
     gateway->store = store_create(&(struct store_options){
@@ -227,7 +234,7 @@
                                 .secret = "secret",
                                 .incarnation = gateway->incarnation,
                                 .name = gateway->incarnation,
-                                .idle_timeout_ms = SUPPORT_MS,
+                                .idle_timeout_ms = QUORUM_LEASE_MS,
                                 .clock = ms_clock_system(),
                                 .handler = {.message = on_message,
                                             .up = on_up,
@@ -240,7 +247,7 @@
     gateway->tick = g_timeout_add(HEARTBEAT_MS, on_tick, gateway);
 }
 
-/* As a kill does: nothing is given back. */
+/* Like a killed process, returns no permits and leaves no message. */
 static void
 gateway_kill(int at)
 {
@@ -258,7 +265,7 @@
 }
 
 static void
-start_first(int n)
+start_gateways(int n)
 {
     store_process_start(&store_process);
     for (int at = 0; at < n; at++) {
@@ -278,20 +285,22 @@
 }
 
 static bool
-has_standing(const struct gateway *gateway)
+holds_quorum_lease(const struct gateway *gateway)
 {
     struct ms_clock clock = ms_clock_system();
-    return ms_clock_now(&clock) < gateway->until_ms;
+    return ms_clock_now(&clock) < gateway->lease_expires_ms;
 }
 
-/* The first @n are registered, nobody else is, and the permits are out. */
+/* Only the first @n gateways are registered, each of them holds a quorum
+ * lease, and together they hold all permits. */
 static bool
-settled(void *n)
+all_registered(void *n)
 {
     uint32_t wanted = GPOINTER_TO_UINT(n);
     uint32_t permits = 0;
     for (uint32_t at = 0; at < wanted; at++) {
-        if (!has_standing(&gateways[at]) || gateways[at].n_live != wanted ||
+        if (!holds_quorum_lease(&gateways[at]) ||
+            gateways[at].n_live != wanted ||
             gateways[at].n_entries != wanted) {
             return false;
         }
@@ -302,7 +311,7 @@
 }
 
 static bool
-later(void *end_ms)
+is_past(void *end_ms)
 {
     struct ms_clock clock = ms_clock_system();
     return ms_clock_now(&clock) >= *(int64_t *)end_ms;
@@ -313,32 +322,32 @@
 {
     struct ms_clock clock = ms_clock_system();
     int64_t end_ms = ms_clock_now(&clock) + time_ms;
-    wait_until(later, &end_ms);
+    wait_until(is_past, &end_ms);
 }
 
 static void
 test_seven_start_at_once(void)
 {
-    start_first(GATEWAYS);
-    CU_ASSERT(wait_until(settled, GUINT_TO_POINTER(GATEWAYS)));
+    start_gateways(GATEWAYS);
+    CU_ASSERT(wait_until(all_registered, GUINT_TO_POINTER(GATEWAYS)));
     struct peers_stats before = peers_get_stats(gateways[0].peers);
-    int64_t beats = 8;
-    run_for(beats * HEARTBEAT_MS);
+    int64_t n_heartbeats = 8;
+    run_for(n_heartbeats * HEARTBEAT_MS);
     struct peers_stats after = peers_get_stats(gateways[0].peers);
     uint64_t bytes =
         after.bytes_in + after.bytes_out - before.bytes_in - before.bytes_out;
-    uint64_t per_s = bytes * BEATS_PER_S / (uint64_t)beats;
+    uint64_t per_s = bytes * HEARTBEATS_PER_S / (uint64_t)n_heartbeats;
     printf("\n    %u links, %" G_GUINT64_FORMAT " bytes/s of heartbeats ",
            after.linked, per_s);
-    CU_ASSERT(per_s > 0 && per_s < CONTROL_BYTES_PER_S);
+    CU_ASSERT(per_s > 0 && per_s < HEARTBEAT_BYTES_PER_S_MAX);
     stop_all();
 }
 
 static void
 test_all_replaced_at_their_addresses(void)
 {
-    start_first(3);
-    CU_ASSERT(wait_until(settled, GUINT_TO_POINTER(3)));
+    start_gateways(3);
+    CU_ASSERT(wait_until(all_registered, GUINT_TO_POINTER(3)));
     uint16_t ports[3];
     for (int at = 0; at < 3; at++) {
         ports[at] = peers_port(gateways[at].peers);
@@ -349,7 +358,7 @@
         g_snprintf(incarnation, sizeof(incarnation), "new-%d", at);
         gateway_start(at, incarnation, ports[at]);
     }
-    CU_ASSERT(wait_until(settled, GUINT_TO_POINTER(3)));
+    CU_ASSERT(wait_until(all_registered, GUINT_TO_POINTER(3)));
     stop_all();
 }
 
@@ -368,57 +377,57 @@
 static void
 test_permits_follow_demand(void)
 {
-    start_first(3);
-    CU_ASSERT(wait_until(settled, GUINT_TO_POINTER(3)));
+    start_gateways(3);
+    CU_ASSERT(wait_until(all_registered, GUINT_TO_POINTER(3)));
     gateways[0].queued = LIMIT;
     CU_ASSERT(wait_until(most_held_by_first, NULL));
     stop_all();
 }
 
 static void
-test_silent_gateway_is_fenced(void)
+test_unresponsive_gateway_is_fenced(void)
 {
-    start_first(3);
-    CU_ASSERT(wait_until(settled, GUINT_TO_POINTER(3)));
+    start_gateways(3);
+    CU_ASSERT(wait_until(all_registered, GUINT_TO_POINTER(3)));
     gateway_kill(2);
-    CU_ASSERT(wait_until(settled, GUINT_TO_POINTER(2)));
+    CU_ASSERT(wait_until(all_registered, GUINT_TO_POINTER(2)));
     stop_all();
 }
 
 static void
 test_store_outage(void)
 {
-    start_first(3);
-    CU_ASSERT(wait_until(settled, GUINT_TO_POINTER(3)));
+    start_gateways(3);
+    CU_ASSERT(wait_until(all_registered, GUINT_TO_POINTER(3)));
     store_process_faults(&store_process, "{\"down\": true}");
-    run_for(3 * SUPPORT_MS);
+    run_for(3 * QUORUM_LEASE_MS);
     for (int at = 0; at < 3; at++) {
-        CU_ASSERT(has_standing(&gateways[at]));
+        CU_ASSERT(holds_quorum_lease(&gateways[at]));
         CU_ASSERT(gateways[at].permits > 0);
     }
     /* One of three is no majority. */
     gateway_kill(1);
     gateway_kill(2);
-    run_for(SUPPORT_MS + HEARTBEAT_MS);
-    CU_ASSERT_FALSE(has_standing(&gateways[0]));
+    run_for(QUORUM_LEASE_MS + HEARTBEAT_MS);
+    CU_ASSERT_FALSE(holds_quorum_lease(&gateways[0]));
     CU_ASSERT_FALSE(gateways[0].fenced);
     store_process_faults(&store_process, "{\"down\": false}");
-    run_for(2 * SUPPORT_MS);
-    CU_ASSERT(has_standing(&gateways[0]));
+    run_for(2 * QUORUM_LEASE_MS);
+    CU_ASSERT(holds_quorum_lease(&gateways[0]));
     stop_all();
 }
 
-/** struct forgetting - an operator's change of the members record */
-struct forgetting {
+/** struct record_change - change of the members record by an operator */
+struct record_change {
     char *text;
     uint64_t version;
     bool done;
 };
 
 static void
-on_record(void *ctx, const struct store_result *result)
+on_record_read(void *ctx, const struct store_result *result)
 {
-    struct forgetting *forgetting = ctx;
+    struct record_change *record_change = ctx;
     struct status status;
     struct members_record *record = members_json_parse(
         result->entries[0].value, result->entries[0].size_bytes, &status);
@@ -427,59 +436,60 @@
     for (size_t i = 0; i < record->n_entries; i++) {
         record->entries[i].state = MEMBERS_DECLARED_DEAD;
     }
-    forgetting->text = members_json_format(record);
+    record_change->text = members_json_format(record);
     members_record_destroy(record);
-    forgetting->version = result->entries[0].version;
+    record_change->version = result->entries[0].version;
 }
 
 static void
-on_forgotten(void *ctx, const struct store_result *result)
+on_record_written(void *ctx, const struct store_result *result)
 {
-    struct forgetting *forgetting = ctx;
-    forgetting->done = status_ok(&result->status);
+    struct record_change *record_change = ctx;
+    record_change->done = status_ok(&result->status);
 }
 
 static bool
-was_read(void *ctx)
+record_read(void *ctx)
 {
-    return ((struct forgetting *)ctx)->text != NULL;
+    return ((struct record_change *)ctx)->text != NULL;
 }
 
 static bool
-was_forgotten(void *ctx)
+record_written(void *ctx)
 {
-    return ((struct forgetting *)ctx)->done;
+    return ((struct record_change *)ctx)->done;
 }
 
 static void
-forget_all(struct store *store)
+declare_all_dead(struct store *store)
 {
-    struct forgetting forgetting = {0};
+    struct record_change record_change = {0};
     store_get(store, STORE_KEY_MEMBERS,
-              (struct store_callback){.done = on_record, .ctx = &forgetting});
-    CU_ASSERT_FATAL(wait_until(was_read, &forgetting));
-    store_cas(
-        store, STORE_KEY_MEMBERS, forgetting.text, strlen(forgetting.text),
-        forgetting.version,
-        (struct store_callback){.done = on_forgotten, .ctx = &forgetting});
-    CU_ASSERT_FATAL(wait_until(was_forgotten, &forgetting));
-    g_free(forgetting.text);
+              (struct store_callback){.done = on_record_read,
+                                      .ctx = &record_change});
+    CU_ASSERT_FATAL(wait_until(record_read, &record_change));
+    store_cas(store, STORE_KEY_MEMBERS, record_change.text,
+              strlen(record_change.text), record_change.version,
+              (struct store_callback){.done = on_record_written,
+                                      .ctx = &record_change});
+    CU_ASSERT_FATAL(wait_until(record_written, &record_change));
+    g_free(record_change.text);
 }
 
 static void
-test_majority_lost_for_good(void)
+test_majority_lost_permanently(void)
 {
-    start_first(3);
-    CU_ASSERT(wait_until(settled, GUINT_TO_POINTER(3)));
+    start_gateways(3);
+    CU_ASSERT(wait_until(all_registered, GUINT_TO_POINTER(3)));
     for (int at = 0; at < 3; at++) {
         gateway_kill(at);
     }
-    /* Elsewhere: nothing proves that the three have ended. */
+    /* At another address nothing proves that the three processes ended. */
     gateway_start(0, "new-0", 0);
-    run_for(3 * SUPPORT_MS);
-    CU_ASSERT_FALSE(has_standing(&gateways[0]));
-    forget_all(gateways[0].store);
-    CU_ASSERT(wait_until(settled, GUINT_TO_POINTER(1)));
+    run_for(3 * QUORUM_LEASE_MS);
+    CU_ASSERT_FALSE(holds_quorum_lease(&gateways[0]));
+    declare_all_dead(gateways[0].store);
+    CU_ASSERT(wait_until(all_registered, GUINT_TO_POINTER(1)));
     stop_all();
 }
 
@@ -491,9 +501,10 @@
         {"all replaced at their addresses",
          test_all_replaced_at_their_addresses},
         {"permits follow demand", test_permits_follow_demand},
-        {"silent gateway is fenced", test_silent_gateway_is_fenced},
+        {"unresponsive gateway is fenced",
+         test_unresponsive_gateway_is_fenced},
         {"store outage", test_store_outage},
-        {"majority lost for good", test_majority_lost_for_good},
+        {"majority lost permanently", test_majority_lost_permanently},
     };
-    return suite_main("standing", tests, G_N_ELEMENTS(tests));
+    return suite_main("registration", tests, G_N_ELEMENTS(tests));
 }
