--- a/core/deadline_heap.c
+++ b/core/deadline_heap.c
@@ -1,3 +1,4 @@
+/* Binary min-heap that stores in each entry its position in the heap. */
 #include "core/deadline_heap.h"
 
 #include <glib.h>
--- a/core/dispatch.c
+++ b/core/dispatch.c
@@ -1,3 +1,4 @@
+/* Creation of dispatchers, submission and cancellation of tasks. */
 #include "core/dispatch.h"
 
 #include "core/share_plan.h"
--- a/core/dispatch_config.c
+++ b/core/dispatch_config.c
@@ -204,9 +204,9 @@
 }
 
 void
-dispatch_set_quorum_lease(struct dispatch *dispatch, int64_t until_ms)
+dispatch_set_quorum_lease(struct dispatch *dispatch, int64_t expires_ms)
 {
-    dispatch->quorum_lease_expires_ms = until_ms;
+    dispatch->quorum_lease_expires_ms = expires_ms;
 }
 
 void
--- a/core/dispatch_report.c
+++ b/core/dispatch_report.c
@@ -1,3 +1,4 @@
+/* Collects what the gateway reports to the fleet controller. */
 #include "core/dispatch_report.h"
 
 #include "dispatch_state.h"
--- a/core/estimate.c
+++ b/core/estimate.c
@@ -1,11 +1,13 @@
+/* Histogram with exponentially growing buckets. */
 #include "core/estimate.h"
 
 #include <math.h>
 
 enum {
-    ESTIMATE_READY_RUNS = 8,
-    /* Observations after which all are halved. */
-    ESTIMATE_FADE_RUNS = 512,
+    READY_RUNS_MIN = 8,
+    /* At this many observations the counts are halved, so that old ones
+     * fade. */
+    DECAY_RUNS = 512,
 };
 
 static const double BUCKET_GROWTH = 1.25;
@@ -27,7 +29,7 @@
 }
 
 static void
-fade(struct estimate *estimate)
+decay(struct estimate *estimate)
 {
     estimate->total = 0;
     estimate->sum_ms /= 2;
@@ -43,15 +45,15 @@
     estimate->counts[bucket_of(run_ms)] += 1;
     estimate->total += 1;
     estimate->sum_ms += (double)run_ms;
-    if (estimate->total >= ESTIMATE_FADE_RUNS) {
-        fade(estimate);
+    if (estimate->total >= DECAY_RUNS) {
+        decay(estimate);
     }
 }
 
 bool
 estimate_ready(const struct estimate *estimate)
 {
-    return estimate->total >= ESTIMATE_READY_RUNS;
+    return estimate->total >= READY_RUNS_MIN;
 }
 
 int64_t
--- a/core/outcome.c
+++ b/core/outcome.c
@@ -1,3 +1,4 @@
+/* Names of outcomes and reasons, as sent to callers. */
 #include "core/outcome.h"
 
 const char *
--- a/core/outlier.c
+++ b/core/outlier.c
@@ -1,22 +1,24 @@
+/* Ejects hosts whose failures in a row are too many to be chance. */
 #include "core/outlier.h"
 
 #include <glib.h>
 #include <math.h>
 
 enum {
-    /* Outcomes after which all are halved. */
-    POOL_FADE_OUTCOMES = 1024,
-    MAX_DOUBLINGS = 5,
-    MAX_FAILURES = 50,
+    /* At this many outcomes the counts are halved, so that old ones fade. */
+    DECAY_OUTCOMES = 1024,
+    DOUBLINGS_MAX = 5,
+    FAILURES_MAX = 50,
 };
 
-/* Probability up to which failures in a row are taken for chance. */
-static const double CHANCE = 1e-6;
+/* A host is an outlier if its failures in a row would happen by chance with at
+ * most this probability. */
+static const double CHANCE_PROBABILITY_MAX = 1e-6;
 
 static void
-fade(struct outlier_pool *pool)
+decay(struct outlier_pool *pool)
 {
-    if (pool->succeeded + pool->failed >= POOL_FADE_OUTCOMES) {
+    if (pool->succeeded + pool->failed >= DECAY_OUTCOMES) {
         pool->succeeded /= 2;
         pool->failed /= 2;
     }
@@ -26,7 +28,7 @@
 outlier_succeeded(struct outlier *host, struct outlier_pool *pool)
 {
     pool->succeeded += 1;
-    fade(pool);
+    decay(pool);
     host->failures_in_row = 0;
     if (host->state == OUTLIER_PROBING) {
         outlier_reinstate(host, pool);
@@ -37,7 +39,7 @@
 static int64_t
 eject(struct outlier *host)
 {
-    uint32_t doublings = MIN(host->ejections, MAX_DOUBLINGS);
+    uint32_t doublings = MIN(host->ejections, DOUBLINGS_MAX);
     host->state = OUTLIER_EJECTED;
     host->ejections++;
     return MIN((int64_t)OUTLIER_EJECTION_MIN_MS << doublings,
@@ -45,29 +47,31 @@
 }
 
 static float
-others_failed(const struct outlier *host, const struct outlier_pool *pool)
+failures_of_others(const struct outlier *host, const struct outlier_pool *pool)
 {
     return MAX(pool->failed - (float)host->failures_in_row, 0);
 }
 
-/* Failures in a row that chance alone would hardly give a host that is like
- * the others of its pool. */
+/* Number of failures in a row that a host with the failure rate of the other
+ * hosts has with a probability of at most CHANCE_PROBABILITY_MAX. */
 static uint32_t
 failures_needed(const struct outlier *host, const struct outlier_pool *pool)
 {
-    double failed = others_failed(host, pool);
-    double part = failed / MAX(failed + pool->succeeded, 1);
-    if (part <= 0) {
+    double failed = failures_of_others(host, pool);
+    double failure_rate = failed / MAX(failed + pool->succeeded, 1);
+    if (failure_rate <= 0) {
         return OUTLIER_FAILURES_MIN;
     }
-    double needed = MIN(log(CHANCE) / log(MIN(part, 0.9)), MAX_FAILURES);
+    double needed =
+        MIN(log(CHANCE_PROBABILITY_MAX) / log(MIN(failure_rate, 0.9)),
+            FAILURES_MAX);
     return MAX((uint32_t)ceil(needed), OUTLIER_FAILURES_MIN);
 }
 
 static bool
-stands_out(const struct outlier *host, const struct outlier_pool *pool)
+is_outlier(const struct outlier *host, const struct outlier_pool *pool)
 {
-    return pool->succeeded > others_failed(host, pool) &&
+    return pool->succeeded > failures_of_others(host, pool) &&
            host->failures_in_row >= failures_needed(host, pool);
 }
 
@@ -75,14 +79,14 @@
 outlier_failed(struct outlier *host, struct outlier_pool *pool)
 {
     pool->failed += 1;
-    fade(pool);
+    decay(pool);
     host->failures_in_row++;
     if (host->state == OUTLIER_PROBING) {
         return eject(host);
     }
     if (host->state == OUTLIER_EJECTED ||
         host->failures_in_row < OUTLIER_FAILURES_MIN ||
-        !stands_out(host, pool) || pool->ejected >= pool->hosts / 3) {
+        !is_outlier(host, pool) || pool->ejected >= pool->hosts / 3) {
         return 0;
     }
     pool->ejected++;
--- a/core/permits.c
+++ b/core/permits.c
@@ -1,3 +1,5 @@
+/* Plans changes of a team's permits record, and bounds what may run here while
+ * the outcome of a write is unknown. */
 #include "core/permits.h"
 
 #include <glib.h>
@@ -5,23 +7,25 @@
 #include <string.h>
 
 enum {
-    /* Demand is kept in thousandths of a permit. */
+    /* Demand is stored in thousandths of a permit. */
     MILLI = 1000,
     RISE_DIVISOR = 2,
     DECAY_DIVISOR = 32,
-    /* Held beyond the demand, so that the next task need not wait. */
-    HEADROOM = 1,
+    /* Permits held beyond the demand, so that the next task need not wait for
+     * one. */
+    HEADROOM_PERMITS = 1,
 };
 
-/** struct permits_request - what a peer asked for */
+/** struct permits_request - number of permits that a peer requested */
 struct permits_request {
     char *peer;
     uint32_t count;
 };
 
 /**
- * struct permits_cap - bound on what is usable while a write that lowers the
- * holding may still take effect, which is as long as its version stands
+ * struct permits_cap - upper bound on the usable permits while a write that
+ * lowers the holding may still take effect. That is as long as @version, which
+ * the write would replace, is the newest known
  */
 struct permits_cap {
     bool active;
@@ -32,13 +36,13 @@
 /**
  * struct permits - see the header
  * @record, @version: last known record; version 0 while there is none
- * @read: the store was asked at least once
- * @stale: it has to be asked again
- * @cap_before_write: what to go back to if the write was never sent
- * @written: record of the write under way
+ * @read: the record was read from the store at least once
+ * @stale: the record has to be read again
+ * @cap_before_write: cap to restore if the write was never sent
+ * @pending: record of the write in progress, or NULL
  * @writes: number of the last write
- * @demand_milli: smoothed use, thousandths of a permit
- * @wants: requests of peers since the last plan
+ * @demand_milli: smoothed demand, thousandths of a permit
+ * @requests: requests of peers since the last plan
  */
 struct permits {
     char *self;
@@ -50,11 +54,11 @@
     bool stale;
     struct permits_cap cap;
     struct permits_cap cap_before_write;
-    struct permits_record *written;
+    struct permits_record *pending;
     uint64_t writes;
     uint64_t demand_milli;
     bool releasing;
-    GArray *wants;
+    GArray *requests;
 };
 
 static void
@@ -71,8 +75,9 @@
     permits->self = g_strdup(self);
     permits->record = permits_record_create();
     permits->stale = true;
-    permits->wants = g_array_new(FALSE, FALSE, sizeof(struct permits_request));
-    g_array_set_clear_func(permits->wants, clear_request);
+    permits->requests =
+        g_array_new(FALSE, FALSE, sizeof(struct permits_request));
+    g_array_set_clear_func(permits->requests, clear_request);
     return permits;
 }
 
@@ -83,8 +88,8 @@
         return;
     }
     permits_record_destroy(permits->record);
-    permits_record_destroy(permits->written);
-    g_array_unref(permits->wants);
+    permits_record_destroy(permits->pending);
+    g_array_unref(permits->requests);
     g_free(permits->self);
     g_free(permits);
 }
@@ -114,7 +119,8 @@
 }
 
 static void
-adopt(struct permits *permits, struct permits_record *record, uint64_t version)
+set_record(struct permits *permits, struct permits_record *record,
+           uint64_t version)
 {
     permits_record_destroy(permits->record);
     permits->record = record;
@@ -131,7 +137,7 @@
     permits->read = true;
     permits->stale = false;
     if (record != NULL && version > permits->version) {
-        adopt(permits, permits_record_copy(record), version);
+        set_record(permits, permits_record_copy(record), version);
     }
 }
 
@@ -139,22 +145,22 @@
 permits_record_deleted(struct permits *permits)
 {
     permits->cap = (struct permits_cap){0};
-    adopt(permits, permits_record_create(), 0);
+    set_record(permits, permits_record_create(), 0);
 }
 
 void
 permits_peer_request(struct permits *permits, const char *peer, uint32_t count)
 {
-    for (guint i = 0; i < permits->wants->len; i++) {
+    for (guint i = 0; i < permits->requests->len; i++) {
         struct permits_request *known =
-            &g_array_index(permits->wants, struct permits_request, i);
+            &g_array_index(permits->requests, struct permits_request, i);
         if (strcmp(known->peer, peer) == 0) {
             known->count = count;
             return;
         }
     }
     struct permits_request request = {g_strdup(peer), count};
-    g_array_append_val(permits->wants, request);
+    g_array_append_val(permits->requests, request);
 }
 
 static uint32_t
@@ -163,21 +169,22 @@
     return permits_record_held(permits->record, permits->self);
 }
 
-/* Whether this gateway's configuration has a limit that the record lacks. */
+/* Whether the configuration here is newer than the record and has another
+ * limit. */
 static bool
-limit_is_news(const struct permits *permits)
+limit_is_newer(const struct permits *permits)
 {
     return permits->version == 0 ||
            (permits->generation > permits->record->generation &&
             permits->limit != permits->record->limit);
 }
 
-/* Whether the team may start nothing because its limit is being lowered. */
+/* Whether the team may start no task because its limit is being lowered. */
 static bool
 is_blocked(const struct permits *permits)
 {
     bool unwritten =
-        limit_is_news(permits) && permits->limit < permits->record->limit;
+        limit_is_newer(permits) && permits->limit < permits->record->limit;
     return unwritten ||
            permits_record_sum(permits->record) > permits->record->limit;
 }
@@ -195,22 +202,22 @@
 bool
 permits_stale(const struct permits *permits)
 {
-    return permits->stale && permits->written == NULL;
+    return permits->stale && permits->pending == NULL;
 }
 
-/* Permits that follow from recent use here. */
+/* Permits that the recent demand on this gateway calls for. */
 static uint32_t
-wanted(const struct permits *permits)
+wanted_permits(const struct permits *permits)
 {
     uint64_t demand = (permits->demand_milli + MILLI - 1) / MILLI;
-    uint64_t with_headroom = demand == 0 ? 0 : demand + HEADROOM;
+    uint64_t with_headroom = demand == 0 ? 0 : demand + HEADROOM_PERMITS;
     return (uint32_t)MIN(with_headroom, permits->record->limit);
 }
 
-/* Equal part of the limit, for gateways without demand. */
+/* Equal share of the limit, which gateways without demand hold as well. */
 static uint32_t
-equal_part(const struct permits_record *record,
-           const struct permits_fleet *fleet)
+equal_share(const struct permits_record *record,
+            const struct permits_fleet *fleet)
 {
     if (fleet->n_live == 0) {
         return 0;
@@ -220,17 +227,17 @@
 }
 
 static void
-put_limit(const struct permits *permits, struct permits_record *next)
+apply_limit(const struct permits *permits, struct permits_record *next)
 {
-    if (limit_is_news(permits)) {
+    if (limit_is_newer(permits)) {
         next->limit = permits->limit;
         next->generation = permits->generation;
     }
 }
 
 static void
-put_reclaimed(const struct permits *permits, struct permits_record *next,
-              const struct permits_fleet *fleet)
+apply_reclaims(const struct permits *permits, struct permits_record *next,
+               const struct permits_fleet *fleet)
 {
     for (size_t i = next->n_holdings; i > 0; i--) {
         const char *holder = next->holdings[i - 1].incarnation;
@@ -242,8 +249,8 @@
 }
 
 static void
-put_excess_back(const struct permits *permits, struct permits_record *next,
-                uint32_t running)
+return_excess(const struct permits *permits, struct permits_record *next,
+              uint32_t running)
 {
     uint32_t held = permits_record_held(next, permits->self);
     uint64_t sum = permits_record_sum(next);
@@ -255,40 +262,40 @@
 }
 
 static void
-put_gifts(const struct permits *permits, struct permits_record *next,
-          const struct permits_fleet *fleet, uint32_t running)
+grant_requests(const struct permits *permits, struct permits_record *next,
+               const struct permits_fleet *fleet, uint32_t running)
 {
     uint32_t least = next->limit >= fleet->n_live ? 1 : 0;
-    uint32_t keep = MAX(MAX(wanted(permits), running), least);
-    for (guint i = 0; i < permits->wants->len; i++) {
+    uint32_t own_min = MAX(MAX(wanted_permits(permits), running), least);
+    for (guint i = 0; i < permits->requests->len; i++) {
         const struct permits_request *request =
-            &g_array_index(permits->wants, struct permits_request, i);
+            &g_array_index(permits->requests, struct permits_request, i);
         uint32_t held = permits_record_held(next, permits->self);
-        if (held <= keep) {
+        if (held <= own_min) {
             return;
         }
         if (fleet->is_live(fleet->ctx, request->peer)) {
-            uint32_t gift = MIN(request->count, held - keep);
+            uint32_t grant = MIN(request->count, held - own_min);
             uint32_t there = permits_record_held(next, request->peer);
-            permits_record_set(next, permits->self, held - gift);
-            permits_record_set(next, request->peer, there + gift);
+            permits_record_set(next, permits->self, held - grant);
+            permits_record_set(next, request->peer, there + grant);
         }
     }
 }
 
 static void
-put_taken(const struct permits *permits, struct permits_record *next,
-          const struct permits_fleet *fleet)
+take_unheld(const struct permits *permits, struct permits_record *next,
+            const struct permits_fleet *fleet)
 {
     uint32_t held = permits_record_held(next, permits->self);
-    uint32_t goal = MAX(wanted(permits), equal_part(next, fleet));
+    uint32_t target = MAX(wanted_permits(permits), equal_share(next, fleet));
     uint64_t sum = permits_record_sum(next);
-    if (held >= goal || sum >= next->limit) {
+    if (held >= target || sum >= next->limit) {
         return;
     }
     uint64_t unheld = next->limit - sum;
     permits_record_set(next, permits->self,
-                       held + (uint32_t)MIN(unheld, goal - held));
+                       held + (uint32_t)MIN(unheld, target - held));
 }
 
 static struct permits_record *
@@ -296,13 +303,13 @@
             const struct permits_fleet *fleet)
 {
     struct permits_record *next = permits_record_copy(permits->record);
-    put_limit(permits, next);
-    put_reclaimed(permits, next, fleet);
-    put_excess_back(permits, next, running);
+    apply_limit(permits, next);
+    apply_reclaims(permits, next, fleet);
+    return_excess(permits, next, running);
     bool lowering = permits_record_sum(next) > next->limit;
     if (!permits->releasing && !lowering) {
-        put_gifts(permits, next, fleet, running);
-        put_taken(permits, next, fleet);
+        grant_requests(permits, next, fleet, running);
+        take_unheld(permits, next, fleet);
     }
     return next;
 }
@@ -330,7 +337,8 @@
            same_holdings(a, b);
 }
 
-/* The lower of the present and the planned holding, until it is settled. */
+/* Caps the usable permits at @planned, or at an active lower cap, until the
+ * version changes. */
 static void
 cap_at(struct permits *permits, uint32_t planned)
 {
@@ -344,12 +352,13 @@
 permits_plan(struct permits *permits, uint32_t running,
              const struct permits_fleet *fleet, struct permits_write *write)
 {
-    if (permits->written != NULL || !permits->read || permits->stale) {
+    if (permits->pending != NULL || !permits->read || permits->stale) {
         return false;
     }
     struct permits_record *next = plan_record(permits, running, fleet);
-    g_array_set_size(permits->wants, 0);
-    /* A capped holding is only freed by a write that raises the version. */
+    g_array_set_size(permits->requests, 0);
+    /* Only a write that raises the version ends a cap, so the record is
+     * written even if it is unchanged. */
     if (same_content(next, permits->record) && !permits->cap.active) {
         permits_record_destroy(next);
         return false;
@@ -362,21 +371,21 @@
     g_free(next->write);
     next->write =
         g_strdup_printf("%s:%" PRIu64, permits->self, ++permits->writes);
-    permits->written = next;
+    permits->pending = next;
     *write = (struct permits_write){next, permits->version};
     return true;
 }
 
 void
-permits_written(struct permits *permits, enum permits_write_result answer,
+permits_written(struct permits *permits, enum permits_write_result result,
                 uint64_t version)
 {
-    struct permits_record *written = permits->written;
-    permits->written = NULL;
-    switch (answer) {
+    struct permits_record *pending = permits->pending;
+    permits->pending = NULL;
+    switch (result) {
     case PERMITS_WRITTEN:
         if (version > permits->version) {
-            adopt(permits, written, version);
+            set_record(permits, pending, version);
             return;
         }
         break;
@@ -388,7 +397,7 @@
         permits->stale = true;
         break;
     }
-    permits_record_destroy(written);
+    permits_record_destroy(pending);
 }
 
 uint32_t
@@ -399,9 +408,9 @@
         return 0;
     }
     uint32_t least = permits->record->limit >= fleet->n_live ? 1 : 0;
-    uint32_t goal = MAX(wanted(permits), least);
+    uint32_t target = MAX(wanted_permits(permits), least);
     uint32_t held = held_here(permits);
-    return goal > held ? goal - held : 0;
+    return target > held ? target - held : 0;
 }
 
 void
--- a/core/permits_record.c
+++ b/core/permits_record.c
@@ -1,3 +1,4 @@
+/* The permits record: a list of holdings sorted by incarnation. */
 #include "core/permits.h"
 
 #include <glib.h>
@@ -40,7 +41,7 @@
     g_free(record);
 }
 
-/* First holding that is not sorted before @incarnation. */
+/* Index of the first holding that does not sort before @incarnation. */
 static size_t
 find_place(const struct permits_record *record, const char *incarnation)
 {
--- a/core/rendezvous.c
+++ b/core/rendezvous.c
@@ -5,13 +5,15 @@
 static uint64_t
 hash_text(uint64_t hash, const char *text)
 {
-    /* FNV-1a; the terminator keeps neighbouring texts apart. */
+    /* FNV-1a; hashing the terminator too makes the hash depend on where one
+     * text ends and the next begins. */
     do {
         hash = (hash ^ (uint8_t)*text) * UINT64_C(0x100000001B3);
     } while (*text++ != '\0');
     return hash;
 }
 
+/* 64-bit finalizer of MurmurHash3. */
 static uint64_t
 mix(uint64_t hash)
 {
--- a/core/request_ids.c
+++ b/core/request_ids.c
@@ -1,3 +1,5 @@
+/* Table of request ids. A new id is run only after all earlier owners that are
+ * still registered were queried. */
 #include "core/request_ids.h"
 
 #include <string.h>
@@ -6,7 +8,7 @@
 #include "request_views.h"
 
 enum entry_state {
-    ENTRY_ASKING,
+    ENTRY_QUERYING,
     ENTRY_RUNNING,
     ENTRY_FINISHED,
     ENTRY_MOVED,
@@ -18,11 +20,11 @@
     enum entry_state state;
     bool first_attempt;
     bool owner_gone;
-    /* Requests that wait, by task number. */
+    /* Task numbers of the waiting requests. */
     GArray *tasks;
-    /* Gateways that were or will be asked; the first n_asked are done. */
-    GPtrArray *to_ask;
-    guint n_asked;
+    /* Gateways to query; the first n_queried have replied. */
+    GPtrArray *to_query;
+    guint n_queried;
     char *moved_to;
     enum outcome outcome;
     enum reason reason;
@@ -37,9 +39,9 @@
     struct request_views *views;
     GHashTable *entries;
     struct deadline_heap *expiries;
-    /* What the last decision or report lends out. */
-    struct entry *lent;
-    char *lent_peer;
+    /* Referenced by the last decision or reply; freed by the next call. */
+    struct entry *retired;
+    char *returned_peer;
 };
 
 static void
@@ -47,7 +49,7 @@
 {
     struct entry *entry = data;
     g_array_unref(entry->tasks);
-    g_ptr_array_unref(entry->to_ask);
+    g_ptr_array_unref(entry->to_query);
     g_clear_pointer(&entry->answer, g_bytes_unref);
     g_free(entry->moved_to);
     g_free(entry->body_hash_hex);
@@ -78,34 +80,35 @@
     entry->key = entry_key(team, id);
     entry->state = state;
     entry->tasks = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-    entry->to_ask = g_ptr_array_new_with_free_func(g_free);
+    entry->to_query = g_ptr_array_new_with_free_func(g_free);
     entry->expiry.owner = entry;
     g_hash_table_insert(ids->entries, entry->key, entry);
     return entry;
 }
 
-/* The entry leaves the table now but lives until the next call, since a
- * decision may point into it. */
+/* Removes the entry from the table but frees it only with the next call, since
+ * a decision may point into it. */
 static void
 entry_retire(struct request_ids *ids, struct entry *entry)
 {
     deadline_heap_remove(ids->expiries, &entry->expiry);
     g_hash_table_steal(ids->entries, entry->key);
-    ids->lent = entry;
+    ids->retired = entry;
 }
 
 static void
-entry_keep(struct request_ids *ids, struct entry *entry, int64_t now_ms)
+entry_start_retention(struct request_ids *ids, struct entry *entry,
+                      int64_t now_ms)
 {
     deadline_heap_set(ids->expiries, &entry->expiry,
                       now_ms + ids->retention_ms);
 }
 
 static void
-begin(struct request_ids *ids, int64_t now_ms)
+begin_call(struct request_ids *ids, int64_t now_ms)
 {
-    g_clear_pointer(&ids->lent, entry_destroy);
-    g_clear_pointer(&ids->lent_peer, g_free);
+    g_clear_pointer(&ids->retired, entry_destroy);
+    g_clear_pointer(&ids->returned_peer, g_free);
     struct entry *entry;
     while ((entry = deadline_heap_pop(ids->expiries, now_ms)) != NULL) {
         g_hash_table_remove(ids->entries, entry->key);
@@ -133,11 +136,11 @@
     if (ids == NULL) {
         return;
     }
-    g_clear_pointer(&ids->lent, entry_destroy);
+    g_clear_pointer(&ids->retired, entry_destroy);
     g_hash_table_unref(ids->entries);
     deadline_heap_destroy(ids->expiries);
     request_views_destroy(ids->views);
-    g_free(ids->lent_peer);
+    g_free(ids->returned_peer);
     g_free(ids->self);
     g_free(ids);
 }
@@ -146,7 +149,7 @@
 request_ids_set_members(struct request_ids *ids, const char *const *members,
                         size_t n_members, uint64_t epoch, int64_t now_ms)
 {
-    begin(ids, now_ms);
+    begin_call(ids, now_ms);
     request_views_set(ids->views, members, n_members, epoch, now_ms);
 }
 
@@ -183,56 +186,56 @@
 }
 
 static void
-send_on(struct request_ids *ids, const char *peer, uint32_t hops,
+forward(struct request_ids *ids, const char *peer, uint32_t hops,
         struct request_decision *decision)
 {
     if (peer == NULL || hops >= REQUEST_IDS_HOPS_MAX) {
         refuse(decision, OUTCOME_NOT_RUN, REASON_NO_QUORUM_LEASE);
         return;
     }
-    ids->lent_peer = g_strdup(peer);
+    ids->returned_peer = g_strdup(peer);
     *decision = (struct request_decision){
         .verdict = REQUEST_FORWARD,
-        .peer = ids->lent_peer,
+        .peer = ids->returned_peer,
     };
 }
 
 static bool
-will_ask(const struct request_ids *ids, const struct entry *entry,
-         const char *peer)
+will_query(const struct request_ids *ids, const struct entry *entry,
+           const char *peer)
 {
     return strcmp(peer, ids->self) == 0 ||
-           g_ptr_array_find_with_equal_func(entry->to_ask, peer, g_str_equal,
+           g_ptr_array_find_with_equal_func(entry->to_query, peer, g_str_equal,
                                             NULL);
 }
 
 static void
-add_to_ask(const struct request_ids *ids, struct entry *entry,
-           const char *peer)
+add_query(const struct request_ids *ids, struct entry *entry, const char *peer)
 {
     if (!request_views_registered(ids->views, peer)) {
         entry->owner_gone = true;
     }
-    else if (!will_ask(ids, entry, peer)) {
-        g_ptr_array_add(entry->to_ask, g_strdup(peer));
+    else if (!will_query(ids, entry, peer)) {
+        g_ptr_array_add(entry->to_query, g_strdup(peer));
     }
 }
 
-/* Run, ask the next earlier owner, or give up. */
+/* Queries the next earlier owner; after the last one, runs the request or
+ * answers that its outcome is unknown. */
 static void
-go_on(struct request_ids *ids, struct entry *entry, int64_t now_ms,
-      struct request_decision *decision)
+proceed(struct request_ids *ids, struct entry *entry, int64_t now_ms,
+        struct request_decision *decision)
 {
-    if (entry->n_asked < entry->to_ask->len) {
+    if (entry->n_queried < entry->to_query->len) {
         decide(decision, REQUEST_QUERY, entry);
-        decision->peer = g_ptr_array_index(entry->to_ask, entry->n_asked);
+        decision->peer = g_ptr_array_index(entry->to_query, entry->n_queried);
         return;
     }
     if (entry->owner_gone && !entry->first_attempt) {
         entry->outcome = OUTCOME_UNKNOWN;
         entry->reason = REASON_ID_OWNER_GONE;
         entry->state = ENTRY_FINISHED;
-        entry_keep(ids, entry, now_ms);
+        entry_start_retention(ids, entry, now_ms);
         decide(decision, REQUEST_ANSWER, entry);
         return;
     }
@@ -246,7 +249,7 @@
 {
     const char *owner = request_ids_owner(ids, request->team, request->id);
     if (owner == NULL || strcmp(owner, ids->self) != 0) {
-        send_on(ids, owner, request->hops, decision);
+        forward(ids, owner, request->hops, decision);
         return;
     }
     if (g_hash_table_size(ids->entries) >= ids->max_entries) {
@@ -254,19 +257,19 @@
         return;
     }
     struct entry *entry =
-        entry_create(ids, request->team, request->id, ENTRY_ASKING);
+        entry_create(ids, request->team, request->id, ENTRY_QUERYING);
     entry->body_hash_hex = g_strdup(request->body_hash_hex);
     entry->first_attempt = request->first_attempt;
     g_array_append_val(entry->tasks, request->task);
-    const char *earlier[REQUEST_IDS_EARLIER_OWNERS_MAX];
+    const char *earlier_owners[REQUEST_IDS_EARLIER_OWNERS_MAX];
     bool more = false;
     size_t n = request_views_earlier(ids->views, request->team, request->id,
-                                     earlier, &more);
+                                     earlier_owners, &more);
     for (size_t i = 0; i < n; i++) {
-        add_to_ask(ids, entry, earlier[i]);
+        add_query(ids, entry, earlier_owners[i]);
     }
     entry->owner_gone = entry->owner_gone || more;
-    go_on(ids, entry, now_ms, decision);
+    proceed(ids, entry, now_ms, decision);
 }
 
 static void
@@ -275,7 +278,7 @@
             struct request_decision *decision)
 {
     if (entry->state == ENTRY_MOVED) {
-        send_on(ids, entry->moved_to, request->hops, decision);
+        forward(ids, entry->moved_to, request->hops, decision);
         return;
     }
     if (g_strcmp0(entry->body_hash_hex, request->body_hash_hex) != 0) {
@@ -296,7 +299,7 @@
 request_ids_claim(struct request_ids *ids, const struct request_id *request,
                   int64_t now_ms, struct request_decision *decision)
 {
-    begin(ids, now_ms);
+    begin_call(ids, now_ms);
     struct entry *entry = entry_find(ids, request->team, request->id);
     if (entry != NULL) {
         claim_known(ids, entry, request, decision);
@@ -307,25 +310,26 @@
 }
 
 static void
-told_finished(struct request_ids *ids, struct entry *entry,
-              const struct id_query_reply *report, int64_t now_ms,
-              struct request_decision *decision)
+apply_finished_reply(struct request_ids *ids, struct entry *entry,
+                     const struct id_query_reply *reply, int64_t now_ms,
+                     struct request_decision *decision)
 {
     entry->state = ENTRY_FINISHED;
-    entry->outcome = report->outcome;
-    entry->reason = report->reason;
-    entry->answer = report->answer ? g_bytes_ref(report->answer) : NULL;
-    entry_keep(ids, entry, now_ms);
+    entry->outcome = reply->outcome;
+    entry->reason = reply->reason;
+    entry->answer = reply->answer ? g_bytes_ref(reply->answer) : NULL;
+    entry_start_retention(ids, entry, now_ms);
     decide(decision, REQUEST_ANSWER, entry);
 }
 
 static void
-told_runs(struct request_ids *ids, struct entry *entry, const char *peer,
-          int64_t now_ms, struct request_decision *decision)
+apply_running_reply(struct request_ids *ids, struct entry *entry,
+                    const char *peer, int64_t now_ms,
+                    struct request_decision *decision)
 {
     entry->state = ENTRY_MOVED;
     entry->moved_to = g_strdup(peer);
-    entry_keep(ids, entry, now_ms);
+    entry_start_retention(ids, entry, now_ms);
     decide(decision, REQUEST_FORWARD, entry);
     decision->peer = entry->moved_to;
 }
@@ -333,84 +337,86 @@
 void
 request_ids_query_answered(struct request_ids *ids, const char *team,
                            const char *id, const char *peer,
-                           const struct id_query_reply *report, int64_t now_ms,
+                           const struct id_query_reply *reply, int64_t now_ms,
                            struct request_decision *decision)
 {
-    begin(ids, now_ms);
+    begin_call(ids, now_ms);
     struct entry *entry = entry_find(ids, team, id);
-    if (entry == NULL || entry->state != ENTRY_ASKING ||
-        entry->n_asked >= entry->to_ask->len ||
-        strcmp(g_ptr_array_index(entry->to_ask, entry->n_asked), peer) != 0) {
+    if (entry == NULL || entry->state != ENTRY_QUERYING ||
+        entry->n_queried >= entry->to_query->len ||
+        strcmp(g_ptr_array_index(entry->to_query, entry->n_queried), peer) !=
+            0) {
         *decision = (struct request_decision){.verdict = REQUEST_WAIT};
         return;
     }
-    entry->n_asked++;
-    for (size_t i = 0; i < report->n_earlier_owners; i++) {
-        add_to_ask(ids, entry, report->earlier_owners[i]);
+    entry->n_queried++;
+    for (size_t i = 0; i < reply->n_earlier_owners; i++) {
+        add_query(ids, entry, reply->earlier_owners[i]);
     }
-    if (report->result == ID_QUERY_FINISHED) {
-        told_finished(ids, entry, report, now_ms, decision);
+    if (reply->result == ID_QUERY_FINISHED) {
+        apply_finished_reply(ids, entry, reply, now_ms, decision);
         return;
     }
-    if (report->result == ID_QUERY_RUNNING) {
-        told_runs(ids, entry, peer, now_ms, decision);
+    if (reply->result == ID_QUERY_RUNNING) {
+        apply_running_reply(ids, entry, peer, now_ms, decision);
         return;
     }
-    entry->owner_gone |= report->result != ID_QUERY_ABSENT;
-    if (report->result == ID_QUERY_UNREACHABLE) {
-        /* It may accept the id itself: vouching for a first attempt does
-         * not rule that out. */
+    entry->owner_gone |= reply->result != ID_QUERY_ABSENT;
+    if (reply->result == ID_QUERY_UNREACHABLE) {
+        /* The peer may have accepted the id itself, which the caller's
+         * declaration of a first attempt does not rule out. */
         entry->first_attempt = false;
     }
-    go_on(ids, entry, now_ms, decision);
+    proceed(ids, entry, now_ms, decision);
 }
 
 static void
-report_earlier(struct request_ids *ids, const char *team, const char *id,
-               struct id_query_reply *report)
+reply_earlier_owners(struct request_ids *ids, const char *team, const char *id,
+                     struct id_query_reply *reply)
 {
     bool more = false;
-    report->n_earlier_owners = request_views_earlier(
-        ids->views, team, id, report->earlier_owners, &more);
+    reply->n_earlier_owners = request_views_earlier(
+        ids->views, team, id, reply->earlier_owners, &more);
     size_t kept = 0;
-    for (size_t i = 0; i < report->n_earlier_owners; i++) {
-        if (request_views_registered(ids->views, report->earlier_owners[i])) {
-            report->earlier_owners[kept++] = report->earlier_owners[i];
+    for (size_t i = 0; i < reply->n_earlier_owners; i++) {
+        if (request_views_registered(ids->views, reply->earlier_owners[i])) {
+            reply->earlier_owners[kept++] = reply->earlier_owners[i];
         }
         else {
             more = true;
         }
     }
-    report->n_earlier_owners = kept;
-    report->result = more ? ID_QUERY_OWNER_GONE : ID_QUERY_ABSENT;
+    reply->n_earlier_owners = kept;
+    reply->result = more ? ID_QUERY_OWNER_GONE : ID_QUERY_ABSENT;
 }
 
 static void
-report_entry(const struct entry *entry, struct id_query_reply *report)
+reply_entry(const struct entry *entry, struct id_query_reply *reply)
 {
-    report->result =
+    reply->result =
         entry->state == ENTRY_FINISHED ? ID_QUERY_FINISHED : ID_QUERY_RUNNING;
-    report->outcome = entry->outcome;
-    report->reason = entry->reason;
-    report->answer = entry->answer;
+    reply->outcome = entry->outcome;
+    reply->reason = entry->reason;
+    reply->answer = entry->answer;
 }
 
 void
 request_ids_query(struct request_ids *ids, const char *team, const char *id,
                   const char *asker, int64_t now_ms,
-                  struct id_query_reply *report)
+                  struct id_query_reply *reply)
 {
-    begin(ids, now_ms);
-    *report = (struct id_query_reply){.result = ID_QUERY_ABSENT};
+    begin_call(ids, now_ms);
+    *reply = (struct id_query_reply){.result = ID_QUERY_ABSENT};
     struct entry *entry = entry_find(ids, team, id);
     if (entry != NULL && entry->state != ENTRY_MOVED) {
-        report_entry(entry, report);
+        reply_entry(entry, reply);
         return;
     }
-    report_earlier(ids, team, id, report);
+    reply_earlier_owners(ids, team, id, reply);
     if (entry == NULL && request_ids_count(ids) >= 2 * ids->max_entries) {
-        /* No room to close the id here. */
-        report->result = ID_QUERY_OWNER_GONE;
+        /* No capacity to store that the id moved, so a later request might
+         * be run here. */
+        reply->result = ID_QUERY_OWNER_GONE;
         return;
     }
     if (entry == NULL) {
@@ -418,16 +424,16 @@
     }
     else if (strcmp(entry->moved_to, asker) != 0 &&
              request_views_registered(ids->views, entry->moved_to) &&
-             report->n_earlier_owners < REQUEST_IDS_EARLIER_OWNERS_MAX) {
-        ids->lent_peer = g_strdup(entry->moved_to);
-        report->earlier_owners[report->n_earlier_owners++] = ids->lent_peer;
+             reply->n_earlier_owners < REQUEST_IDS_EARLIER_OWNERS_MAX) {
+        ids->returned_peer = g_strdup(entry->moved_to);
+        reply->earlier_owners[reply->n_earlier_owners++] = ids->returned_peer;
     }
     else if (strcmp(entry->moved_to, asker) != 0) {
-        report->result = ID_QUERY_OWNER_GONE;
+        reply->result = ID_QUERY_OWNER_GONE;
     }
     g_free(entry->moved_to);
     entry->moved_to = g_strdup(asker);
-    entry_keep(ids, entry, now_ms);
+    entry_start_retention(ids, entry, now_ms);
 }
 
 void
@@ -435,7 +441,7 @@
                      enum outcome outcome, enum reason reason, GBytes *answer,
                      int64_t now_ms, struct request_decision *decision)
 {
-    begin(ids, now_ms);
+    begin_call(ids, now_ms);
     struct entry *entry = entry_find(ids, team, id);
     if (entry == NULL || entry->state != ENTRY_RUNNING) {
         refuse(decision, outcome, reason);
@@ -450,7 +456,7 @@
         entry_retire(ids, entry);
     }
     else {
-        entry_keep(ids, entry, now_ms);
+        entry_start_retention(ids, entry, now_ms);
     }
 }
 
--- a/core/request_views.c
+++ b/core/request_views.c
@@ -1,3 +1,4 @@
+/* History of the sets of registered gateways; finds earlier owners of ids. */
 #include "request_views.h"
 
 #include <glib.h>
@@ -15,10 +16,10 @@
     char *self;
     int64_t retention_ms;
     uint64_t epoch;
-    /* Until then owners that nobody here remembers can't be ruled out. */
+    /* Until then there may have been owners that no known set contains. */
     int64_t unknown_until_ms;
     int64_t now_ms;
-    /* Newest last; all but the last one were replaced. */
+    /* Oldest first; the last one is current. */
     GQueue views;
 };
 
@@ -77,13 +78,14 @@
     }
 }
 
-/* A gateway that joins an empty set is alone with ids of gateways that are
- * all gone, unless it is the first one ever. */
+/* If this gateway joined an empty set, the earlier gateways are all gone and
+ * nobody knows which ids they ran, unless it is the first gateway ever. */
 static void
-note_unknown_past(struct request_views *views, uint64_t epoch, int64_t now_ms)
+detect_unknown_past(struct request_views *views, uint64_t epoch,
+                    int64_t now_ms)
 {
-    const struct view *before = g_queue_peek_head(&views->views);
-    if (before->members->len == 0 && epoch > 1) {
+    const struct view *first = g_queue_peek_head(&views->views);
+    if (first->members->len == 0 && epoch > 1) {
         views->unknown_until_ms = now_ms + views->retention_ms;
     }
 }
@@ -97,11 +99,11 @@
         return;
     }
     if (first) {
-        /* What was before this gateway joined; whoever owned an id then
-         * knows of still earlier owners. */
+        /* The set before this gateway joined; the owner of an id in it
+         * knows still earlier owners. */
         g_queue_push_tail(&views->views,
                           view_create(members, n_members, views->self));
-        note_unknown_past(views, epoch, now_ms);
+        detect_unknown_past(views, epoch, now_ms);
     }
     replace_newest(views, now_ms);
     g_queue_push_tail(&views->views, view_create(members, n_members, NULL));
@@ -137,7 +139,7 @@
 }
 
 static bool
-listed(const char *const *names, size_t n_names, const char *name)
+contains(const char *const *names, size_t n_names, const char *name)
 {
     for (size_t i = 0; i < n_names; i++) {
         if (strcmp(names[i], name) == 0) {
@@ -157,7 +159,7 @@
     for (link = link ? link->prev : NULL; link != NULL; link = link->prev) {
         const char *owner = view_owner(link->data, team, id);
         if (owner == NULL || strcmp(owner, views->self) == 0 ||
-            listed(earlier, n, owner)) {
+            contains(earlier, n, owner)) {
             continue;
         }
         if (n == REQUEST_IDS_EARLIER_OWNERS_MAX) {
--- a/core/request_views.h
+++ b/core/request_views.h
@@ -1,4 +1,5 @@
-/* Sets of registered gateways, now and within the retention time. */
+/* Sets of registered gateways: the current one and those that were current
+ * within the retention time. */
 #ifndef CORE_REQUEST_VIEWS_H
 #define CORE_REQUEST_VIEWS_H
 
@@ -13,22 +14,22 @@
 void
 request_views_destroy(struct request_views *views);
 
-/** request_views_set() - follow a newer set; an older epoch is ignored. */
+/** request_views_set() - set the current members, unless @epoch is older. */
 void
 request_views_set(struct request_views *views, const char *const *members,
                   size_t n_members, uint64_t epoch, int64_t now_ms);
 
-/** request_views_expire() - forget sets replaced longer than the retention
- * time ago. */
+/** request_views_expire() - drop sets that were replaced longer ago than the
+ * retention time. */
 void
 request_views_expire(struct request_views *views, int64_t now_ms);
 
-/** request_views_owner() - owner of an id under the newest set. */
+/** request_views_owner() - owner of an id in the current set. */
 const char *
 request_views_owner(const struct request_views *views, const char *team,
                     const char *id);
 
-/** request_views_registered() - whether @member is in the newest set. */
+/** request_views_registered() - whether @member is in the current set. */
 bool
 request_views_registered(const struct request_views *views,
                          const char *member);
@@ -36,8 +37,8 @@
 /**
  * request_views_earlier() - other gateways that owned the id within the
  * retention time
- * @earlier: REQUEST_IDS_EARLIER_OWNERS_MAX places for their names
- * @more: set to whether there may be others, gone or too many to list
+ * @earlier: array of REQUEST_IDS_EARLIER_OWNERS_MAX names to fill
+ * @more: set to whether there may be others: unknown ones, or more than fit
  *
  * Returns: how many were found.
  */
--- a/core/share_plan.c
+++ b/core/share_plan.c
@@ -1,14 +1,16 @@
+/* Water filling: claims are satisfied in the order in which a common level of
+ * slots per weight reaches them. */
 #include "core/share_plan.h"
 
 #include <stdlib.h>
 
 static double
-wanted(const struct share_claim *claim)
+usable_slots(const struct share_claim *claim)
 {
     return claim->demand < claim->limit ? claim->demand : claim->limit;
 }
 
-/* Who is satisfied first when all are filled by weight comes first. */
+/* Orders claims by the slots per weight at which they are satisfied. */
 static int
 compare_level(const void *a, const void *b)
 {
@@ -28,13 +30,14 @@
 }
 
 static double
-fill(struct share_claim *claims, size_t n_claims, double slots)
+allocate(struct share_claim *claims, size_t n_claims, double slots)
 {
     double weight = total_weight(claims, n_claims);
     for (size_t i = 0; i < n_claims; i++) {
         struct share_claim *claim = &claims[i];
         double due = weight > 0 ? slots * claim->weight / weight : 0;
-        claim->allocated = wanted(claim) < due ? wanted(claim) : due;
+        claim->allocated =
+            usable_slots(claim) < due ? usable_slots(claim) : due;
         slots -= claim->allocated;
         weight -= claim->weight;
     }
@@ -47,8 +50,8 @@
     double weight = total_weight(claims, n_claims);
     for (size_t i = 0; i < n_claims && weight > 0; i++) {
         struct share_claim *claim = &claims[i];
-        double given = claim->allocated + slots * claim->weight / weight;
-        claim->allocated = given < claim->limit ? given : claim->limit;
+        double share = claim->allocated + slots * claim->weight / weight;
+        claim->allocated = share < claim->limit ? share : claim->limit;
     }
 }
 
@@ -59,10 +62,10 @@
         return;
     }
     for (size_t i = 0; i < n_claims; i++) {
-        claims[i].fill_level = wanted(&claims[i]) / claims[i].weight;
+        claims[i].fill_level = usable_slots(&claims[i]) / claims[i].weight;
     }
     qsort(claims, n_claims, sizeof(claims[0]), compare_level);
-    double left = fill(claims, n_claims, slots);
+    double left = allocate(claims, n_claims, slots);
     if (left > 1e-9) {
         add_headroom(claims, n_claims, left);
     }
--- a/include/core/deadline_heap.h
+++ b/include/core/deadline_heap.h
@@ -1,4 +1,4 @@
-/* Entries ordered by time, each removable at any moment. */
+/* Min-heap of deadlines; any entry can be moved or removed. */
 #ifndef CORE_DEADLINE_HEAP_H
 #define CORE_DEADLINE_HEAP_H
 
@@ -7,10 +7,10 @@
 #include <stdint.h>
 
 /**
- * struct deadline_entry - an entry, embedded in what it belongs to
+ * struct deadline_entry - an entry, embedded in the object it belongs to
  * @at_ms: when it is due
- * @index: position in the heap plus one; 0 when it is in none
- * @owner: what it is embedded in
+ * @index: position in the heap plus one; 0 when it is in no heap
+ * @owner: the object that deadline_heap_pop() returns
  */
 struct deadline_entry {
     int64_t at_ms;
@@ -30,7 +30,7 @@
 deadline_heap_set(struct deadline_heap *heap, struct deadline_entry *entry,
                   int64_t at_ms);
 
-/** deadline_heap_remove() - take @entry out if it is in; O(log n). */
+/** deadline_heap_remove() - remove @entry if it is in the heap; O(log n). */
 void
 deadline_heap_remove(struct deadline_heap *heap, struct deadline_entry *entry);
 
@@ -39,8 +39,8 @@
 int64_t
 deadline_heap_first_ms(const struct deadline_heap *heap);
 
-/** deadline_heap_pop() - owner of the first entry that is due at @now_ms,
- * which is taken out; NULL for none. */
+/** deadline_heap_pop() - remove the first entry that is due at @now_ms and
+ * return its owner; NULL if none is due. */
 void *
 deadline_heap_pop(struct deadline_heap *heap, int64_t now_ms);
 
--- a/include/core/dispatch.h
+++ b/include/core/dispatch.h
@@ -1,4 +1,4 @@
-/* Decides which waiting task starts when and on which host. */
+/* Decides when and on which host each waiting task starts. */
 #ifndef CORE_DISPATCH_H
 #define CORE_DISPATCH_H
 
@@ -10,16 +10,16 @@
 #include "core/outcome.h"
 
 /**
- * struct dispatch_host - a backend server as the platform and the fleet
- * records show it
+ * struct dispatch_host - a backend server, from the platform's host list and
+ * the fleet records
  * @name: unique name
  * @address: "IP:port"
  * @pool: pool of its host record; NULL or "" when it has none
  * @dc: data centre
  * @rack: rack within the data centre
- * @slots: tasks it runs at a time
- * @connections: connections it accepts from all gateways together
- * @accepting: whether new work may go to it (live, not leaving or draining)
+ * @slots: number of tasks it runs at a time
+ * @connections: number of connections it accepts from all gateways together
+ * @accepting: whether it takes new tasks (live, not leaving or draining)
  */
 struct dispatch_host {
     const char *name;
@@ -33,13 +33,13 @@
 };
 
 /**
- * struct dispatch_task - a request as it is queued; texts are copied
+ * struct dispatch_task - a request to queue; strings are copied
  * @id: unique on this gateway
  * @team, @queue: names in the configuration
- * @key_id: key it came with; NULL on open queues
- * @key_hash_hex: SHA-256 of the key text that was shown; NULL on open queues
+ * @key_id: id of the API key in the request; NULL on open queues
+ * @key_hash_hex: SHA-256 of the API key in the request; NULL on open queues
  * @idempotent: may run more than once
- * @forwarded: came from another gateway, must not be forwarded again
+ * @forwarded: came from another gateway and must not be forwarded again
  */
 struct dispatch_task {
     uint64_t id;
@@ -52,9 +52,9 @@
 };
 
 /**
- * enum dispatch_action_type - what the shell is asked to do next
+ * enum dispatch_action_type - what the user of the dispatcher has to do next
  * @DISPATCH_START: send attempt @attempt of the task to @host
- * @DISPATCH_FORWARD: hand the task to gateway @peer, which has free permits
+ * @DISPATCH_FORWARD: forward the task to gateway @peer, which has free permits
  * @DISPATCH_REFUSE: answer the caller with @outcome and @reason
  */
 enum dispatch_action_type {
@@ -67,9 +67,9 @@
  * struct dispatch_action - one decision
  * @attempt: unique number of the attempt, for DISPATCH_START
  * @host, @address: chosen backend server; valid until the next call
- * @lease_ms: lease to hand to the backend server
+ * @lease_ms: lease of the attempt, to be sent to the backend server
  * @peer: chosen gateway; valid until the next call
- * @retry_after_ms: for refusals, a hint; 0 for none
+ * @retry_after_ms: for refusals, hint when to retry; 0 for none
  */
 struct dispatch_action {
     enum dispatch_action_type type;
@@ -86,13 +86,14 @@
 
 /**
  * enum attempt_result - how an attempt or a forwarding ended
- * @ATTEMPT_DONE: whole answer received, the task succeeded
- * @ATTEMPT_FAILED: whole answer received, the task ran and failed there
- * @ATTEMPT_REFUSED: the backend server said that it did not run it
- * @ATTEMPT_NOT_SENT: no byte of the request left
- * @ATTEMPT_LOST: bytes left and no whole answer came
- * @ATTEMPT_STOPPED: the backend server said that it stopped or never
- *                   started it, after a cancellation
+ * @ATTEMPT_DONE: complete answer received, the task succeeded
+ * @ATTEMPT_FAILED: complete answer received, the task ran and failed there
+ * @ATTEMPT_REFUSED: the backend server answered that it did not run the task
+ * @ATTEMPT_NOT_SENT: no byte of the request was sent
+ * @ATTEMPT_LOST: the request was sent at least in part, and no complete answer
+ *                was received
+ * @ATTEMPT_STOPPED: after a cancellation, the backend server answered that it
+ *                   stopped the task or never started it
  */
 enum attempt_result {
     ATTEMPT_DONE,
@@ -105,12 +106,12 @@
 
 /**
  * struct dispatch_usage - one team's use of one pool on one gateway
- * @team: name; "" for teams of @pool that are not listed one by one, with the
- *        slots that the gateway needs free for urgent work, in thousandths,
- *        in @served_milli
+ * @team: name; "" for the sum over teams of @pool that are not reported one by
+ *        one. Such an entry has in @served_milli the slots that the gateway
+ *        needs free for urgent tasks, in thousandths of a slot
  * @pool: name; "" when the team has only free permits to report
- * @running, @queued: attempts and waiting tasks now
- * @served_milli: service since start, thousandths of a unit
+ * @running, @queued: current numbers of attempts and of waiting tasks
+ * @served_milli: service since start, in thousandths of a service unit
  * @free_permits: permits of the team that are not in use
  */
 struct dispatch_usage {
@@ -136,29 +137,30 @@
 void
 dispatch_destroy(struct dispatch *dispatch);
 
-/** dispatch_set_config() - follow a new generation; @config is borrowed
- * until the next call. Queued work of queues and teams that are gone is
- * refused by the next dispatch_next(). */
+/** dispatch_set_config() - apply a new generation; @config must stay valid
+ * until the next call. Waiting tasks of removed queues and teams are refused
+ * by the next dispatch_next(). */
 void
 dispatch_set_config(struct dispatch *dispatch, const struct config *config);
 
 /** dispatch_set_hosts() - replace the list of backend servers. Running
- * attempts on hosts that are gone stay counted until they are settled. */
+ * attempts on removed hosts stay counted until they are resolved. */
 void
 dispatch_set_hosts(struct dispatch *dispatch,
                    const struct dispatch_host *hosts, size_t n_hosts);
 
-/** dispatch_set_quorum_lease() - no start at or after @until_ms. */
+/** dispatch_set_quorum_lease() - nothing starts at or after @expires_ms. */
 void
-dispatch_set_quorum_lease(struct dispatch *dispatch, int64_t until_ms);
+dispatch_set_quorum_lease(struct dispatch *dispatch, int64_t expires_ms);
 
-/** dispatch_set_permits() - attempts of @team this gateway may have running
- * at once. */
+/** dispatch_set_permits() - set how many attempts of @team may run on this
+ * gateway at a time. */
 void
 dispatch_set_permits(struct dispatch *dispatch, const char *team,
                      uint32_t permits);
 
-/** dispatch_team_running() - attempts of @team that are not settled. */
+/** dispatch_team_running() - attempts of @team that are running or may still
+ * run. */
 uint32_t
 dispatch_team_running(const struct dispatch *dispatch, const char *team);
 
@@ -169,39 +171,40 @@
 /**
  * dispatch_submit() - queue a task
  *
- * Returns: REASON_NONE when queued; else why it is refused as not run, with
- * a hint in *@retry_after_ms.
+ * Returns: REASON_NONE when queued; otherwise why it is refused (it was not
+ * run), with a hint when to retry in *@retry_after_ms.
  */
 enum reason
 dispatch_submit(struct dispatch *dispatch, const struct dispatch_task *task,
                 int64_t now_ms, int64_t *retry_after_ms);
 
 /**
- * dispatch_next() - next decision
+ * dispatch_next() - get the next decision
  *
- * Returns: whether @action was filled. Call until false after every event.
+ * Returns: whether @action was filled. After every event, call it until it
+ * returns false.
  */
 bool
 dispatch_next(struct dispatch *dispatch, int64_t now_ms,
               struct dispatch_action *action);
 
-/** dispatch_wake_ms() - when dispatch_next() should be called again even
- * without an event; INT64_MAX for never. */
+/** dispatch_wake_ms() - when to call dispatch_next() again even without an
+ * event; INT64_MAX for never. */
 int64_t
 dispatch_wake_ms(const struct dispatch *dispatch, int64_t now_ms);
 
 /**
- * dispatch_may_send() - last check, when the bytes of an attempt are about
- * to leave: standing, key, data centre, host, team limit.
+ * dispatch_may_send() - last check immediately before an attempt is sent:
+ * quorum lease, key, data centre, host, team limit
  *
- * Returns: REASON_NONE, or why the attempt must not be sent; the shell then
- * reports ATTEMPT_NOT_SENT.
+ * Returns: REASON_NONE, or why the attempt must not be sent; then report
+ * ATTEMPT_NOT_SENT.
  */
 enum reason
 dispatch_may_send(const struct dispatch *dispatch, uint64_t attempt,
                   int64_t now_ms);
 
-/** dispatch_sent() - the first byte of the attempt is about to leave. */
+/** dispatch_sent() - the first byte of the attempt is about to be sent. */
 void
 dispatch_sent(struct dispatch *dispatch, uint64_t attempt, int64_t now_ms);
 
@@ -210,62 +213,62 @@
  *
  * After ATTEMPT_LOST the attempt stays counted against the team's permits
  * and the host's slots until dispatch_attempt_resolved() or until its lease
- * has run out. What becomes of the task follows from dispatch_next(): a
- * retry elsewhere, a refusal, or, for ATTEMPT_DONE and ATTEMPT_FAILED,
- * nothing: the shell passes the answer on.
+ * has expired.
  *
- * Returns: true when the task is over (the shell passes on what it has),
- * false when a further action for the task will follow.
+ * Returns: true when the task has ended, so that the received answer is to be
+ * passed on; false when dispatch_next() will return another action for the
+ * task, a retry or a refusal.
  */
 bool
 dispatch_attempt_ended(struct dispatch *dispatch, uint64_t attempt,
                        enum attempt_result result, int64_t now_ms);
 
-/** dispatch_attempt_resolved() - a lost attempt is known not to run now. */
+/** dispatch_attempt_resolved() - a lost attempt is known to run no more. */
 void
 dispatch_attempt_resolved(struct dispatch *dispatch, uint64_t attempt,
                           int64_t now_ms);
 
-/** dispatch_forward_ended() - how forwarding of @task ended; same meaning of
- * the return value as for dispatch_attempt_ended(). */
+/** dispatch_forward_ended() - report how forwarding of @task ended; returns
+ * the same as dispatch_attempt_ended(). */
 bool
 dispatch_forward_ended(struct dispatch *dispatch, uint64_t task,
                        enum attempt_result result, int64_t now_ms);
 
 /**
- * dispatch_cancel() - the caller gave up
+ * dispatch_cancel() - the caller cancelled the task
  * @attempt: set to the attempt to cancel at its backend server, or 0
  *
- * Returns: true when the task was still waiting and is now gone; false when
- * an attempt is out or the task is not known.
+ * Returns: true when the task was still waiting and was removed; false when an
+ * attempt or forwarding is in progress or the task is not known.
  */
 bool
 dispatch_cancel(struct dispatch *dispatch, uint64_t task, uint64_t *attempt,
                 int64_t now_ms);
 
-/** dispatch_drain() - refuse what is queued and can't be forwarded: the
- * gateway is shutting down and takes no more. */
+/** dispatch_drain() - the gateway shuts down: refuse new tasks, and waiting
+ * ones that can't be started or forwarded. */
 void
 dispatch_drain(struct dispatch *dispatch);
 
-/** dispatch_host_load() - what a host says it runs, from any answer. */
+/** dispatch_host_load() - number of tasks that a host runs, as reported in any
+ * of its answers. */
 void
 dispatch_host_load(struct dispatch *dispatch, const char *host,
                    uint32_t running, int64_t now_ms);
 
-/** dispatch_usage_get() - this gateway's usage; entries are valid until the
- * next call. */
+/** dispatch_usage_get() - get this gateway's usage; entries are valid until
+ * the next call. */
 size_t
 dispatch_usage_get(struct dispatch *dispatch,
                    const struct dispatch_usage **entries, int64_t now_ms);
 
-/** dispatch_peer_usage() - usage that gateway @peer reported. */
+/** dispatch_peer_usage() - gateway @peer reported its usage. */
 void
 dispatch_peer_usage(struct dispatch *dispatch, const char *peer,
                     const struct dispatch_usage *entries, size_t n_entries,
                     int64_t now_ms);
 
-/** dispatch_peer_gone() - forget what @peer reported. */
+/** dispatch_peer_gone() - discard the usage that @peer reported. */
 void
 dispatch_peer_gone(struct dispatch *dispatch, const char *peer);
 
@@ -284,7 +287,8 @@
     enum reason waits_for;
 };
 
-/** dispatch_explain() - state of a queue; false when it is not known. */
+/** dispatch_explain() - get the state of a queue; false when it is not
+ * known. */
 bool
 dispatch_explain(const struct dispatch *dispatch, const char *queue,
                  int64_t now_ms, struct dispatch_explanation *explanation);
--- a/include/core/dispatch_report.h
+++ b/include/core/dispatch_report.h
@@ -1,4 +1,4 @@
-/* What the fleet controller needs to know of a dispatcher's work. */
+/* State of a dispatcher that is reported to the fleet controller. */
 #ifndef CORE_DISPATCH_REPORT_H
 #define CORE_DISPATCH_REPORT_H
 
@@ -7,12 +7,12 @@
 #include "core/dispatch.h"
 
 /**
- * struct dispatch_pool_report - one pool's use by this gateway now
- * @busy_slots: attempts that are not settled
+ * struct dispatch_pool_report - this gateway's current use of one pool
+ * @busy_slots: attempts that are running or may still run
  * @queued: waiting tasks
- * @mean_run_ms: mean run time observed, 0 for unknown
- * @min_start_deadline_ms: shortest start deadline of the pool's queues, 0 for
- * none
+ * @mean_run_ms: observed mean run time, 0 if unknown
+ * @min_start_deadline_ms: shortest start deadline of the pool's queues, 0 if
+ *                         there are none
  */
 struct dispatch_pool_report {
     const char *pool;
@@ -37,8 +37,8 @@
                                            uint32_t failures),
                               void *ctx);
 
-/** dispatch_report_host_attempts() - attempts on @host that are not settled.
- */
+/** dispatch_report_host_attempts() - attempts on @host that are running or may
+ * still run. */
 uint32_t
 dispatch_report_host_attempts(const struct dispatch *dispatch,
                               const char *host);
--- a/include/core/outcome.h
+++ b/include/core/outcome.h
@@ -1,10 +1,10 @@
-/* What became of a task, and why. */
+/* Outcome of a task, and the reason for it. */
 #ifndef CORE_OUTCOME_H
 #define CORE_OUTCOME_H
 
 /**
- * enum outcome - truth about a task, as told to the caller
- * @OUTCOME_DONE: it ran and the whole answer is passed on
+ * enum outcome - outcome of a task, as reported to the caller
+ * @OUTCOME_DONE: it ran and the complete answer is passed on
  * @OUTCOME_NOT_RUN: it certainly did not run and never will
  * @OUTCOME_UNKNOWN: it may have run or may still run
  */
@@ -14,7 +14,9 @@
     OUTCOME_UNKNOWN,
 };
 
-/** enum reason - why a task was refused, delayed or lost */
+/** enum reason - why a task was refused, delayed or lost. REASON_NEVER_RUNS:
+ * it failed on too many hosts; REASON_ANSWER_NOT_KEPT: it ran earlier, but its
+ * answer was not stored */
 enum reason {
     REASON_NONE,
     REASON_UNKNOWN_QUEUE,
--- a/include/core/permits.h
+++ b/include/core/permits.h
@@ -1,4 +1,5 @@
-/* One team's permits on one gateway: what may run here, what to write. */
+/* One team's permits on one gateway: how many attempts may run here, and what
+ * to write to the store. */
 #ifndef CORE_PERMITS_H
 #define CORE_PERMITS_H
 
@@ -14,11 +15,12 @@
 
 /**
  * struct permits_record - a team's record as stored
- * @write: names the write, so that a lost answer can be told by reading back
+ * @write: unique id of the write; when its result is unknown, reading the
+ *         record back shows whether it took effect
  * @generation: configuration generation that last changed @limit
- * @limit: most permits all holdings may add up to; they add up to more only
- *         while a lowered limit takes hold
- * @holdings: sorted by incarnation, none of them 0
+ * @limit: maximum sum of all holdings; exceeded only until the gateways have
+ *         returned permits after the limit was lowered
+ * @holdings: sorted by incarnation; none of them 0
  */
 struct permits_record {
     char *write;
@@ -45,16 +47,16 @@
 permits_record_set(struct permits_record *record, const char *incarnation,
                    uint32_t held);
 
-/** permits_record_sum() - all holdings. */
+/** permits_record_sum() - sum of all holdings. */
 uint64_t
 permits_record_sum(const struct permits_record *record);
 
 /**
- * struct permits - a team's record as one gateway last saw it
+ * struct permits - a team's record as last read by one gateway
  *
- * A holding is lowered here before the write that lowers it is sent, and
- * raised only when a write or a read confirms it. While the holdings add up
- * to more than the limit, nothing may start anywhere.
+ * A lower holding applies here before the write that lowers it is sent; a
+ * higher one only when a write or a read confirms it. While the sum of the
+ * holdings exceeds the limit, no gateway may start tasks of the team.
  */
 struct permits;
 
@@ -63,33 +65,34 @@
 void
 permits_destroy(struct permits *permits);
 
-/** permits_set_limit() - limit in configuration @generation. */
+/** permits_set_limit() - set the limit from configuration @generation. */
 void
 permits_set_limit(struct permits *permits, uint32_t limit,
                   uint64_t generation);
 
-/** permits_observe() - use of the team here, once each heartbeat. */
+/** permits_observe() - report the team's use of this gateway; called once per
+ * heartbeat. */
 void
 permits_observe(struct permits *permits, uint32_t running, uint32_t queued);
 
-/** permits_read() - the record at @version; NULL and 0 when there is none.
- * Versions older than the one known are ignored. */
+/** permits_read() - the record was read at @version; NULL and 0 when there is
+ * none. Versions that are not newer than the known one are ignored. */
 void
 permits_read(struct permits *permits, const struct permits_record *record,
              uint64_t version);
 
-/** permits_peer_request() - @peer asks for @permits; kept until the next plan.
- */
+/** permits_peer_request() - @peer requests @count permits; the next plan
+ * considers it. */
 void
 permits_peer_request(struct permits *permits, const char *peer,
                      uint32_t count);
 
 /**
- * struct permits_fleet - facts about the fleet that a plan rests on
- * @n_live: registered gateways
- * @rank: place of this one among them
+ * struct permits_fleet - snapshot of the fleet that a plan is based on
+ * @n_live: number of registered gateways
+ * @rank: index of this one among them
  * @is_live: whether an incarnation is registered
- * @reclaimable: whether a holding can be in use no more
+ * @reclaimable: whether the holding of an incarnation can't be in use any more
  */
 struct permits_fleet {
     uint32_t n_live;
@@ -100,7 +103,8 @@
 };
 
 /**
- * struct permits_write - a write to send: CAS of @record at @version
+ * struct permits_write - a write to send: compare-and-set of @record at
+ * @version
  * @record: valid until permits_written()
  */
 struct permits_write {
@@ -109,11 +113,13 @@
 };
 
 /**
- * permits_plan() - next write for the team
- * @running: attempts that count here now
+ * permits_plan() - plan the next write for the team
+ * @running: attempts of the team that hold a permit here now
+ *
+ * The caller has to apply permits_usable() before it sends the write, since
+ * the write may lower the holding.
  *
- * permits_usable() has to be applied after it and before the write is sent.
- * Returns: whether there is one; never while another is under way.
+ * Returns: whether there is a write; never while another is in progress.
  */
 bool
 permits_plan(struct permits *permits, uint32_t running,
@@ -127,21 +133,21 @@
     PERMITS_UNKNOWN,
 };
 
-/** permits_written() - end of the write; @version is the new version for
- * PERMITS_WRITTEN. The present record, if known, goes to permits_read(). */
+/** permits_written() - the write has ended; @version is the new version for
+ * PERMITS_WRITTEN. The current record, if known, goes to permits_read(). */
 void
-permits_written(struct permits *permits, enum permits_write_result answer,
+permits_written(struct permits *permits, enum permits_write_result result,
                 uint64_t version);
 
-/** permits_record_deleted() - the record is not there any more. */
+/** permits_record_deleted() - the record no longer exists. */
 void
 permits_record_deleted(struct permits *permits);
 
-/** permits_usable() - attempts that may be counted here. */
+/** permits_usable() - attempts of the team that may run here at a time. */
 uint32_t
 permits_usable(const struct permits *permits);
 
-/** permits_stale() - whether the record should be read (again). */
+/** permits_stale() - whether the record has to be read (again). */
 bool
 permits_stale(const struct permits *permits);
 
@@ -149,14 +155,14 @@
 void
 permits_refresh(struct permits *permits);
 
-/** permits_shortage() - how many more this gateway would use, after what is
- * free has been taken. */
+/** permits_shortage() - permits that this gateway needs in addition to those
+ * it holds, to be requested from peers. */
 uint32_t
 permits_shortage(const struct permits *permits,
                  const struct permits_fleet *fleet);
 
-/** permits_incarnation_holds() - whether the last known record names
- * @incarnation. */
+/** permits_incarnation_holds() - whether @incarnation holds permits in the
+ * last known record. */
 bool
 permits_incarnation_holds(const struct permits *permits,
                           const char *incarnation);
@@ -165,7 +171,7 @@
 const struct permits_record *
 permits_record(const struct permits *permits);
 
-/** permits_release() - from now on give back whatever is not running. */
+/** permits_release() - from now on return all permits that are not in use. */
 void
 permits_release(struct permits *permits);
 
--- a/include/core/rendezvous.h
+++ b/include/core/rendezvous.h
@@ -1,4 +1,4 @@
-/* Rendezvous hashing: who owns an id among the members. */
+/* Rendezvous hashing: which member owns an id. */
 #ifndef CORE_RENDEZVOUS_H
 #define CORE_RENDEZVOUS_H
 
@@ -8,9 +8,10 @@
 /**
  * rendezvous_owner() - the member with the highest hash for (@scope, @id)
  *
- * Adding a member moves only ids to it; removing one moves only its own.
+ * Adding a member moves ids only to it; removing one moves only the ids that
+ * it owned.
  *
- * Returns: one of @members, whatever their order; NULL without members.
+ * Returns: one of @members, independent of their order; NULL without members.
  */
 const char *
 rendezvous_owner(const char *const *members, size_t n_members,
--- a/include/core/request_ids.h
+++ b/include/core/request_ids.h
@@ -1,4 +1,6 @@
-/* Request ids of non-idempotent requests: one owner each, one run each. */
+/* Request ids, which make sure that a non-idempotent request runs at most
+ * once: each id is owned by one gateway, which runs the request or knows its
+ * outcome. */
 #ifndef CORE_REQUEST_IDS_H
 #define CORE_REQUEST_IDS_H
 
@@ -10,7 +12,8 @@
 #include "core/outcome.h"
 
 enum {
-    /* Times a request may be sent on between gateways to find its owner. */
+    /* How often a request may be forwarded between gateways to reach its
+     * owner. */
     REQUEST_IDS_HOPS_MAX = 3,
     REQUEST_IDS_EARLIER_OWNERS_MAX = 16,
 };
@@ -18,9 +21,9 @@
 /**
  * struct request_ids_options - how to create a table
  * @self: this gateway's incarnation
- * @max_entries: ids kept at once; beyond it new ids are refused, since an
- *               entry within its retention must not be forgotten
- * @retention_ms: how long after its end the outcome of an id is known
+ * @max_entries: ids stored at a time; beyond it new ids are refused, since an
+ *               entry must not be removed before its retention has passed
+ * @retention_ms: how long the outcome of an id is stored after the run ended
  */
 struct request_ids_options {
     const char *self;
@@ -29,13 +32,13 @@
 };
 
 /**
- * struct request_id - a request that names itself
- * @team, @id: together the name
- * @body_hash_hex: hash over queue and body; another hash under the same
- *                 name is a conflict
- * @task: number of the request on this gateway; waits until told
- * @first_attempt: the caller vouches that it never sent the id before
- * @hops: how often gateways have sent it on already
+ * struct request_id - a request with an id
+ * @team, @id: together identify the request
+ * @body_hash_hex: hash over queue and body; a different hash under the same id
+ *                 is a conflict
+ * @task: number of the request on this gateway, which later decisions name
+ * @first_attempt: the caller declares that it never sent the id before
+ * @hops: how often gateways have forwarded it already
  */
 struct request_id {
     const char *team;
@@ -47,15 +50,15 @@
 };
 
 /**
- * enum request_verdict - what the shell does with a request
+ * enum request_verdict - what the caller of this module does with a request
  * @REQUEST_RUN: submit it to the dispatcher, report its end with
  *               request_ids_finished()
- * @REQUEST_WAIT: another request with this id runs or is being asked about;
- *                this one is told with it
- * @REQUEST_QUERY: ask @peer what it knows, report with
- * request_ids_query_answered()
- * @REQUEST_FORWARD: pass the request to @peer, which owns the id
- * @REQUEST_ANSWER: answer with @outcome, @reason and, if kept, @answer
+ * @REQUEST_WAIT: another request with this id runs or waits for id queries;
+ *                this one gets the same answer
+ * @REQUEST_QUERY: query @peer about the id and pass its reply to
+ *                 request_ids_query_answered()
+ * @REQUEST_FORWARD: forward the request to @peer, which owns the id
+ * @REQUEST_ANSWER: answer with @outcome, @reason and, if stored, @answer
  */
 enum request_verdict {
     REQUEST_RUN,
@@ -66,12 +69,12 @@
 };
 
 /**
- * struct request_decision - verdict and what goes with it; texts and @answer
- * are valid until the next call
- * @tasks, @n_tasks: the requests that the verdict holds for, in order of
+ * struct request_decision - a verdict and its details; strings and @answer are
+ * valid until the next call
+ * @tasks, @n_tasks: the requests that the verdict applies to, in order of
  *                   arrival; for REQUEST_RUN only the first one is run and
- *                   the others go on waiting
- * @answer: whole answer of an earlier run, or NULL
+ *                   the others continue to wait
+ * @answer: complete answer of an earlier run, or NULL
  */
 struct request_decision {
     enum request_verdict verdict;
@@ -84,13 +87,17 @@
 };
 
 /**
- * enum id_query_result - what a gateway answers when asked about an id
- * @ID_QUERY_ABSENT: never seen here, and closed here from now on
- * @ID_QUERY_RUNNING: runs here; join it by sending the request on
- * @ID_QUERY_FINISHED: outcome known here
- * @ID_QUERY_OWNER_GONE: an earlier owner is gone; an earlier run of the id
- *                      can't be ruled out, and is closed here from now on
- * @ID_QUERY_UNREACHABLE: the peer did not answer (never sent)
+ * enum id_query_result - reply of a gateway to a query about an id. After
+ * ID_QUERY_ABSENT and ID_QUERY_OWNER_GONE it no longer runs requests with the
+ * id but forwards them to the querier (not if its table is full, which makes
+ * the reply ID_QUERY_OWNER_GONE)
+ * @ID_QUERY_ABSENT: the gateway never saw the id
+ * @ID_QUERY_RUNNING: it runs the request; forward the request to wait with it
+ * @ID_QUERY_FINISHED: it knows the outcome
+ * @ID_QUERY_OWNER_GONE: an earlier owner is gone, so an earlier run of the id
+ *                       can't be ruled out
+ * @ID_QUERY_UNREACHABLE: the peer did not reply; set by the querier, never
+ * sent
  */
 enum id_query_result {
     ID_QUERY_ABSENT,
@@ -101,9 +108,10 @@
 };
 
 /**
- * struct id_query_reply - answer of a gateway that was asked
- * @earlier_owners, @n_earlier_owners: still registered gateways that owned the
- * id within the retention time, to be asked as well
+ * struct id_query_reply - reply of a gateway to a query about an id
+ * @earlier_owners, @n_earlier_owners: registered gateways that owned the id
+ *                                     within the retention time and have to be
+ *                                     queried too
  */
 struct id_query_reply {
     enum id_query_result result;
@@ -121,58 +129,61 @@
 void
 request_ids_destroy(struct request_ids *ids);
 
-/** request_ids_set_members() - registered incarnations, this one included.
- * Earlier sets are remembered for the retention time. */
+/** request_ids_set_members() - set the registered incarnations, including this
+ * one. Earlier sets are stored for the retention time. */
 void
 request_ids_set_members(struct request_ids *ids, const char *const *members,
                         size_t n_members, uint64_t epoch, int64_t now_ms);
 
-/** request_ids_owner() - owner of an id now; NULL without members. */
+/** request_ids_owner() - current owner of an id; NULL without members. */
 const char *
 request_ids_owner(const struct request_ids *ids, const char *team,
                   const char *id);
 
-/** request_ids_claim() - a request with an id came from a caller or was sent
- * on by a gateway. Not to be called without standing: a gateway that missed
- * the removal of a member could take an id for its own. */
+/** request_ids_claim() - a request with an id came from a caller or was
+ * forwarded by a gateway. Must not be called without the quorum lease: a
+ * gateway that missed a change of the members could wrongly regard itself as
+ * the owner of an id. */
 void
 request_ids_claim(struct request_ids *ids, const struct request_id *request,
                   int64_t now_ms, struct request_decision *decision);
 
-/** request_ids_query_answered() - @peer answered REQUEST_QUERY (or could not
- * be reached); the decision holds for all requests that wait for the id. */
+/** request_ids_query_answered() - @peer replied to a REQUEST_QUERY or could
+ * not be reached; the decision applies to all requests that wait for the id.
+ */
 void
 request_ids_query_answered(struct request_ids *ids, const char *team,
                            const char *id, const char *peer,
-                           const struct id_query_reply *report, int64_t now_ms,
+                           const struct id_query_reply *reply, int64_t now_ms,
                            struct request_decision *decision);
 
-/** request_ids_query() - @querier, which owns the id now, asks about it. What
- * is not known here is closed: later requests are sent on to @querier. */
+/** request_ids_query() - handle a query of @querier, the current owner of the
+ * id. If the id is unknown here, later requests with it are forwarded to
+ * @querier. */
 void
 request_ids_query(struct request_ids *ids, const char *team, const char *id,
                   const char *querier, int64_t now_ms,
-                  struct id_query_reply *report);
+                  struct id_query_reply *reply);
 
 /**
  * request_ids_finished() - the run of an id ended
- * @answer: whole answer to keep for repeated requests, or NULL
+ * @answer: complete answer to store for repeated requests, or NULL
  *
  * The decision is REQUEST_ANSWER for every request that waited, the one that
- * ran included. After OUTCOME_NOT_RUN the id may be run anew.
+ * ran included. After OUTCOME_NOT_RUN the id may be run again.
  */
 void
 request_ids_finished(struct request_ids *ids, const char *team, const char *id,
                      enum outcome outcome, enum reason reason, GBytes *answer,
                      int64_t now_ms, struct request_decision *decision);
 
-/** request_ids_stop_waiting() - the caller of @task gave up waiting; the run
- * goes on for the others. Returns whether somebody still waits. */
+/** request_ids_stop_waiting() - the caller of @task no longer waits; the run
+ * continues for the others. Returns whether any request still waits. */
 bool
 request_ids_stop_waiting(struct request_ids *ids, const char *team,
                          const char *id, uint64_t task);
 
-/** request_ids_count() - entries held now. */
+/** request_ids_count() - number of stored entries. */
 uint32_t
 request_ids_count(const struct request_ids *ids);
 
--- a/include/core/share_plan.h
+++ b/include/core/share_plan.h
@@ -6,12 +6,12 @@
 
 /**
  * struct share_claim - one claimant
- * @weight: part it is due when all want more than there is
+ * @weight: relative share when the demand exceeds the slots
  * @demand: slots it could use now
- * @limit: most slots it may have
- * @fill_level: used by the division
- * @allocated: result, in slots
- * @owner: not used by the division
+ * @limit: maximum number of slots
+ * @fill_level: slots per weight that satisfy it; set by share_plan()
+ * @allocated: slots it gets; set by share_plan()
+ * @owner: for the caller, not used by share_plan()
  */
 struct share_claim {
     double weight;
@@ -25,9 +25,9 @@
 /**
  * share_plan() - divide @slots among @claims
  *
- * What a claimant can't use goes to the others by weight. Slots that nobody
- * wants are added as headroom by weight, up to the limits. Sorts @claims;
- * O(n log n).
+ * Slots that a claimant can't use go to the others by weight. Slots beyond the
+ * whole demand are added as headroom by weight, up to the limits. Sorts
+ * @claims; O(n log n).
  */
 void
 share_plan(struct share_claim *claims, size_t n_claims, double slots);
