--- a/soak/soak_main.c
+++ b/soak/soak_main.c
@@ -1,11 +1,11 @@
 /*
  * One soak run: entry hosts as real processes, a proxy before the store, and
- * faults that overlap, drawn from a seed. What callers and backend servers see
- * is checked while it runs and at its end.
+ * overlapping faults drawn from a seed. What callers and backend servers see
+ * is checked during the run and at its end.
  *
- *   soak BUILD PORT SEED [PROMISE]
+ *   soak BUILD PORT SEED [INVARIANT]
  *
- * With PROMISE that promise is broken on purpose; the run has to fail.
+ * INVARIANT is violated on purpose; the run has to fail.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -127,7 +127,7 @@
     }
 }
 
-/* Plays the series; faults begin and end while callers go on. */
+/* Runs the plan: faults begin and end while jobs are submitted. */
 static void
 run_plan(const GArray *plan)
 {
@@ -158,7 +158,8 @@
     g_free(ended);
 }
 
-/* What was refused for good is not there, at any entry host. */
+/* A job whose every attempt was refused for good is unknown to any entry
+ * host. */
 static void
 check_refused(void)
 {
@@ -232,7 +233,7 @@
 main(int argc, char **argv)
 {
     if (argc < 4) {
-        fprintf(stderr, "usage: %s BUILD PORT SEED [PROMISE]\n", argv[0]);
+        fprintf(stderr, "usage: %s BUILD PORT SEED [INVARIANT]\n", argv[0]);
         return EXIT_FAILURE;
     }
     signal(SIGPIPE, SIG_IGN);
--- a/soak/soak_plan.c
+++ b/soak/soak_plan.c
@@ -7,7 +7,7 @@
     FAULTS_MAX = 9,
     DURATION_MIN_MS = 300,
     DURATION_MAX_MS = 5000,
-    /* Time before the first fault: jobs are under way by then. */
+    /* Jobs run before the first fault. */
     FIRST_FAULT_MS = 1000,
 };
 
@@ -30,7 +30,8 @@
     return kind == FAULT_STORE_DOWN || kind == FAULT_STORE_UNRESPONSIVE;
 }
 
-/* Two faults that undo each other do not overlap; all others may. */
+/* Whether one fault would undo the other; such faults must not overlap, all
+ * others may. */
 static bool
 same_target(const struct soak_fault *a, const struct soak_fault *b)
 {
--- a/soak/soak_plan.h
+++ b/soak/soak_plan.h
@@ -1,4 +1,4 @@
-/* What goes wrong in a soak run; decided by its seed alone. */
+/* Faults of a soak run, determined by its seed alone. */
 #ifndef SOAK_SOAK_PLAN_H
 #define SOAK_SOAK_PLAN_H
 
@@ -6,19 +6,21 @@
 #include <stdint.h>
 
 /**
- * enum soak_fault_kind - a fault from outside
- * @FAULT_KILL: an entry host is killed and started again
- * @FAULT_PAUSE: an entry host stands still
- * @FAULT_LEAVE: an entry host is told to stop and started again
- * @FAULT_STORE_DOWN: the store refuses everybody
- * @FAULT_STORE_UNRESPONSIVE: the store answers nobody
+ * enum soak_fault_kind - kind of a fault
+ * @FAULT_KILL: an entry host gets SIGKILL and is started again
+ * @FAULT_PAUSE: an entry host is stopped with SIGSTOP, then continued
+ * @FAULT_LEAVE: an entry host gets SIGTERM and is started again
+ * @FAULT_STORE_DOWN: the store refuses all calls
+ * @FAULT_STORE_UNRESPONSIVE: the store does not answer
  * @FAULT_LINK_REFUSED: connections of an entry host to the store are closed
- * @FAULT_LINK_UNRESPONSIVE: its open connections go silent, new ones work
+ * @FAULT_LINK_UNRESPONSIVE: its open connections get no answers, new ones
+ *                           work
  * @FAULT_LINK_ONE_WAY: answers of the store to it are lost
- * @FAULT_LINK_SLOW: its calls to the store are late
- * @FAULT_LINK_RESET: some of its calls lose their connection, done or not
- * @FAULT_BACKEND_UNREACHABLE: a backend server is not reachable and runs on
- * @FAULT_HOST_CRASH: a host starts anew
+ * @FAULT_LINK_SLOW: its calls to the store are delayed
+ * @FAULT_LINK_RESET: some of its calls lose their connection, carried out or
+ *                    not
+ * @FAULT_BACKEND_UNREACHABLE: a backend server is unreachable and runs on
+ * @FAULT_HOST_CRASH: a host restarts and loses its runs
  */
 enum soak_fault_kind {
     FAULT_KILL,
@@ -37,10 +39,10 @@
 };
 
 /**
- * struct soak_fault - one fault
- * @at_ms: from the start of the run
- * @duration_ms: how long
- * @target: entry host or backend server
+ * struct soak_fault - a fault
+ * @at_ms: when it begins, from the start of the run
+ * @duration_ms: how long it lasts
+ * @target: index of the entry host, backend server or host
  */
 struct soak_fault {
     enum soak_fault_kind kind;
@@ -49,12 +51,12 @@
     int target;
 };
 
-/** soak_plan_create() - struct soak_fault, in the order of their time. */
+/** soak_plan_create() - struct soak_fault by time; g_array_unref(). */
 GArray *
 soak_plan_create(uint32_t seed, int n_entries, int n_backends,
                  int64_t length_ms);
 
-/** soak_fault_name() - stable lower-case name. */
+/** soak_fault_name() - stable lower-case name for the output. */
 const char *
 soak_fault_name(enum soak_fault_kind kind);
 
--- a/tests/jobs/jobs_process_test.c
+++ b/tests/jobs/jobs_process_test.c
@@ -1,4 +1,4 @@
-/* Holders, hosts and backend servers that fail while jobs run. */
+/* Leaders, hosts and backend servers that fail while jobs run. */
 #include <signal.h>
 #include <stdio.h>
 #include <string.h>
@@ -42,7 +42,7 @@
     run_for(2000, true);
     run_until_finished();
     check_invariants();
-    /* Its own earlier incarnation's duty is taken back without waiting. */
+    /* A restarted leader takes over from its earlier incarnation at once. */
     CU_ASSERT(caller_queue_quantile_ms(&fixture.quick, 0.99) < 4000);
 }
 
@@ -119,7 +119,8 @@
     CU_ASSERT_EQUAL(fixture.service.cancelled, 1);
 }
 
-/* A cancel that reaches a new holder before it has read the job. */
+/* A cancellation that reaches a new leader before it has loaded the job must
+ * not be lost. */
 static void
 test_cancel_at_takeover(void)
 {
@@ -164,7 +165,7 @@
         CU_ASSERT_PTR_NOT_NULL(strstr(body, cases[i].place));
         g_free(body);
     }
-    /* Nothing of these was stored. */
+    /* None of these was stored. */
     CU_ASSERT_EQUAL(http_call_sync(fixture.base, fixture.frontends[1], "GET",
                                    "/draft/00000000000000aa", "key-skela",
                                    NULL, NULL),
@@ -180,7 +181,7 @@
                     400);
 }
 
-/* What egretctl tells of a job from the logs of all entry hosts. */
+/* Timeline of a job that egretctl prints from the logs of all entry hosts. */
 static char *
 timeline(const char *id)
 {
@@ -200,13 +201,13 @@
 expect_text(const char *text, const char *what)
 {
     if (strstr(text, what) == NULL) {
-        printf("not told: %s\n", what);
+        printf("missing in the timeline: %s\n", what);
     }
     CU_ASSERT_PTR_NOT_NULL(strstr(text, what));
 }
 
-/* Three walks from the id of a failed request to its cause: failed on its
- * backend servers, late after a take-over, refused at admission. */
+/* The timeline of a request id must show why a job failed on its backend
+ * servers, was late after a takeover, or was refused at admission. */
 static void
 test_timelines_show_the_cause(void)
 {
@@ -245,7 +246,7 @@
     g_free(refused);
 }
 
-/* One id at several entry hosts at once is one job. */
+/* One id submitted several times, at several entry hosts, is one job. */
 static void
 test_same_id(void)
 {
@@ -265,8 +266,8 @@
     CU_ASSERT_EQUAL(emulator_stat("violations"), 0);
 }
 
-/* A queue with a policy: its tasks start where they are allowed, through a
- * change of the holder as well. */
+/* The tasks of a queue with a policy start only where it allows them, also
+ * while the leader changes. */
 static void
 test_advice(void)
 {
--- a/tests/jobs/process_fixture.c
+++ b/tests/jobs/process_fixture.c
@@ -16,7 +16,7 @@
     POLL_US = 2000,
     SUBMIT_INTERVAL_MS = 150,
     FINISH_TIMEOUT_MS = 20000,
-    /* Ports after the first: the proxy's own and its routes. */
+    /* Offsets from the first port: administration of the proxy, its routes. */
     PORT_PROXY = 70,
     PORT_ROUTES = 71,
 };
@@ -160,7 +160,7 @@
 void
 fixture_set_up(int first_port, bool proxied)
 {
-    /* Below are the ports that tests running beside this one may draw. */
+    /* Ports below FREE_PORTS_END may be drawn by tests that run meanwhile. */
     CU_ASSERT_FATAL(first_port >= FREE_PORTS_END);
     fixture = (struct fixture){.first_port = first_port};
     fixture.base = event_base_new();
@@ -198,7 +198,7 @@
         .objective_ms = 2000,
     };
     fixture.service = (struct caller_queue){
-        .name = "lasting",
+        .name = "service",
         .host = "jobs.example",
         .prefix = "/archive/",
         .objective_ms = 2000,
--- a/tests/jobs/process_fixture.h
+++ b/tests/jobs/process_fixture.h
@@ -16,17 +16,19 @@
     ENTRY_HOST_COUNT = 3,
 };
 
-/** job_body - two steps of short tasks */
+/** job_body - a job of two steps of short tasks */
 extern const char job_body[];
-/** service_job_body - three tasks that last, of which one may be away */
+/** service_job_body - a job of three service tasks, of which one may be
+ * unavailable */
 extern const char service_job_body[];
 
 /**
  * struct fixture - the emulator, the entry hosts and a caller
  * @frontends: addresses of the entry hosts for callers, NULL-terminated
- * @admin: address at which the emulator takes faults
- * @proxy: process between each entry host and the store; 0: there is none
- * @proxy_admin: address at which it takes faults on its routes store-0, ...
+ * @admin: administration address of the emulator, for faults
+ * @proxy: process between the entry hosts and the store; 0: none
+ * @proxy_admin: administration address of the proxy, for faults on its routes
+ *               store-0, store-1, ...
  */
 struct fixture {
     struct event_base *base;
@@ -47,8 +49,8 @@
 extern const char *build_root;
 
 /**
- * struct scenario - a test by the name that the command line gives
- * @proxied: with a proxy before the store
+ * struct scenario - a test, chosen by name on the command line
+ * @proxied: whether a proxy stands before the store
  */
 struct scenario {
     const char *name;
@@ -56,53 +58,57 @@
     bool proxied;
 };
 
-/** scenario_main() - run the one of @n_scenarios that is named. */
+/** scenario_main() - run the scenario that the command line names. */
 int
 scenario_main(int argc, char **argv, const struct scenario *scenarios,
               size_t n_scenarios);
 
-/** fixture_set_up() - start all on ports from @first_port on. */
+/** fixture_set_up() - start all processes on ports from @first_port on. */
 void
 fixture_set_up(int first_port, bool proxied);
 void
 fixture_tear_down(void);
 
-/** end_process() - signal a process and wait for its end. */
+/** end_process() - send a signal to a process and wait for its end. */
 void
 end_process(pid_t *pid, int signal_number);
 
 void
 start_entry_host(int entry);
 
-/** wait_ready() - until the entry host takes callers. */
+/** wait_ready() - wait until the entry host accepts requests. */
 void
 wait_ready(int entry);
 
-/** ask() - a call without a body; its HTTP status. */
+/** send_request() - send a request without a body; returns the HTTP status. */
 int
 send_request(const char *address, const char *method, const char *path);
 
-/** post() - a job to the first entry host; its HTTP status. */
+/** submit_job() - send a job to the first entry host; returns the HTTP
+ * status. */
 int
 submit_job(const char *path, const char *key, const char *text, char **body);
 
-/** figure() - a figure of the emulator, -1 if there is none. */
+/** emulator_stat() - a statistic of the emulator by name, -1 if unknown. */
 int64_t
 emulator_stat(const char *name);
 
-/** play() - lets callers and answers go on for @duration_ms. */
+/** run_for() - run the event loop for @duration_ms; with @submit, jobs are
+ * submitted all the while. */
 void
 run_for(int64_t duration_ms, bool submit);
 
-/** run_until_finished() - until every job has its end. */
+/** run_until_finished() - run until every job has ended, or for
+ * FINISH_TIMEOUT_MS. */
 void
 run_until_finished(void);
 
-/** check_invariants() - what most scenarios end with. */
+/** check_invariants() - final checks of most scenarios: the emulator saw no
+ * violation, and every submitted job was accepted and has ended. */
 void
 check_invariants(void);
 
-/** holder() - entry that holds the duty, or -1. */
+/** find_leader() - index of the entry host that leads, or -1. */
 int
 find_leader(void);
 
--- a/tests/jobs/store_process_test.c
+++ b/tests/jobs/store_process_test.c
@@ -1,4 +1,5 @@
-/* The store refuses, is silent, or holds what nobody told of. */
+/* The store refuses calls, does not answer, is slow, or holds a job that the
+ * leader does not know. */
 #include <signal.h>
 #include <stdio.h>
 #include <string.h>
@@ -38,8 +39,8 @@
     check_invariants();
 }
 
-/* A job that was handed to a holder which then stands still may run
- * later; its caller must not be told that it never will. */
+/* A job that was passed to a leader which is then paused may run later, so its
+ * caller must not get an answer that says it never will. */
 static void
 test_no_false_refusal(void)
 {
@@ -62,8 +63,8 @@
     CU_ASSERT_EQUAL(emulator_stat("violations"), 0);
 }
 
-/* A job that is stored without the scheduler's knowledge, found by an entry
- * host that cannot reach it, is told to it by a note. */
+/* An entry host finds a job in the store that the leader does not know, and
+ * can't reach the leader: the job reaches the leader through its inbox. */
 static void
 test_stored_unknown(void)
 {
@@ -92,8 +93,8 @@
     CU_ASSERT_EQUAL(emulator_stat("violations"), 0);
 }
 
-/* An entry host that is told to stop while a write has no answer answers the
- * request before it ends. */
+/* An entry host that gets SIGTERM while a write to the store is unanswered
+ * answers the request before it exits. */
 static void
 test_answers_while_stopping(void)
 {
@@ -105,13 +106,13 @@
         kill(fixture.entry_pids[i], SIGTERM);
     }
     run_for(1800, false);
-    /* The caller has an answer and tries again, in vain by now. */
+    /* The caller got an answer; no entry host is left for its retries. */
     CU_ASSERT_EQUAL(fixture.quick.accepted, 0);
     CU_ASSERT(job_caller_answered(fixture.caller) > 0);
 }
 
-/* While the store answers nobody, callers are told so in time to ask
- * again: they were held until their own deadline. */
+/* While the store does not answer, callers get an error in time to retry;
+ * requests must not be held until the caller's own deadline. */
 static void
 test_answers_in_outage(void)
 {
@@ -135,9 +136,8 @@
     CU_ASSERT_EQUAL(emulator_stat("violations"), 0);
 }
 
-/* The store takes over a tenth of a second for each answer just as many jobs
- * arrive: they are stored side by side, not one transaction after the other.
- */
+/* The store takes more than 100 ms for each answer while many jobs arrive:
+ * transactions have to run side by side, or most jobs would wait. */
 static void
 test_slow_store(void)
 {
@@ -146,7 +146,7 @@
                    "/standin/faults", NULL,
                    "{\"routes\":\"store-*\",\"delay_ms\":60}", NULL);
     uint32_t before = fixture.quick.accepted;
-    /* Each caller has one call at a time open to each entry host. */
+    /* A caller has at most one open call to each entry host. */
     struct job_caller *callers[BURST_JOBS / ENTRY_HOST_COUNT];
     for (size_t i = 0; i < G_N_ELEMENTS(callers); i++) {
         callers[i] = job_caller_create(fixture.base,
@@ -170,8 +170,8 @@
     check_invariants();
 }
 
-/* The holder is gone and the store refuses everybody: nothing was handed to
- * either, so the refusal is a plain one. */
+/* The leader is dead and the store refuses all calls: the job reached neither,
+ * so the caller gets a definite refusal. */
 static void
 test_refusal_with_dead_leader(void)
 {
