--- a/bench/fleet_bench.c
+++ b/bench/fleet_bench.c
@@ -139,7 +139,7 @@
         /* The chance of a step is below a millionth: steps of some seconds
          * make it whole. */
         options.step_ms = 8000;
-        options.fail_ppm = (uint32_t)ceil(fail_ppm * 8);
+        options.host_fail_ppm = (uint32_t)ceil(fail_ppm * 8);
         options.rack_fail_ppm = (uint32_t)ceil(rack_ppm * 8);
         struct fleet_sim *sim = fleet_sim_create(&options);
         double spent_s = roll_out_s(sim);
@@ -162,7 +162,7 @@
     for (int64_t s = 0; s < hours * 3600; s++) {
         for (uint32_t p = 0; p < 4; p++) {
             bool burst = (s + p * 13) % 52 < 10;
-            sim->demand[p] = 35.0 * (burst ? 5 : 0.05);
+            sim->demand_slots[p] = 35.0 * (burst ? 5 : 0.05);
         }
         fleet_sim_step(sim);
     }
@@ -208,13 +208,13 @@
     for (int64_t s = 0; s < 2 * DAY_S; s += 10) {
         for (uint32_t p = 0; p < 4; p++) {
             double turn = (double)s / DAY_S + p / 4.0;
-            sim->demand[p] = peak * (0.6 + 0.4 * sin(turn * 2 * G_PI));
+            sim->demand_slots[p] = peak * (0.6 + 0.4 * sin(turn * 2 * G_PI));
         }
         fleet_sim_step(sim);
         for (uint32_t p = 0; p < 4 && s >= DAY_S; p++) {
             uint32_t hosts = fleet_sim_available(sim, config->pools[p].name);
-            add_work(&managed, sim->demand[p], hosts, 10);
-            add_work(&fixed, sim->demand[p], fixed_hosts, 10);
+            add_work(&managed, sim->demand_slots[p], hosts, 10);
+            add_work(&fixed, sim->demand_slots[p], fixed_hosts, 10);
         }
     }
     report("buffer_cost_per_fixed_pools", managed.idle / fixed.idle, "ratio",
@@ -235,7 +235,7 @@
         const struct sim_host *host = &sim->hosts[i];
         bool out = sim->options.config->dcs[0].state == DC_OUT &&
                    g_str_equal(host->dc, "d0");
-        available += !out && g_str_equal(host->start_pool, pool);
+        available += !out && g_str_equal(host->initial_pool, pool);
     }
     return available;
 }
@@ -254,14 +254,15 @@
     for (int64_t s = 0; s < 5 * 3600; s++) {
         config->dcs[0].state = s >= 2 * 3600 && s < 4 * 3600 ? DC_OUT : DC_IN;
         for (uint32_t p = 0; p < 5; p++) {
-            sim->demand[p] = 0.7 * 8 * HOST_SLOTS;
+            sim->demand_slots[p] = 0.7 * 8 * HOST_SLOTS;
         }
         fleet_sim_step(sim);
         for (uint32_t p = 0; p < 5 && s >= 3600; p++) {
             const char *name = config->pools[p].name;
-            add_work(&managed, sim->demand[p], fleet_sim_available(sim, name),
+            add_work(&managed, sim->demand_slots[p],
+                     fleet_sim_available(sim, name), 1);
+            add_work(&fixed, sim->demand_slots[p], fixed_available(sim, name),
                      1);
-            add_work(&fixed, sim->demand[p], fixed_available(sim, name), 1);
         }
     }
     uint32_t moves = 0;
@@ -340,7 +341,7 @@
     struct fleet_sim_options options = options_for(1, config);
     options.racks_per_dc = 204;
     options.step_ms = 10000;
-    options.fail_ppm = (uint32_t)ceil(63.0 / 5700 / DAY_S * 10 * 1e6);
+    options.host_fail_ppm = (uint32_t)ceil(63.0 / 5700 / DAY_S * 10 * 1e6);
     options.rack_fail_ppm = 1;
     struct fleet_sim *sim = fleet_sim_create(&options);
     double spent_s = roll_out_s(sim);
--- a/tests/fleet/fleet_process.c
+++ b/tests/fleet/fleet_process.c
@@ -16,7 +16,7 @@
     HOSTS_PER_RACK = 4,
     REBOOT_MS = 600,
     /* Longer than the host list's lag and a planning pass together. */
-    KNOWN_MS = 1500,
+    FAILURE_VISIBLE_MS = 1500,
 };
 
 static const char settings_text[] =
@@ -24,7 +24,7 @@
     " \"http_port\": 0, \"store_url\": \"%s\", \"secret_file\": \"%s\","
     " \"log_level\": \"warn\", \"fleet\": %s}";
 
-static const char short_delays[] =
+static const char short_timings[] =
     "{\"tick_ms\": 100, \"turn_ms\": 200, \"list_stale_ms\": 2000,"
     " \"demand_poll_ms\": 500, \"drain_margin_ms\": 100, \"lost_ms\": 1000,"
     " \"prove_ms\": 300, \"return_ms\": 3000, \"repair_ms\": 2000,"
@@ -37,7 +37,7 @@
 }
 
 /** struct answer - what a store call brought, kept past the callback */
-struct answer {
+struct store_reply {
     enum status_code code;
     GPtrArray *texts;
     uint64_t version;
@@ -45,37 +45,38 @@
 };
 
 static void
-take_answer(void *ctx, const struct store_result *result)
+on_store_reply(void *ctx, const struct store_result *result)
 {
-    struct answer *answer = ctx;
-    answer->code = result->status.code;
+    struct store_reply *reply = ctx;
+    reply->code = result->status.code;
     for (size_t i = 0; i < result->n_entries; i++) {
-        g_ptr_array_add(answer->texts, g_strdup(result->entries[i].value));
-        answer->version = result->entries[i].version;
+        g_ptr_array_add(reply->texts, g_strdup(result->entries[i].value));
+        reply->version = result->entries[i].version;
     }
-    answer->done = true;
+    reply->done = true;
 }
 
-static struct answer
-call(struct fleet_process *fleet, const char *key, const char *value,
-     uint64_t version)
+static struct store_reply
+store_call(struct fleet_process *fleet, const char *key, const char *value,
+           uint64_t version)
 {
-    struct answer answer = {.texts = g_ptr_array_new_with_free_func(g_free)};
-    struct store_callback callback = {.done = take_answer, .ctx = &answer};
+    struct store_reply reply = {.texts =
+                                    g_ptr_array_new_with_free_func(g_free)};
+    struct store_callback callback = {.done = on_store_reply, .ctx = &reply};
     if (value == NULL) {
         store_get(fleet->store, key, callback);
     }
     else {
         store_cas(fleet->store, key, value, strlen(value), version, callback);
     }
-    while (!answer.done) {
+    while (!reply.done) {
         g_main_context_iteration(NULL, TRUE);
     }
-    return answer;
+    return reply;
 }
 
 static void
-list_hosts(const struct fleet_process *fleet)
+publish_host_list(const struct fleet_process *fleet)
 {
     GString *text = g_string_new("[");
     for (unsigned i = 0; i < fleet->n_hosts; i++) {
@@ -107,7 +108,7 @@
 }
 
 static void
-go_down(struct platform_host *host, int64_t down_ms)
+take_down(struct platform_host *host, int64_t down_ms)
 {
     host->up = false;
     host->down_since_ms = now_ms();
@@ -119,13 +120,13 @@
 {
     const struct host_record *record =
         g_hash_table_lookup(fleet->records, host->name);
-    bool asked = record != NULL && record->state == HOST_REBOOTING;
+    bool reboot_requested = record != NULL && record->state == HOST_REBOOTING;
     bool was_up = host->up;
-    if (asked && !host->reboots) {
+    if (reboot_requested && !host->reboot_requested) {
         host->n_reboots++;
-        go_down(host, host->never_returns ? INT32_MAX : REBOOT_MS);
+        take_down(host, host->never_returns ? INT32_MAX : REBOOT_MS);
     }
-    host->reboots = asked;
+    host->reboot_requested = reboot_requested;
     if (!host->up && now_ms() >= host->up_at_ms) {
         host->up = true;
     }
@@ -145,17 +146,17 @@
 }
 
 static unsigned
-known_available(const struct fleet_process *fleet, const char *pool)
+count_available(const struct fleet_process *fleet, const char *pool)
 {
     unsigned available = 0;
     for (unsigned i = 0; i < fleet->n_hosts; i++) {
         const struct platform_host *host = &fleet->hosts[i];
         const struct host_record *record =
             g_hash_table_lookup(fleet->records, host->name);
-        bool known_down =
-            !host->up && now_ms() - host->down_since_ms > KNOWN_MS;
+        bool visibly_down =
+            !host->up && now_ms() - host->down_since_ms > FAILURE_VISIBLE_MS;
         available += record != NULL && g_str_equal(record->pool, pool) &&
-                     !is_disrupted(fleet, host->name, record) && !known_down;
+                     !is_disrupted(fleet, host->name, record) && !visibly_down;
     }
     return available;
 }
@@ -168,13 +169,13 @@
     if (old != NULL && !g_str_equal(old->pool, new->pool)) {
         fleet->moves++;
         /* Between two samples a host may have passed its drain. */
-        fleet->bad_moves +=
+        fleet->moves_without_drain +=
             old->admission == new->admission && old->state != HOST_DRAINING;
     }
 }
 
 static void
-take_shard(struct fleet_process *fleet, const char *text)
+read_shard(struct fleet_process *fleet, const char *text)
 {
     struct findings *findings = findings_create();
     struct host_shard *shard =
@@ -210,30 +211,30 @@
 /* Hosts are read after the disruptions: what was given back in between
  * counts, what was taken in between shows as draining. */
 static void
-got_hosts(void *ctx, const struct store_result *result)
+on_hosts(void *ctx, const struct store_result *result)
 {
     struct fleet_process *fleet = ctx;
-    fleet->reading = false;
+    fleet->read_pending = false;
     for (size_t i = 0; i < result->n_entries; i++) {
-        take_shard(fleet, result->entries[i].value);
+        read_shard(fleet, result->entries[i].value);
     }
     for (unsigned i = 0; i < fleet->n_pools; i++) {
-        bool filled = g_hash_table_size(fleet->records) == fleet->n_hosts;
-        unsigned available = known_available(fleet, fleet->pools[i]);
-        if (filled && available < fleet->budgets[i] &&
+        bool all_known = g_hash_table_size(fleet->records) == fleet->n_hosts;
+        unsigned available = count_available(fleet, fleet->pools[i]);
+        if (all_known && available < fleet->budgets[i] &&
             count_entries(fleet) > 0) {
-            fleet->violations++;
+            fleet->budget_violations++;
         }
     }
 }
 
 static void
-got_disruptions(void *ctx, const struct store_result *result)
+on_disruptions(void *ctx, const struct store_result *result)
 {
     struct fleet_process *fleet = ctx;
     if (!status_ok(&result->status) &&
         result->status.code != STATUS_NOT_FOUND) {
-        fleet->reading = false;
+        fleet->read_pending = false;
         return;
     }
     struct findings *findings = findings_create();
@@ -251,11 +252,11 @@
     unsigned after = count_entries(fleet);
     fleet->admissions += after > before ? after - before : 0;
     store_get(fleet->store, STORE_KEY_HOSTS,
-              (struct store_callback){.done = got_hosts, .ctx = fleet});
+              (struct store_callback){.done = on_hosts, .ctx = fleet});
 }
 
 static gboolean
-sample(void *data)
+on_sample(void *data)
 {
     struct fleet_process *fleet = data;
     bool changed = false;
@@ -263,13 +264,13 @@
         changed |= step_host(fleet, &fleet->hosts[i]);
     }
     if (changed) {
-        list_hosts(fleet);
+        publish_host_list(fleet);
     }
-    if (!fleet->reading) {
-        fleet->reading = true;
+    if (!fleet->read_pending) {
+        fleet->read_pending = true;
         store_get(
             fleet->store, STORE_KEY_DISRUPTIONS,
-            (struct store_callback){.done = got_disruptions, .ctx = fleet});
+            (struct store_callback){.done = on_disruptions, .ctx = fleet});
     }
     return G_SOURCE_CONTINUE;
 }
@@ -351,19 +352,20 @@
     fleet->disruptions = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
                                                free_disruptions);
     make_hosts(fleet, options->racks_per_dc);
-    list_hosts(fleet);
+    publish_host_list(fleet);
     fleet_process_configure(fleet, NULL);
     const char *settings = options->fleet_settings;
     for (unsigned i = 0; i < options->n_controllers; i++) {
-        start_controller(fleet, i, settings != NULL ? settings : short_delays);
+        start_controller(fleet, i,
+                         settings != NULL ? settings : short_timings);
     }
-    fleet->sampler = g_timeout_add(SAMPLE_MS, sample, fleet);
+    fleet->sample_timer = g_timeout_add(SAMPLE_INTERVAL_MS, on_sample, fleet);
 }
 
 void
 fleet_process_stop_sampling(struct fleet_process *fleet)
 {
-    g_clear_handle_id(&fleet->sampler, g_source_remove);
+    g_clear_handle_id(&fleet->sample_timer, g_source_remove);
 }
 
 void
@@ -424,12 +426,12 @@
 }
 
 static void
-published(void *ctx, const struct config_publish_result *result)
+on_published(void *ctx, const struct config_publish_result *result)
 {
-    struct answer *answer = ctx;
-    answer->code = result->status.code;
-    answer->version = result->head_version;
-    answer->done = true;
+    struct store_reply *reply = ctx;
+    reply->code = result->status.code;
+    reply->version = result->head_version;
+    reply->done = true;
 }
 
 void
@@ -441,7 +443,8 @@
     struct config *config = config_parse(root, "config", findings);
     findings_print(findings, stdout);
     CU_ASSERT_PTR_NOT_NULL_FATAL(config);
-    struct answer head = call(fleet, STORE_KEY_CONFIG_HEAD, NULL, 0);
+    struct store_reply head =
+        store_call(fleet, STORE_KEY_CONFIG_HEAD, NULL, 0);
     struct config_publish_request request = {
         .config = config,
         .author = "test",
@@ -454,14 +457,14 @@
         request.base = base;
         request.base_version = head.version;
     }
-    struct answer answer = {.code = STATUS_INTERNAL};
+    struct store_reply reply = {.code = STATUS_INTERNAL};
     config_publish(
         fleet->store, &request,
-        (struct config_publish_callback){.done = published, .ctx = &answer});
-    while (!answer.done) {
+        (struct config_publish_callback){.done = on_published, .ctx = &reply});
+    while (!reply.done) {
         g_main_context_iteration(NULL, TRUE);
     }
-    CU_ASSERT_EQUAL(answer.code, STATUS_OK);
+    CU_ASSERT_EQUAL(reply.code, STATUS_OK);
     g_clear_pointer(&base, config_head_destroy);
     g_ptr_array_unref(head.texts);
     config_destroy(config);
@@ -478,7 +481,7 @@
 }
 
 static void
-pass_time(int64_t ms)
+run_loop_for_ms(int64_t ms)
 {
     bool over = false;
     g_timeout_add((guint)ms, set_flag, &over);
@@ -493,7 +496,7 @@
 {
     int64_t end_ms = now_ms() + limit_ms;
     while (now_ms() < end_ms) {
-        pass_time(SAMPLE_MS);
+        run_loop_for_ms(SAMPLE_INTERVAL_MS);
         if (done != NULL && done(fleet)) {
             return true;
         }
@@ -510,9 +513,10 @@
     size_t size_bytes = 0;
     char *text = wave_record_serialise(wave, &size_bytes);
     char *key = g_strdup_printf("%s%u", STORE_KEY_WAVES, number);
-    struct answer answer = call(fleet, key, text, STORE_VERSION_ABSENT);
-    CU_ASSERT_EQUAL(answer.code, STATUS_OK);
-    g_ptr_array_unref(answer.texts);
+    struct store_reply reply =
+        store_call(fleet, key, text, STORE_VERSION_ABSENT);
+    CU_ASSERT_EQUAL(reply.code, STATUS_OK);
+    g_ptr_array_unref(reply.texts);
     wave_record_destroy(wave);
     g_free(text);
     g_free(key);
@@ -522,21 +526,21 @@
 fleet_process_wave(struct fleet_process *fleet, unsigned number)
 {
     char *key = g_strdup_printf("%s%u", STORE_KEY_WAVES, number);
-    struct answer answer = call(fleet, key, NULL, 0);
+    struct store_reply reply = store_call(fleet, key, NULL, 0);
     struct findings *findings = findings_create();
     struct wave_record *wave = NULL;
-    if (answer.texts->len > 0) {
-        const char *text = g_ptr_array_index(answer.texts, 0);
+    if (reply.texts->len > 0) {
+        const char *text = g_ptr_array_index(reply.texts, 0);
         wave = wave_record_parse(text, strlen(text), key, findings);
     }
     findings_destroy(findings);
-    g_ptr_array_unref(answer.texts);
+    g_ptr_array_unref(reply.texts);
     g_free(key);
     return wave;
 }
 
 void
-fleet_process_fault(struct fleet_process *fleet, const char *json)
+fleet_process_set_faults(struct fleet_process *fleet, const char *json)
 {
     store_process_faults(&fleet->store_process, json);
 }
@@ -548,10 +552,10 @@
     for (unsigned i = 0; i < fleet->n_hosts; i++) {
         struct platform_host *host = &fleet->hosts[i];
         if (g_str_equal(host->dc, dc) && g_str_equal(host->rack, rack)) {
-            go_down(host, down_ms);
+            take_down(host, down_ms);
         }
     }
-    list_hosts(fleet);
+    publish_host_list(fleet);
 }
 
 unsigned
--- a/tests/fleet/fleet_process.h
+++ b/tests/fleet/fleet_process.h
@@ -12,7 +12,7 @@
 enum {
     CONTROLLERS_MAX = 3,
     POOLS_MAX = 64,
-    SAMPLE_MS = 100,
+    SAMPLE_INTERVAL_MS = 100,
 };
 
 /** struct platform_host - truth about one host */
@@ -23,7 +23,7 @@
     char pool[64];
     bool up;
     bool leaving;
-    bool reboots;
+    bool reboot_requested;
     bool never_returns;
     int64_t up_at_ms;
     int64_t down_since_ms;
@@ -32,10 +32,10 @@
 
 /**
  * struct fleet_process - one test's fleet
- * @violations: admissions that left a pool below its budget, failures that
- *              the list had shown for long counted
+ * @budget_violations: admissions that left a pool below its budget, failures
+ * that the list had shown for long counted
  * @moves: changes of a host's pool
- * @bad_moves: those of hosts that were not draining
+ * @moves_without_drain: those of hosts that were not draining
  */
 struct fleet_process {
     struct store_process store_process;
@@ -50,12 +50,12 @@
     unsigned n_pools;
     GHashTable *records;
     GHashTable *disruptions;
-    guint sampler;
-    bool reading;
-    unsigned violations;
+    guint sample_timer;
+    bool read_pending;
+    unsigned budget_violations;
     unsigned admissions;
     unsigned moves;
-    unsigned bad_moves;
+    unsigned moves_without_drain;
 };
 
 /**
@@ -99,9 +99,9 @@
 struct wave_record *
 fleet_process_wave(struct fleet_process *fleet, unsigned number);
 
-/** fleet_process_fault() - set the store's fault switches. */
+/** fleet_process_set_faults() - set the store's fault switches. */
 void
-fleet_process_fault(struct fleet_process *fleet, const char *json);
+fleet_process_set_faults(struct fleet_process *fleet, const char *json);
 
 /** fleet_process_fail_rack() - take a rack down for @down_ms. */
 void
--- a/tests/fleet/fleet_process_test.c
+++ b/tests/fleet/fleet_process_test.c
@@ -7,12 +7,12 @@
 static const unsigned budgets[] = {5, 5, 0};
 
 static void
-start(struct fleet_process *fleet, const unsigned *least,
+start(struct fleet_process *fleet, const unsigned *min_available,
       unsigned n_controllers)
 {
     fleet_process_start(fleet, &(struct fleet_process_options){
                                    .pools = pools,
-                                   .budgets = least,
+                                   .budgets = min_available,
                                    .n_pools = G_N_ELEMENTS(pools),
                                    .n_controllers = n_controllers,
                                    .racks_per_dc = 2,
@@ -48,8 +48,8 @@
     struct fleet_process fleet;
     start(&fleet, budgets, 3);
     CU_ASSERT_FATAL(fleet_process_run(&fleet, 8000, adopted));
-    fleet_process_fault(&fleet, "{\"lose_answers_percent\": 20,"
-                                " \"lag_hosts_ms\": 200}");
+    fleet_process_set_faults(&fleet, "{\"lose_answers_percent\": 20,"
+                                     " \"lag_hosts_ms\": 200}");
     fleet_process_start_wave(&fleet, 1);
     CU_ASSERT(fleet_process_run(&fleet, 5000, disrupted));
     fleet_process_fail_rack(&fleet, "d1", "r0", 2500);
@@ -61,8 +61,8 @@
     fleet_process_run(&fleet, 1000, NULL);
     g_subprocess_send_signal(fleet.controllers[1], SIGCONT);
     CU_ASSERT(fleet_process_run(&fleet, 30000, wave_done));
-    CU_ASSERT_EQUAL(fleet.violations, 0);
-    CU_ASSERT_EQUAL(fleet.bad_moves, 0);
+    CU_ASSERT_EQUAL(fleet.budget_violations, 0);
+    CU_ASSERT_EQUAL(fleet.moves_without_drain, 0);
     CU_ASSERT(fleet.admissions > 0);
     unsigned rebooted = 0;
     for (unsigned i = 0; i < fleet.n_hosts; i++) {
@@ -74,7 +74,7 @@
 }
 
 static bool
-nothing_out(struct fleet_process *fleet)
+all_serving(struct fleet_process *fleet)
 {
     return fleet_process_count(fleet, NULL, HOST_SERVING) == fleet->n_hosts;
 }
@@ -87,7 +87,7 @@
     CU_ASSERT_FATAL(fleet_process_run(&fleet, 8000, adopted));
     fleet_process_start_wave(&fleet, 1);
     CU_ASSERT(fleet_process_run(&fleet, 5000, disrupted));
-    fleet_process_fault(&fleet, "{\"down\": true}");
+    fleet_process_set_faults(&fleet, "{\"down\": true}");
     fleet_process_run(&fleet, 3000, NULL);
     unsigned before = 0;
     unsigned after = 0;
@@ -100,10 +100,10 @@
         CU_ASSERT(fleet.hosts[i].up);
     }
     CU_ASSERT_EQUAL(before, after);
-    fleet_process_fault(&fleet, "{\"down\": false}");
+    fleet_process_set_faults(&fleet, "{\"down\": false}");
     CU_ASSERT(fleet_process_run(&fleet, 20000, wave_done));
-    CU_ASSERT(fleet_process_run(&fleet, 3000, nothing_out));
-    CU_ASSERT_EQUAL(fleet.violations, 0);
+    CU_ASSERT(fleet_process_run(&fleet, 3000, all_serving));
+    CU_ASSERT_EQUAL(fleet.budget_violations, 0);
     fleet_process_stop(&fleet);
 }
 
@@ -141,13 +141,13 @@
     fleet_process_run(&fleet, 3000, NULL);
     /* No demand is reported, so nothing says that hosts are superfluous. */
     CU_ASSERT_EQUAL(fleet.moves, moved_out);
-    CU_ASSERT_EQUAL(fleet.violations, 0);
-    CU_ASSERT_EQUAL(fleet.bad_moves, 0);
+    CU_ASSERT_EQUAL(fleet.budget_violations, 0);
+    CU_ASSERT_EQUAL(fleet.moves_without_drain, 0);
     fleet_process_stop(&fleet);
 }
 
 static bool
-one_held_out(struct fleet_process *fleet)
+host_5_held_out(struct fleet_process *fleet)
 {
     struct wave_record *wave = fleet_process_wave(fleet, 1);
     bool held = wave != NULL && wave->state == WAVE_DONE &&
@@ -164,11 +164,11 @@
     CU_ASSERT_FATAL(fleet_process_run(&fleet, 8000, adopted));
     fleet.hosts[5].never_returns = true;
     fleet_process_start_wave(&fleet, 1);
-    CU_ASSERT(fleet_process_run(&fleet, 30000, one_held_out));
+    CU_ASSERT(fleet_process_run(&fleet, 30000, host_5_held_out));
     const struct host_record *record =
         g_hash_table_lookup(fleet.records, "w0005");
     CU_ASSERT_EQUAL(record->state, HOST_FAILED);
-    CU_ASSERT_EQUAL(fleet.violations, 0);
+    CU_ASSERT_EQUAL(fleet.budget_violations, 0);
     fleet_process_stop(&fleet);
 }
 
--- a/tests/fleet/fleet_sim.c
+++ b/tests/fleet/fleet_sim.c
@@ -5,7 +5,7 @@
 /** struct sim_batch - steps of one plan on one record */
 struct sim_batch {
     struct sim_record *read;
-    GPtrArray *steps;
+    GPtrArray *actions;
 };
 
 /**
@@ -19,17 +19,17 @@
     struct sim_record **disruptions;
     struct sim_record **waves;
     uint32_t n_waves;
-    bool *up;
-    bool *dc_in;
+    bool *host_up_seen;
+    bool *dc_in_service_seen;
     uint64_t versions[HOST_SHARDS];
     int64_t paused_until_ms;
 };
 
 static struct sim_record *
-record_new(struct fleet_sim *sim, void *data, void (*destroy)(void *))
+record_create(struct fleet_sim *sim, void *data, void (*destroy)(void *))
 {
     struct sim_record *record = g_new0(struct sim_record, 1);
-    record->version = ++sim->index;
+    record->version = ++sim->last_version;
     record->refs = 1;
     record->data = data;
     record->destroy = destroy;
@@ -132,7 +132,7 @@
                    rack % options->racks_per_dc);
         host->dc = config->dcs[rack / options->racks_per_dc].name;
         uint32_t turn = options->racks_to_pools ? rack : i;
-        host->start_pool = config->pools[turn % config->n_pools].name;
+        host->initial_pool = config->pools[turn % config->n_pools].name;
         host->up = true;
     }
 }
@@ -145,32 +145,33 @@
     sim->random = random_seeded(options->seed);
     make_hosts(sim);
     size_t n_pools = options->config->n_pools;
-    sim->seen_up = g_new0(bool, sim->n_hosts *SIM_LAG_MAX);
-    for (uint32_t i = 0; i < sim->n_hosts * SIM_LAG_MAX; i++) {
-        sim->seen_up[i] = true;
+    sim->host_up_history = g_new0(bool, sim->n_hosts *SIM_LAG_STEPS_MAX);
+    for (uint32_t i = 0; i < sim->n_hosts * SIM_LAG_STEPS_MAX; i++) {
+        sim->host_up_history[i] = true;
     }
     for (uint32_t i = 0; i < HOST_SHARDS; i++) {
-        sim->shards[i] = record_new(sim, host_shard_create(), destroy_shard);
+        sim->shards[i] =
+            record_create(sim, host_shard_create(), destroy_shard);
     }
     sim->disruptions = g_new0(struct sim_record *, n_pools);
     for (size_t i = 0; i < n_pools; i++) {
-        sim->disruptions[i] =
-            record_new(sim, disruption_record_create(), destroy_disruptions);
+        sim->disruptions[i] = record_create(sim, disruption_record_create(),
+                                            destroy_disruptions);
     }
-    sim->waves = g_new0(struct sim_record *, SIM_LAG_MAX);
-    sim->demand = g_new0(double, n_pools);
+    sim->waves = g_new0(struct sim_record *, SIM_LAG_STEPS_MAX);
+    sim->demand_slots = g_new0(double, n_pools);
     sim->moves = g_new0(uint32_t, n_pools);
     for (size_t i = 0; i < n_pools; i++) {
-        sim->demand[i] = -1;
+        sim->demand_slots[i] = -1;
     }
     sim->controllers = g_new0(struct sim_controller, options->n_controllers);
     for (uint32_t i = 0; i < options->n_controllers; i++) {
         struct sim_controller *controller = &sim->controllers[i];
         controller->planner = fleet_planner_create(&options->timings);
         controller->disruptions = g_new0(struct sim_record *, n_pools);
-        controller->waves = g_new0(struct sim_record *, SIM_LAG_MAX);
-        controller->up = g_new0(bool, sim->n_hosts);
-        controller->dc_in = g_new0(bool, options->config->n_dcs);
+        controller->waves = g_new0(struct sim_record *, SIM_LAG_STEPS_MAX);
+        controller->host_up_seen = g_new0(bool, sim->n_hosts);
+        controller->dc_in_service_seen = g_new0(bool, options->config->n_dcs);
     }
     return sim;
 }
@@ -187,15 +188,15 @@
         for (size_t i = 0; i < n_pools; i++) {
             record_unref(controller->disruptions[i]);
         }
-        for (uint32_t i = 0; i < SIM_LAG_MAX; i++) {
+        for (uint32_t i = 0; i < SIM_LAG_STEPS_MAX; i++) {
             record_unref(controller->waves[i]);
         }
         fleet_planner_destroy(controller->planner);
         fleet_plan_destroy(controller->plan);
         g_free(controller->disruptions);
         g_free(controller->waves);
-        g_free(controller->up);
-        g_free(controller->dc_in);
+        g_free(controller->host_up_seen);
+        g_free(controller->dc_in_service_seen);
     }
     for (uint32_t i = 0; i < HOST_SHARDS; i++) {
         record_unref(sim->shards[i]);
@@ -203,14 +204,14 @@
     for (size_t i = 0; i < n_pools; i++) {
         record_unref(sim->disruptions[i]);
     }
-    for (uint32_t i = 0; i < SIM_LAG_MAX; i++) {
+    for (uint32_t i = 0; i < SIM_LAG_STEPS_MAX; i++) {
         record_unref(sim->waves[i]);
     }
     g_free(sim->controllers);
     g_free(sim->disruptions);
     g_free(sim->waves);
-    g_free(sim->seen_up);
-    g_free(sim->demand);
+    g_free(sim->host_up_history);
+    g_free(sim->demand_slots);
     g_free(sim->moves);
     g_free(sim->hosts);
     g_free(sim);
@@ -235,7 +236,7 @@
     struct wave_record *wave = wave_record_create();
     wave->number = ++sim->n_waves;
     wave->started_s = sim->now_ms / 1000;
-    sim->waves[sim->n_waves - 1] = record_new(sim, wave, destroy_wave);
+    sim->waves[sim->n_waves - 1] = record_create(sim, wave, destroy_wave);
     return wave->number;
 }
 
@@ -252,24 +253,24 @@
 }
 
 static bool
-chance(struct fleet_sim *sim, uint32_t percent)
+random_percent(struct fleet_sim *sim, uint32_t percent)
 {
     return random_below(&sim->random, 100) < percent;
 }
 
 static void
-fail_some(struct fleet_sim *sim, struct sim_host *host, uint32_t i)
+inject_failures(struct fleet_sim *sim, struct sim_host *host, uint32_t i)
 {
     const struct fleet_sim_options *options = &sim->options;
-    if (sim->no_failures) {
+    if (sim->failures_disabled) {
         return;
     }
     if (i % options->hosts_per_rack == 0 && options->rack_fail_ppm > 0 &&
         random_below(&sim->random, 1000000) < options->rack_fail_ppm) {
         fleet_sim_fail_rack(sim, host->dc, host->rack);
     }
-    else if (options->fail_ppm > 0 && host->up &&
-             random_below(&sim->random, 1000000) < options->fail_ppm) {
+    else if (options->host_fail_ppm > 0 && host->up &&
+             random_below(&sim->random, 1000000) < options->host_fail_ppm) {
         host->up = false;
         host->up_at_ms = sim->now_ms + options->down_ms;
     }
@@ -279,16 +280,16 @@
 step_host(struct fleet_sim *sim, struct sim_host *host, uint32_t i)
 {
     const struct host_record *record = fleet_sim_host_record(sim, host->name);
-    bool asked = record != NULL && record->state == HOST_REBOOTING;
-    if (asked && !host->rebooting) {
-        host->rebooting = true;
+    bool reboot_requested = record != NULL && record->state == HOST_REBOOTING;
+    if (reboot_requested && !host->reboot_requested) {
+        host->reboot_requested = true;
         host->up = false;
-        host->fails_all = false;
+        host->fails_all_tasks = false;
         host->up_at_ms = sim->now_ms + sim->options.reboot_ms;
         sim->reboots++;
     }
-    host->rebooting = asked;
-    fail_some(sim, host, i);
+    host->reboot_requested = reboot_requested;
+    inject_failures(sim, host, i);
     if (!host->up && sim->now_ms >= host->up_at_ms) {
         host->up = true;
     }
@@ -304,47 +305,51 @@
         step_host(sim, &sim->hosts[i], i);
     }
     uint32_t slot =
-        (uint32_t)(sim->now_ms / sim->options.step_ms) % SIM_LAG_MAX;
+        (uint32_t)(sim->now_ms / sim->options.step_ms) % SIM_LAG_STEPS_MAX;
     for (uint32_t i = 0; i < sim->n_hosts; i++) {
-        sim->seen_up[slot * sim->n_hosts + i] = sim->hosts[i].up;
+        sim->host_up_history[slot * sim->n_hosts + i] = sim->hosts[i].up;
     }
 }
 
 static void
-refresh(struct fleet_sim *sim, struct sim_controller *controller)
+read_store(struct fleet_sim *sim, struct sim_controller *controller)
 {
-    uint32_t stale = sim->options.stale_percent;
+    uint32_t stale = sim->options.stale_read_percent;
     for (uint32_t i = 0; i < HOST_SHARDS; i++) {
         if (controller->shards[i] == NULL ||
-            !chance(sim, sim->options.stale_shard_percent)) {
+            !random_percent(sim, sim->options.stale_shard_read_percent)) {
             record_set(&controller->shards[i], sim->shards[i]);
             controller->versions[i] = sim->shards[i]->version;
         }
     }
     for (size_t i = 0; i < sim->options.config->n_pools; i++) {
-        if (controller->disruptions[i] == NULL || !chance(sim, stale)) {
+        if (controller->disruptions[i] == NULL ||
+            !random_percent(sim, stale)) {
             record_set(&controller->disruptions[i], sim->disruptions[i]);
         }
     }
     controller->n_waves = sim->n_waves;
     for (uint32_t i = 0; i < sim->n_waves; i++) {
-        if (controller->waves[i] == NULL || !chance(sim, stale)) {
+        if (controller->waves[i] == NULL || !random_percent(sim, stale)) {
             record_set(&controller->waves[i], sim->waves[i]);
         }
     }
-    uint32_t lag = random_below(&sim->random, sim->options.lag_steps + 1);
-    uint32_t slot =
-        (uint32_t)(sim->now_ms / sim->options.step_ms + SIM_LAG_MAX - lag) %
-        SIM_LAG_MAX;
-    memcpy(controller->up, &sim->seen_up[slot * sim->n_hosts],
+    uint32_t lag =
+        random_below(&sim->random, sim->options.host_list_lag_steps + 1);
+    uint32_t slot = (uint32_t)(sim->now_ms / sim->options.step_ms +
+                               SIM_LAG_STEPS_MAX - lag) %
+                    SIM_LAG_STEPS_MAX;
+    memcpy(controller->host_up_seen,
+           &sim->host_up_history[slot * sim->n_hosts],
            sim->n_hosts * sizeof(bool));
     for (size_t i = 0; i < sim->options.config->n_dcs; i++) {
-        controller->dc_in[i] = sim->options.config->dcs[i].state == DC_IN;
+        controller->dc_in_service_seen[i] =
+            sim->options.config->dcs[i].state == DC_IN;
     }
 }
 
 static bool
-is_current(const struct sim_controller *controller, size_t pool)
+host_records_current(const struct sim_controller *controller, size_t pool)
 {
     const struct disruption_record *record =
         controller->disruptions[pool]->data;
@@ -357,51 +362,52 @@
 }
 
 static struct fleet_host *
-host_facts(struct fleet_sim *sim, const struct sim_controller *controller)
+build_fleet_hosts(struct fleet_sim *sim,
+                  const struct sim_controller *controller)
 {
-    struct fleet_host *facts = g_new0(struct fleet_host, sim->n_hosts);
+    struct fleet_host *hosts = g_new0(struct fleet_host, sim->n_hosts);
     for (uint32_t i = 0; i < sim->n_hosts; i++) {
         const struct sim_host *host = &sim->hosts[i];
         const struct host_shard *shard =
             controller->shards[host_shard_index(host->name)]->data;
-        facts[i] = (struct fleet_host){
+        hosts[i] = (struct fleet_host){
             .name = host->name,
             .record = g_hash_table_lookup(shard->hosts, host->name),
             .listed = true,
-            .live = controller->up[i],
+            .live = controller->host_up_seen[i],
             .leaving = host->leaving,
             .dc = host->dc,
             .rack = host->rack,
-            .initial_pool = host->start_pool,
+            .initial_pool = host->initial_pool,
             .drained =
                 sim->now_ms - host->draining_since_ms >= sim->options.drain_ms,
-            .suspect = host->fails_all,
+            .suspect = host->fails_all_tasks,
         };
     }
-    return facts;
+    return hosts;
 }
 
 static void
-plan(struct fleet_sim *sim, struct sim_controller *controller)
+run_planner(struct fleet_sim *sim, struct sim_controller *controller)
 {
     const struct config *config = sim->options.config;
-    struct fleet_host *hosts = host_facts(sim, controller);
+    struct fleet_host *hosts = build_fleet_hosts(sim, controller);
     struct fleet_pool_info *pools =
         g_new0(struct fleet_pool_info, config->n_pools);
-    const struct wave_record *waves[SIM_LAG_MAX];
+    const struct wave_record *waves[SIM_LAG_STEPS_MAX];
     for (size_t i = 0; i < config->n_pools; i++) {
         pools[i] = (struct fleet_pool_info){
             .name = config->pools[i].name,
             .disruptions = controller->disruptions[i]->data,
-            .host_records_current = is_current(controller, i),
-            .demand_known = sim->demand[i] >= 0,
-            .demand_slots = sim->demand[i],
+            .host_records_current = host_records_current(controller, i),
+            .demand_known = sim->demand_slots[i] >= 0,
+            .demand_slots = sim->demand_slots[i],
         };
     }
     for (uint32_t i = 0; i < controller->n_waves; i++) {
         waves[i] = controller->waves[i]->data;
     }
-    struct fleet_snapshot facts = {
+    struct fleet_snapshot snapshot = {
         .now_ms = sim->now_ms,
         .now_s = sim->now_ms / 1000,
         .host_list_fresh = true,
@@ -414,7 +420,7 @@
         .n_waves = controller->n_waves,
     };
     fleet_plan_destroy(controller->plan);
-    controller->plan = fleet_planner_pass(controller->planner, &facts);
+    controller->plan = fleet_planner_pass(controller->planner, &snapshot);
     g_free(hosts);
     g_free(pools);
 }
@@ -430,7 +436,8 @@
 }
 
 static bool
-counts(struct fleet_sim *sim, const struct sim_host *host, const char *pool)
+counts_as_available(struct fleet_sim *sim, const struct sim_host *host,
+                    const char *pool)
 {
     const struct host_record *record = fleet_sim_host_record(sim, host->name);
     if (record == NULL || record->state != HOST_SERVING ||
@@ -461,7 +468,7 @@
     for (uint32_t i = 0; i < sim->n_hosts; i++) {
         const struct sim_host *host = &sim->hosts[i];
         available +=
-            host->up && counts(sim, host, pool) &&
+            host->up && counts_as_available(sim, host, pool) &&
             sim->options.config->dcs[dc_index(sim, host->dc)].state == DC_IN;
     }
     return available;
@@ -470,8 +477,9 @@
 /* A host that has failed since the controller read its record: no decision
  * took it away. */
 static bool
-failed_unseen(struct fleet_sim *sim, const struct sim_controller *controller,
-              const struct sim_host *host, const char *pool)
+failed_since_read(struct fleet_sim *sim,
+                  const struct sim_controller *controller,
+                  const struct sim_host *host, const char *pool)
 {
     const struct host_record *now = fleet_sim_host_record(sim, host->name);
     const struct host_shard *read =
@@ -489,27 +497,29 @@
 /* Available hosts by true records and by what the controller knew of
  * failures and data centres; all of them, or those in one data centre. */
 static uint32_t
-known_available(struct fleet_sim *sim, const struct sim_controller *controller,
-                const char *pool, const char *dc)
+expected_available(struct fleet_sim *sim,
+                   const struct sim_controller *controller, const char *pool,
+                   const char *dc)
 {
     uint32_t available = 0;
     for (uint32_t i = 0; i < sim->n_hosts; i++) {
         const struct sim_host *host = &sim->hosts[i];
-        available += controller->up[i] && !host->leaving &&
-                     controller->dc_in[dc_index(sim, host->dc)] &&
+        available += controller->host_up_seen[i] && !host->leaving &&
+                     controller->dc_in_service_seen[dc_index(sim, host->dc)] &&
                      (dc == NULL || g_str_equal(host->dc, dc)) &&
-                     (counts(sim, host, pool) ||
-                      failed_unseen(sim, controller, host, pool));
+                     (counts_as_available(sim, host, pool) ||
+                      failed_since_read(sim, controller, host, pool));
     }
     return available;
 }
 
 static bool
-took_away(const struct fleet_sim *sim, const struct sim_controller *controller,
-          const struct sim_host *host)
+was_available(const struct fleet_sim *sim,
+              const struct sim_controller *controller,
+              const struct sim_host *host)
 {
-    return controller->up[host - sim->hosts] &&
-           controller->dc_in[dc_index(sim, host->dc)];
+    return controller->host_up_seen[host - sim->hosts] &&
+           controller->dc_in_service_seen[dc_index(sim, host->dc)];
 }
 
 static const struct sim_host *
@@ -524,57 +534,59 @@
 {
     const struct config_pool *config = &sim->options.config->pools[pool];
     const struct sim_host *host = find_host(sim, name);
-    if (!took_away(sim, controller, host)) {
+    if (!was_available(sim, controller, host)) {
         return;
     }
-    sim->violations += known_available(sim, controller, config->name, NULL) <
-                       config->min_available_hosts;
+    sim->violations += expected_available(sim, controller, config->name,
+                                          NULL) < config->min_available_hosts;
     sim->violations +=
-        known_available(sim, controller, config->name, host->dc) <
+        expected_available(sim, controller, config->name, host->dc) <
         config->min_available_per_dc_hosts;
 }
 
 /* A drain has to stand in its pool's record as it is now. */
 static void
-check_drain(struct fleet_sim *sim, const struct fleet_action *step)
+check_drain(struct fleet_sim *sim, const struct fleet_action *action)
 {
-    const struct host_record *before = fleet_sim_host_record(sim, step->host);
+    const struct host_record *before =
+        fleet_sim_host_record(sim, action->host);
     if (before == NULL || before->state == HOST_DRAINING ||
-        step->record->state != HOST_DRAINING) {
+        action->record->state != HOST_DRAINING) {
         return;
     }
     const struct disruption_record *disruptions =
         sim->disruptions[pool_index(sim, before->pool)]->data;
     const struct disruption_entry *entry =
-        g_hash_table_lookup(disruptions->entries, step->host);
+        g_hash_table_lookup(disruptions->entries, action->host);
     sim->violations +=
-        entry == NULL || entry->admission != step->record->admission;
+        entry == NULL || entry->admission != action->record->admission;
 }
 
 static void
-count_move(struct fleet_sim *sim, const struct fleet_action *step)
+count_move(struct fleet_sim *sim, const struct fleet_action *action)
 {
-    const struct host_record *before = fleet_sim_host_record(sim, step->host);
-    if (before == NULL || g_str_equal(before->pool, step->record->pool)) {
+    const struct host_record *before =
+        fleet_sim_host_record(sim, action->host);
+    if (before == NULL || g_str_equal(before->pool, action->record->pool)) {
         return;
     }
-    sim->moves[pool_index(sim, step->record->pool)]++;
+    sim->moves[pool_index(sim, action->record->pool)]++;
     sim->violations += before->state != HOST_DRAINING;
 }
 
 static void
-write_shard(struct fleet_sim *sim, uint32_t shard, const GPtrArray *steps)
+write_shard(struct fleet_sim *sim, uint32_t shard, const GPtrArray *actions)
 {
-    for (guint i = 0; i < steps->len; i++) {
-        const struct fleet_action *step = g_ptr_array_index(steps, i);
-        if (step->kind == FLEET_WRITE_HOST) {
-            check_drain(sim, step);
-            count_move(sim, step);
+    for (guint i = 0; i < actions->len; i++) {
+        const struct fleet_action *action = g_ptr_array_index(actions, i);
+        if (action->kind == FLEET_WRITE_HOST) {
+            check_drain(sim, action);
+            count_move(sim, action);
         }
     }
-    struct sim_record *next =
-        record_new(sim, record_edit_shard(sim->shards[shard]->data, steps),
-                   destroy_shard);
+    struct sim_record *next = record_create(
+        sim, record_edit_shard(sim->shards[shard]->data, actions),
+        destroy_shard);
     record_unref(sim->shards[shard]);
     sim->shards[shard] = next;
 }
@@ -582,53 +594,53 @@
 static void
 write_disruptions(struct fleet_sim *sim,
                   const struct sim_controller *controller, size_t pool,
-                  const GPtrArray *steps)
+                  const GPtrArray *actions)
 {
     struct sim_record *next =
-        record_new(sim,
-                   record_edit_disruptions(sim->disruptions[pool]->data, steps,
-                                           controller->versions),
-                   destroy_disruptions);
+        record_create(sim,
+                      record_edit_disruptions(sim->disruptions[pool]->data,
+                                              actions, controller->versions),
+                      destroy_disruptions);
     record_unref(sim->disruptions[pool]);
     sim->disruptions[pool] = next;
-    for (guint i = 0; i < steps->len; i++) {
-        const struct fleet_action *step = g_ptr_array_index(steps, i);
-        if (step->kind == FLEET_ADMIT) {
+    for (guint i = 0; i < actions->len; i++) {
+        const struct fleet_action *action = g_ptr_array_index(actions, i);
+        if (action->kind == FLEET_ADMIT) {
             sim->admissions++;
-            check_budget(sim, controller, pool, step->host);
+            check_budget(sim, controller, pool, action->host);
         }
     }
 }
 
 /* Steps of @kind or its neighbour that go to the record numbered @slot. */
 static GPtrArray *
-steps_for(struct fleet_sim *sim, const struct fleet_plan *plan,
-          enum fleet_action_kind kind, size_t slot)
+actions_for_record(struct fleet_sim *sim, const struct fleet_plan *plan,
+                   enum fleet_action_kind kind, size_t slot)
 {
-    GPtrArray *steps = g_ptr_array_new();
+    GPtrArray *actions = g_ptr_array_new();
     for (guint i = 0; i < plan->actions->len; i++) {
-        struct fleet_action *step = g_ptr_array_index(plan->actions, i);
+        struct fleet_action *action = g_ptr_array_index(plan->actions, i);
         bool on_shard = kind == FLEET_WRITE_HOST &&
-                        (step->kind == FLEET_WRITE_HOST ||
-                         step->kind == FLEET_REMOVE_HOST) &&
-                        host_shard_index(step->host) == slot;
+                        (action->kind == FLEET_WRITE_HOST ||
+                         action->kind == FLEET_REMOVE_HOST) &&
+                        host_shard_index(action->host) == slot;
         bool on_pool =
             kind == FLEET_ADMIT &&
-            (step->kind == FLEET_ADMIT || step->kind == FLEET_RELEASE) &&
-            pool_index(sim, step->pool) == slot;
+            (action->kind == FLEET_ADMIT || action->kind == FLEET_RELEASE) &&
+            pool_index(sim, action->pool) == slot;
         if (on_shard || on_pool) {
-            g_ptr_array_add(steps, step);
+            g_ptr_array_add(actions, action);
         }
     }
-    return steps;
+    return actions;
 }
 
 /* Whether a write of @controller on @read meets the version it read. */
 static bool
-swaps(struct fleet_sim *sim, const struct sim_record *read,
-      const struct sim_record *present, const GPtrArray *steps)
+cas_succeeds(struct fleet_sim *sim, const struct sim_record *read,
+             const struct sim_record *present, const GPtrArray *actions)
 {
-    if (steps->len == 0) {
+    if (actions->len == 0) {
         return false;
     }
     sim->writes++;
@@ -640,34 +652,36 @@
 }
 
 static void
-carry_out(struct fleet_sim *sim, struct sim_controller *controller)
+write_plan(struct fleet_sim *sim, struct sim_controller *controller)
 {
     for (uint32_t i = 0; i < HOST_SHARDS; i++) {
-        GPtrArray *steps =
-            steps_for(sim, controller->plan, FLEET_WRITE_HOST, i);
-        if (swaps(sim, controller->shards[i], sim->shards[i], steps)) {
-            write_shard(sim, i, steps);
+        GPtrArray *actions =
+            actions_for_record(sim, controller->plan, FLEET_WRITE_HOST, i);
+        if (cas_succeeds(sim, controller->shards[i], sim->shards[i],
+                         actions)) {
+            write_shard(sim, i, actions);
         }
-        g_ptr_array_unref(steps);
+        g_ptr_array_unref(actions);
     }
     for (size_t i = 0; i < sim->options.config->n_pools; i++) {
-        GPtrArray *steps = steps_for(sim, controller->plan, FLEET_ADMIT, i);
-        if (swaps(sim, controller->disruptions[i], sim->disruptions[i],
-                  steps)) {
-            write_disruptions(sim, controller, i, steps);
+        GPtrArray *actions =
+            actions_for_record(sim, controller->plan, FLEET_ADMIT, i);
+        if (cas_succeeds(sim, controller->disruptions[i], sim->disruptions[i],
+                         actions)) {
+            write_disruptions(sim, controller, i, actions);
         }
-        g_ptr_array_unref(steps);
+        g_ptr_array_unref(actions);
     }
     for (guint i = 0; i < controller->plan->actions->len; i++) {
-        const struct fleet_action *step =
+        const struct fleet_action *action =
             g_ptr_array_index(controller->plan->actions, i);
-        if (step->kind != FLEET_WRITE_WAVE) {
+        if (action->kind != FLEET_WRITE_WAVE) {
             continue;
         }
-        uint64_t slot = step->wave->number - 1;
+        uint64_t slot = action->wave->number - 1;
         if (controller->waves[slot]->version == sim->waves[slot]->version) {
-            struct sim_record *next =
-                record_new(sim, wave_record_copy(step->wave), destroy_wave);
+            struct sim_record *next = record_create(
+                sim, wave_record_copy(action->wave), destroy_wave);
             record_unref(sim->waves[slot]);
             sim->waves[slot] = next;
         }
@@ -681,24 +695,25 @@
     if (sim->now_ms < controller->paused_until_ms) {
         return;
     }
-    if (controller->plan != NULL && chance(sim, sim->options.late_percent) &&
+    if (controller->plan != NULL &&
+        random_percent(sim, sim->options.delayed_write_percent) &&
         !sim->store_down) {
-        carry_out(sim, controller);
+        write_plan(sim, controller);
         return;
     }
     if (sim->store_down) {
         return;
     }
-    refresh(sim, controller);
-    plan(sim, controller);
-    if (chance(sim, sim->options.pause_percent)) {
+    read_store(sim, controller);
+    run_planner(sim, controller);
+    if (random_percent(sim, sim->options.pause_percent)) {
         controller->paused_until_ms =
             sim->now_ms +
             sim->options.step_ms * (1 + random_below(&sim->random, 60));
         return;
     }
-    if (!chance(sim, sim->options.lost_percent)) {
-        carry_out(sim, controller);
+    if (!random_percent(sim, sim->options.lost_write_percent)) {
+        write_plan(sim, controller);
     }
 }
 
@@ -717,5 +732,5 @@
 void
 fleet_sim_plan(struct fleet_sim *sim)
 {
-    plan(sim, &sim->controllers[0]);
+    run_planner(sim, &sim->controllers[0]);
 }
--- a/tests/fleet/fleet_sim.h
+++ b/tests/fleet/fleet_sim.h
@@ -7,7 +7,7 @@
 #include "core/host_shard.h"
 
 enum {
-    SIM_LAG_MAX = 16
+    SIM_LAG_STEPS_MAX = 16
 };
 
 /** struct sim_record - a stored value; views share it until it changes */
@@ -22,17 +22,17 @@
  * struct sim_host - the platform's side of a host
  * @up: truth; controllers see it @lag steps later
  * @up_at_ms: when a failure or reboot ends
- * @fails_all: every task fails there until it is rebooted
+ * @fails_all_tasks: every task fails there until it is rebooted
  */
 struct sim_host {
     char name[16];
     char *dc;
     char rack[16];
-    char *start_pool;
+    char *initial_pool;
     bool up;
-    bool rebooting;
+    bool reboot_requested;
     bool leaving;
-    bool fails_all;
+    bool fails_all_tasks;
     int64_t up_at_ms;
     int64_t draining_since_ms;
 };
@@ -41,7 +41,7 @@
  * struct fleet_sim_options - shape and faults
  * @racks_to_pools: whole racks go to pools in turn, not single hosts
  * @*_percent: chance of a fault for each write or refresh
- * @fail_ppm: chance of a host's failure in each step, millionths
+ * @host_fail_ppm: chance of a host's failure in each step, millionths
  * @rack_fail_ppm: the same for a rack
  */
 struct fleet_sim_options {
@@ -56,13 +56,13 @@
     int64_t reboot_ms;
     int64_t drain_ms;
     int64_t down_ms;
-    uint32_t lag_steps;
-    uint32_t stale_percent;
-    uint32_t stale_shard_percent;
-    uint32_t late_percent;
-    uint32_t lost_percent;
+    uint32_t host_list_lag_steps;
+    uint32_t stale_read_percent;
+    uint32_t stale_shard_read_percent;
+    uint32_t delayed_write_percent;
+    uint32_t lost_write_percent;
     uint32_t pause_percent;
-    uint32_t fail_ppm;
+    uint32_t host_fail_ppm;
     uint32_t rack_fail_ppm;
 };
 
@@ -70,7 +70,7 @@
 
 /**
  * struct fleet_sim - all of it
- * @demand: slots asked of each configured pool; below 0 for unknown
+ * @demand_slots: slots asked of each configured pool; below 0 for unknown
  * @violations: disruptions that a controller should have known to break a
  *              budget, and drains without an entry
  * @moves: hosts moved, by pool they went to
@@ -81,14 +81,14 @@
     int64_t now_ms;
     struct sim_host *hosts;
     uint32_t n_hosts;
-    bool *seen_up;
+    bool *host_up_history;
     struct sim_record *shards[HOST_SHARDS];
     struct sim_record **disruptions;
     struct sim_record **waves;
     uint32_t n_waves;
-    uint64_t index;
+    uint64_t last_version;
     struct sim_controller *controllers;
-    double *demand;
+    double *demand_slots;
     uint32_t *moves;
     uint32_t violations;
     uint32_t admissions;
@@ -96,7 +96,7 @@
     uint32_t writes;
     uint32_t conflicts;
     bool store_down;
-    bool no_failures;
+    bool failures_disabled;
 };
 
 struct fleet_sim *
--- a/tests/fleet/planner_policy_test.c
+++ b/tests/fleet/planner_policy_test.c
@@ -36,7 +36,7 @@
 }
 
 static bool
-run_until_done(struct fleet_sim *sim, uint64_t wave, uint32_t n)
+run_until_wave_done(struct fleet_sim *sim, uint64_t wave, uint32_t n)
 {
     uint32_t i = 0;
     while (i++ < n && fleet_sim_wave(sim, wave)->state != WAVE_DONE) {
@@ -46,7 +46,7 @@
 }
 
 static void
-end_sim(struct fleet_sim *sim)
+check_and_destroy(struct fleet_sim *sim)
 {
     CU_ASSERT_EQUAL(sim->violations, 0);
     struct config *config = sim->options.config;
@@ -55,7 +55,7 @@
 }
 
 static const struct fleet_pool_report *
-report_of(const struct fleet_plan *plan, const char *pool)
+find_report(const struct fleet_plan *plan, const char *pool)
 {
     for (guint i = 0; i < plan->reports->len; i++) {
         const struct fleet_pool_report *report =
@@ -87,7 +87,7 @@
 static void
 test_rack_lost_during_wave(void)
 {
-    uint32_t lowest = UINT32_MAX;
+    uint32_t min_available = UINT32_MAX;
     for (uint64_t seed = 1; seed <= 60; seed++) {
         struct config *config = fleet_sim_config(3, 1, 9);
         struct fleet_sim_options options = options_for(seed, config);
@@ -100,13 +100,13 @@
         fleet_sim_fail_rack(sim, seed % 2 == 0 ? "d0" : "d1", rack);
         for (uint32_t i = 0; i < 120; i++) {
             fleet_sim_step(sim);
-            lowest = MIN(lowest, fleet_sim_available(sim, "p0"));
+            min_available = MIN(min_available, fleet_sim_available(sim, "p0"));
         }
         CU_ASSERT(sim->reboots > 0);
-        end_sim(sim);
+        check_and_destroy(sim);
     }
-    printf("lowest %u ", lowest);
-    CU_ASSERT(lowest >= 9);
+    printf("lowest %u ", min_available);
+    CU_ASSERT(min_available >= 9);
 }
 
 /* Drains take long; hosts that fail meanwhile stop them. */
@@ -127,7 +127,7 @@
     run_steps(sim, 10);
     CU_ASSERT_EQUAL(count_state(sim, "p0", HOST_DRAINING), 0);
     CU_ASSERT(fleet_sim_available(sim, "p0") >= 12);
-    end_sim(sim);
+    check_and_destroy(sim);
 }
 
 /* A host that is down for good neither blocks a wave nor is forgotten. */
@@ -141,15 +141,15 @@
     uint64_t wave = fleet_sim_start_wave(sim);
     sim->hosts[0].up = false;
     sim->hosts[0].up_at_ms = INT64_MAX;
-    CU_ASSERT(run_until_done(sim, wave, 900));
+    CU_ASSERT(run_until_wave_done(sim, wave, 900));
     const struct wave_record *record = fleet_sim_wave(sim, wave);
     CU_ASSERT(g_hash_table_contains(record->held_out, sim->hosts[0].name));
     CU_ASSERT_EQUAL(sim->reboots, sim->n_hosts - 1);
-    end_sim(sim);
+    check_and_destroy(sim);
 }
 
 static uint32_t
-count_wave(struct fleet_sim *sim, uint64_t wave)
+count_rebooted_by_wave(struct fleet_sim *sim, uint64_t wave)
 {
     uint32_t count = 0;
     for (uint32_t i = 0; i < sim->n_hosts; i++) {
@@ -163,7 +163,7 @@
 /* The later wave takes the hosts that the first had done before it began,
  * and only when the first has ended. */
 static void
-test_two_waves_do_not_meet(void)
+test_waves_run_one_after_another(void)
 {
     struct config *config = fleet_sim_config(2, 1, 8);
     struct fleet_sim_options options = options_for(1, config);
@@ -173,18 +173,19 @@
     run_steps(sim, 5);
     uint64_t first = fleet_sim_start_wave(sim);
     run_steps(sim, 100);
-    uint32_t before = sim->reboots;
+    uint32_t rebooted_by_first = sim->reboots;
     uint64_t second = fleet_sim_start_wave(sim);
-    while (count_wave(sim, 0) > 0 && sim->now_ms < 900000) {
+    while (count_rebooted_by_wave(sim, 0) > 0 && sim->now_ms < 900000) {
         fleet_sim_step(sim);
-        CU_ASSERT(count_wave(sim, 0) == 0 || count_wave(sim, second) == 0);
+        CU_ASSERT(count_rebooted_by_wave(sim, 0) == 0 ||
+                  count_rebooted_by_wave(sim, second) == 0);
     }
-    CU_ASSERT(run_until_done(sim, first, 900));
-    CU_ASSERT(run_until_done(sim, second, 900));
-    CU_ASSERT(before > 0 && before < sim->n_hosts);
-    CU_ASSERT(sim->reboots >= sim->n_hosts + before - 4);
-    CU_ASSERT(sim->reboots <= sim->n_hosts + before);
-    end_sim(sim);
+    CU_ASSERT(run_until_wave_done(sim, first, 900));
+    CU_ASSERT(run_until_wave_done(sim, second, 900));
+    CU_ASSERT(rebooted_by_first > 0 && rebooted_by_first < sim->n_hosts);
+    CU_ASSERT(sim->reboots >= sim->n_hosts + rebooted_by_first - 4);
+    CU_ASSERT(sim->reboots <= sim->n_hosts + rebooted_by_first);
+    check_and_destroy(sim);
 }
 
 /* Drains take half a minute; a pause within it gives all hosts back. */
@@ -212,18 +213,18 @@
     run_steps(sim, 60);
     CU_ASSERT_EQUAL(sim->reboots, reboots);
     CU_ASSERT(reboots < sim->n_hosts);
-    end_sim(sim);
+    check_and_destroy(sim);
 }
 
 /* While the queue asks for all there is, a wave waits. */
 static void
-test_wave_waits_for_quiet(void)
+test_wave_waits_for_low_demand(void)
 {
     struct config *config = fleet_sim_config(2, 2, 2);
     struct fleet_sim_options options = options_for(1, config);
     struct fleet_sim *sim = fleet_sim_create(&options);
-    sim->demand[0] = 8 * 8;
-    sim->demand[1] = 10;
+    sim->demand_slots[0] = 8 * 8;
+    sim->demand_slots[1] = 10;
     run_steps(sim, 5);
     uint64_t wave = fleet_sim_start_wave(sim);
     run_steps(sim, 300);
@@ -232,9 +233,9 @@
             fleet_sim_host_record(sim, sim->hosts[i].name);
         CU_ASSERT(!g_str_equal(record->pool, "p0") || record->wave == 0);
     }
-    sim->demand[0] = 10;
-    CU_ASSERT(run_until_done(sim, wave, 3000));
-    end_sim(sim);
+    sim->demand_slots[0] = 10;
+    CU_ASSERT(run_until_wave_done(sim, wave, 3000));
+    check_and_destroy(sim);
 }
 
 static void
@@ -243,8 +244,8 @@
     struct config *config = fleet_sim_config(3, 2, 9);
     struct fleet_sim_options options = options_for(1, config);
     struct fleet_sim *sim = fleet_sim_create(&options);
-    sim->demand[0] = 20;
-    sim->demand[1] = 20;
+    sim->demand_slots[0] = 20;
+    sim->demand_slots[1] = 20;
     run_steps(sim, 700);
     CU_ASSERT_EQUAL(sim->moves[0] + sim->moves[1], 0);
     config->dcs[0].state = DC_OUT;
@@ -260,7 +261,7 @@
     CU_ASSERT(sim->moves[2] > 0);
     CU_ASSERT(sim->moves[2] <= 2 * 8);
     CU_ASSERT_EQUAL(sim->moves[0] + sim->moves[1], moved);
-    end_sim(sim);
+    check_and_destroy(sim);
 }
 
 /* Bursts of five times the mean, a twentieth in between. */
@@ -273,56 +274,57 @@
     double mean = 30;
     for (uint32_t i = 0; i < 2 * 3600; i++) {
         bool burst = i % 52 < 10;
-        sim->demand[0] = burst ? mean * 5 : mean / 20;
-        sim->demand[1] = i % 52 > 26 && i % 52 < 37 ? mean * 5 : mean / 20;
+        sim->demand_slots[0] = burst ? mean * 5 : mean / 20;
+        sim->demand_slots[1] =
+            i % 52 > 26 && i % 52 < 37 ? mean * 5 : mean / 20;
         fleet_sim_step(sim);
     }
     uint32_t moves = sim->moves[0] + sim->moves[1] + sim->moves[2];
     printf("%u moves ", moves);
     CU_ASSERT(moves <= 2 * 2);
-    end_sim(sim);
+    check_and_destroy(sim);
 }
 
 /* Demand that swings around a pool's size by a fifth in half an hour. */
 static void
-test_swinging_demand_moves_little(void)
+test_oscillating_demand_moves_few(void)
 {
     struct config *config = fleet_sim_config(3, 1, 4);
     struct fleet_sim_options options = options_for(1, config);
     options.timings.surplus_ms = 300000;
     struct fleet_sim *sim = fleet_sim_create(&options);
     for (uint32_t i = 0; i < 6 * 3600; i++) {
-        sim->demand[0] = i / 1800 % 2 == 0 ? 110 : 130;
+        sim->demand_slots[0] = i / 1800 % 2 == 0 ? 110 : 130;
         fleet_sim_step(sim);
     }
     printf("%u moves ", sim->moves[0] + sim->moves[1]);
     CU_ASSERT(sim->moves[0] + sim->moves[1] <= 3);
-    end_sim(sim);
+    check_and_destroy(sim);
 }
 
 static void
-test_pool_follows_lasting_demand(void)
+test_pool_follows_sustained_demand(void)
 {
     struct config *config = fleet_sim_config(3, 2, 4);
     struct fleet_sim_options options = options_for(1, config);
     struct fleet_sim *sim = fleet_sim_create(&options);
-    sim->demand[0] = 110;
-    sim->demand[1] = 40;
+    sim->demand_slots[0] = 110;
+    sim->demand_slots[1] = 40;
     run_steps(sim, 2400);
     CU_ASSERT(fleet_sim_available(sim, "p0") * 8 >= 110);
     CU_ASSERT(fleet_sim_available(sim, "p1") * 8 >= 40);
-    end_sim(sim);
+    check_and_destroy(sim);
 }
 
 static void
-test_suspect_goes_and_returns(void)
+test_suspect_hosts_are_rebooted(void)
 {
     struct config *config = fleet_sim_config(2, 2, 5);
     struct fleet_sim_options options = options_for(1, config);
     struct fleet_sim *sim = fleet_sim_create(&options);
     run_steps(sim, 5);
     for (uint32_t i = 0; i < sim->n_hosts; i++) {
-        sim->hosts[i].fails_all = true;
+        sim->hosts[i].fails_all_tasks = true;
     }
     run_steps(sim, 10);
     CU_ASSERT(count_state(sim, NULL, HOST_SERVING) < sim->n_hosts);
@@ -331,16 +333,16 @@
     CU_ASSERT_EQUAL(count_state(sim, NULL, HOST_SERVING), sim->n_hosts);
     CU_ASSERT_EQUAL(sim->reboots, sim->n_hosts);
     /* One that fails again right after its return is left out for longer. */
-    sim->hosts[0].fails_all = true;
+    sim->hosts[0].fails_all_tasks = true;
     while (count_state(sim, NULL, HOST_RETURNING) == 0) {
         fleet_sim_step(sim);
     }
-    sim->hosts[0].fails_all = true;
+    sim->hosts[0].fails_all_tasks = true;
     run_steps(sim, 30);
     CU_ASSERT_EQUAL(count_state(sim, NULL, HOST_FAILED), 1);
     run_steps(sim, 120);
     CU_ASSERT_EQUAL(count_state(sim, NULL, HOST_SERVING), sim->n_hosts);
-    end_sim(sim);
+    check_and_destroy(sim);
 }
 
 static void
@@ -371,7 +373,7 @@
         {.name = "spare", .host_records_current = true},
         {.name = "gone", .host_records_current = true},
     };
-    struct fleet_snapshot facts = {
+    struct fleet_snapshot snapshot = {
         .host_list_fresh = true,
         .config = config,
         .hosts = hosts,
@@ -381,9 +383,9 @@
     };
     struct fleet_timings timings = fleet_timings_default();
     struct fleet_planner *planner = fleet_planner_create(&timings);
-    struct fleet_plan *plan = fleet_planner_pass(planner, &facts);
+    struct fleet_plan *plan = fleet_planner_pass(planner, &snapshot);
     for (size_t i = 0; i < G_N_ELEMENTS(pools); i++) {
-        const char *finding = report_of(plan, pools[i].name)->finding;
+        const char *finding = find_report(plan, pools[i].name)->finding;
         CU_ASSERT((finding[0] != '\0') == (i != 2));
     }
     bool adopted = false;
@@ -429,7 +431,7 @@
         {.name = "p0", .host_records_current = true},
         {.name = "spare", .host_records_current = true},
     };
-    struct fleet_snapshot facts = {
+    struct fleet_snapshot snapshot = {
         .host_list_fresh = true,
         .config = config,
         .hosts = hosts,
@@ -439,7 +441,7 @@
     };
     struct fleet_timings timings = fleet_timings_default();
     struct fleet_planner *planner = fleet_planner_create(&timings);
-    struct fleet_plan *plan = fleet_planner_pass(planner, &facts);
+    struct fleet_plan *plan = fleet_planner_pass(planner, &snapshot);
     CU_ASSERT_EQUAL(plan->actions->len, G_N_ELEMENTS(hosts) / 2);
     for (guint i = 0; i < plan->actions->len; i++) {
         const struct fleet_action *action =
@@ -458,14 +460,14 @@
         {"rack lost during wave", test_rack_lost_during_wave},
         {"failure cancels drains", test_failure_cancels_drains},
         {"wave ends without dead host", test_wave_ends_without_dead_host},
-        {"two waves do not meet", test_two_waves_do_not_meet},
+        {"two waves do not meet", test_waves_run_one_after_another},
         {"pause and stop", test_pause_and_stop},
-        {"wave waits for quiet", test_wave_waits_for_quiet},
+        {"wave waits for quiet", test_wave_waits_for_low_demand},
         {"data centre out and back", test_dc_out_and_back},
         {"alternating demand", test_alternating_demand_moves_nothing},
-        {"swinging demand", test_swinging_demand_moves_little},
-        {"lasting demand", test_pool_follows_lasting_demand},
-        {"suspect goes and returns", test_suspect_goes_and_returns},
+        {"swinging demand", test_oscillating_demand_moves_few},
+        {"lasting demand", test_pool_follows_sustained_demand},
+        {"suspect goes and returns", test_suspect_hosts_are_rebooted},
         {"bad targets are reported", test_bad_targets_are_reported},
         {"missing records", test_missing_records_move_nothing},
     };
--- a/tests/fleet/planner_test.c
+++ b/tests/fleet/planner_test.c
@@ -4,9 +4,9 @@
 #include "fleet_sim.h"
 
 enum {
-    SCHEDULES = 1500,
-    STEPS_UNDER_FAULTS = 120,
-    STEPS_TO_END = 900,
+    SCHEDULE_COUNT = 1500,
+    STEPS_WITH_FAULTS = 120,
+    STEPS_AFTER_FAULTS_MAX = 900,
 };
 
 static struct fleet_timings
@@ -50,7 +50,7 @@
 }
 
 static bool
-run_until_done(struct fleet_sim *sim, uint64_t wave, uint32_t n)
+run_until_wave_done(struct fleet_sim *sim, uint64_t wave, uint32_t n)
 {
     for (uint32_t i = 0; i < n; i++) {
         if (fleet_sim_wave(sim, wave)->state == WAVE_DONE) {
@@ -65,18 +65,18 @@
 set_faults(struct fleet_sim_options *options, struct random *random)
 {
     options->n_controllers = 1 + random_below(random, 3);
-    options->lag_steps = random_below(random, 6);
-    options->stale_percent = random_below(random, 60);
-    options->stale_shard_percent = random_below(random, 95);
-    options->late_percent = random_below(random, 30);
-    options->lost_percent = random_below(random, 20);
+    options->host_list_lag_steps = random_below(random, 6);
+    options->stale_read_percent = random_below(random, 60);
+    options->stale_shard_read_percent = random_below(random, 95);
+    options->delayed_write_percent = random_below(random, 30);
+    options->lost_write_percent = random_below(random, 20);
     options->pause_percent = random_below(random, 10);
-    options->fail_ppm = random_below(random, 4000);
+    options->host_fail_ppm = random_below(random, 4000);
     options->rack_fail_ppm = random_below(random, 4000);
 }
 
 static void
-flip_a_dc(struct fleet_sim *sim, struct random *random)
+toggle_dc(struct fleet_sim *sim, struct random *random)
 {
     struct config *config = sim->options.config;
     struct config_dc *dc =
@@ -86,39 +86,39 @@
 
 /* Demand jumps, a data centre leaves and returns, the store goes away. */
 static void
-disturb(struct fleet_sim *sim, struct random *random)
+inject_faults(struct fleet_sim *sim, struct random *random)
 {
     struct config *config = sim->options.config;
     if (random_below(random, 20) == 0) {
-        sim->demand[random_below(random, (uint32_t)config->n_pools)] =
+        sim->demand_slots[random_below(random, (uint32_t)config->n_pools)] =
             random_below(random, 60);
     }
     if (random_below(random, 60) == 0) {
-        flip_a_dc(sim, random);
+        toggle_dc(sim, random);
     }
     if (random_below(random, 30) == 0) {
         sim->store_down = !sim->store_down;
     }
     if (random_below(random, 60) == 0) {
-        sim->hosts[random_below(random, sim->n_hosts)].fails_all = true;
+        sim->hosts[random_below(random, sim->n_hosts)].fails_all_tasks = true;
     }
 }
 
 static void
-calm(struct fleet_sim *sim)
+end_faults(struct fleet_sim *sim)
 {
-    sim->no_failures = true;
-    sim->options.stale_shard_percent = 30;
+    sim->failures_disabled = true;
+    sim->options.stale_shard_read_percent = 30;
     sim->options.pause_percent = 0;
     sim->store_down = false;
     for (size_t i = 0; i < sim->options.config->n_dcs; i++) {
         sim->options.config->dcs[i].state = DC_IN;
     }
     for (size_t i = 0; i < sim->options.config->n_pools; i++) {
-        sim->demand[i] = 4;
+        sim->demand_slots[i] = 4;
     }
     for (uint32_t i = 0; i < sim->n_hosts; i++) {
-        sim->hosts[i].fails_all = false;
+        sim->hosts[i].fails_all_tasks = false;
     }
 }
 
@@ -134,14 +134,14 @@
     struct fleet_sim *sim = fleet_sim_create(&options);
     run_steps(sim, 3);
     uint64_t wave = fleet_sim_start_wave(sim);
-    for (uint32_t i = 0; i < STEPS_UNDER_FAULTS; i++) {
-        disturb(sim, &random);
+    for (uint32_t i = 0; i < STEPS_WITH_FAULTS; i++) {
+        inject_faults(sim, &random);
         fleet_sim_step(sim);
     }
-    uint32_t under_faults = sim->violations;
-    calm(sim);
-    bool done = run_until_done(sim, wave, STEPS_TO_END);
-    if (under_faults > 0 || sim->violations > 0 || !done) {
+    uint32_t violations_with_faults = sim->violations;
+    end_faults(sim);
+    bool done = run_until_wave_done(sim, wave, STEPS_AFTER_FAULTS_MAX);
+    if (violations_with_faults > 0 || sim->violations > 0 || !done) {
         printf("seed %u: %u violations, wave %s\n", (unsigned)seed,
                sim->violations, done ? "done" : "not done");
     }
@@ -159,26 +159,26 @@
 test_schedules(void)
 {
     uint32_t totals[4] = {0};
-    for (uint64_t seed = 1; seed <= SCHEDULES; seed++) {
+    for (uint64_t seed = 1; seed <= SCHEDULE_COUNT; seed++) {
         run_schedule(seed, totals);
     }
     printf("%u admissions, %u conflicts, %u moves, %u reboots\n", totals[0],
            totals[1], totals[2], totals[3]);
     /* The schedules have to reach what they are to test. */
-    CU_ASSERT(totals[0] > SCHEDULES * 10);
-    CU_ASSERT(totals[1] > SCHEDULES);
-    CU_ASSERT(totals[2] > SCHEDULES);
+    CU_ASSERT(totals[0] > SCHEDULE_COUNT * 10);
+    CU_ASSERT(totals[1] > SCHEDULE_COUNT);
+    CU_ASSERT(totals[2] > SCHEDULE_COUNT);
 }
 
 /* A pool gives hosts away while controllers see host records late: what has
  * left must not be counted. */
 static void
-run_moves(uint64_t seed, uint32_t *moves)
+run_moves_schedule(uint64_t seed, uint32_t *moves)
 {
     struct config *config = fleet_sim_config(2, 1, 3);
     struct fleet_sim_options options = options_for(seed, config);
     options.n_controllers = 3;
-    options.stale_shard_percent = 85;
+    options.stale_shard_read_percent = 85;
     options.drain_ms = 1000;
     options.timings.drain_margin_ms = 1000;
     options.timings.surplus_ms = 2000;
@@ -187,7 +187,7 @@
     run_steps(sim, 3);
     fleet_sim_start_wave(sim);
     for (uint32_t i = 0; i < 150; i++) {
-        sim->demand[0] = i / 40 % 2 == 0 ? 0 : 45;
+        sim->demand_slots[0] = i / 40 % 2 == 0 ? 0 : 45;
         fleet_sim_step(sim);
     }
     if (sim->violations > 0) {
@@ -200,11 +200,11 @@
 }
 
 static void
-test_moves_seen_late(void)
+test_moves_with_stale_records(void)
 {
     uint32_t moves = 0;
     for (uint64_t seed = 1; seed <= 300; seed++) {
-        run_moves(seed, &moves);
+        run_moves_schedule(seed, &moves);
     }
     CU_ASSERT(moves > 300);
 }
@@ -214,7 +214,7 @@
 {
     static const struct suite_test tests[] = {
         {"schedules", test_schedules},
-        {"moves seen late", test_moves_seen_late},
+        {"moves seen late", test_moves_with_stale_records},
     };
     return suite_main("planner", tests, G_N_ELEMENTS(tests));
 }
