--- a/core/dispatch.c
+++ b/core/dispatch.c
@@ -170,7 +170,7 @@
     struct task *task = task_create(dispatch, wanted, lane);
     reason = task_allowed(dispatch, task);
     if (reason != REASON_NONE) {
-        task_over(dispatch, task);
+        task_end(dispatch, task);
     }
     else if (queue->urgent) {
         reserve_count_arrival(dispatch, queue->pool);
@@ -188,7 +188,7 @@
         return false;
     }
     if (task->state == TASK_QUEUED || task->state == TASK_REFUSED) {
-        task_over(dispatch, task);
+        task_end(dispatch, task);
         return true;
     }
     task->cancelled = true;
--- a/core/dispatch_attempt.c
+++ b/core/dispatch_attempt.c
@@ -37,7 +37,7 @@
     attempt->probe = probe;
     attempt->started_ms = dispatch->now_ms;
     attempt->lease_ms = attempt->queue->max_run_ms;
-    attempt->lease_end.owner = attempt;
+    attempt->lease_expiry.owner = attempt;
     g_hash_table_insert(dispatch->attempts, &attempt->id, attempt);
     lane_remove(dispatch, task);
     deadline_heap_remove(dispatch->deadlines, &task->deadline);
@@ -63,7 +63,7 @@
 attempt_release(struct dispatch *dispatch, struct attempt *attempt)
 {
     struct host *host = attempt->host;
-    deadline_heap_remove(dispatch->leases, &attempt->lease_end);
+    deadline_heap_remove(dispatch->leases, &attempt->lease_expiry);
     attempt_count(dispatch, attempt, -1);
     if (attempt->ran) {
         host_freed(dispatch, host);
@@ -103,7 +103,7 @@
 {
     attempt->lost = true;
     attempt->task = NULL;
-    deadline_heap_set(dispatch->leases, &attempt->lease_end,
+    deadline_heap_set(dispatch->leases, &attempt->lease_expiry,
                       dispatch->now_ms + attempt->lease_ms + LEASE_MARGIN_MS);
 }
 
--- a/core/dispatch_forward.c
+++ b/core/dispatch_forward.c
@@ -144,7 +144,7 @@
     switch (result) {
     case ATTEMPT_DONE:
     case ATTEMPT_FAILED:
-        task_over(dispatch, task);
+        task_end(dispatch, task);
         return true;
     case ATTEMPT_LOST:
         handle_lost_forward(dispatch, task);
--- a/core/dispatch_hosts.c
+++ b/core/dispatch_hosts.c
@@ -185,7 +185,7 @@
     void *entry;
     g_hash_table_iter_init(&iter, dispatch->pools);
     while (g_hash_table_iter_next(&iter, NULL, &entry)) {
-        pool_plan_soon(dispatch, entry);
+        pool_plan_shares_soon(dispatch, entry);
         pool_wake(dispatch, entry);
     }
 }
--- a/core/dispatch_next.c
+++ b/core/dispatch_next.c
@@ -21,7 +21,7 @@
         return false;
     }
     fill_refusal(task, action);
-    task_over(dispatch, task);
+    task_end(dispatch, task);
     return true;
 }
 
@@ -94,7 +94,7 @@
         }
     }
     if (!pool->contended) {
-        pool_plan_soon(dispatch, pool);
+        pool_plan_shares_soon(dispatch, pool);
     }
     pool_wake_later(dispatch, pool);
     return false;
@@ -121,7 +121,7 @@
 {
     attempts_expire(dispatch);
     ejections_end(dispatch);
-    peers_forget_old(dispatch);
+    peers_drop_stale(dispatch);
     plans_run(dispatch);
     expire_waiting(dispatch);
     struct pool *pool;
--- a/core/dispatch_peers.c
+++ b/core/dispatch_peers.c
@@ -263,7 +263,7 @@
 /* Drops peers whose last report is too old. Such a peer may still run tasks,
  * but there is no recent report to plan with. */
 void
-peers_forget_old(struct dispatch *dispatch)
+peers_drop_stale(struct dispatch *dispatch)
 {
     if (dispatch->now_ms - dispatch->peers_checked_ms <
         PEER_CHECK_INTERVAL_MS) {
--- a/core/dispatch_retry.c
+++ b/core/dispatch_retry.c
@@ -24,7 +24,7 @@
 }
 
 /* If a task that failed elsewhere also fails on a healthy host, the task is
- * the cause, and no host is blamed for it. */
+ * the cause, and no host counts its failures. */
 static void
 attribute_failure(struct dispatch *dispatch, struct task *task,
                   struct host *host)
@@ -50,7 +50,7 @@
     if (task->failures_discounted) {
         hosts_restore_failures(dispatch, task);
     }
-    task_over(dispatch, task);
+    task_end(dispatch, task);
 }
 
 /* Whether a task that failed or was lost may run again, there is a host on
@@ -83,7 +83,7 @@
         return false;
     }
     if (!can_retry(dispatch, task)) {
-        task_over(dispatch, task);
+        task_end(dispatch, task);
         return true;
     }
     retry_elsewhere(dispatch, task);
--- a/core/dispatch_share.c
+++ b/core/dispatch_share.c
@@ -251,7 +251,7 @@
 }
 
 void
-pool_moves_plan(struct dispatch *dispatch, struct pool *pool)
+pool_plan_shares(struct dispatch *dispatch, struct pool *pool)
 {
     drop_idle(pool);
     decay_runs(dispatch, pool);
@@ -273,7 +273,7 @@
 }
 
 void
-pool_plan_soon(struct dispatch *dispatch, struct pool *pool)
+pool_plan_shares_soon(struct dispatch *dispatch, struct pool *pool)
 {
     int64_t soon_ms = MAX(pool->planned_ms, dispatch->now_ms) + PLAN_SOON_MS;
     if (pool->plan.index == 0 || pool->plan.at_ms > soon_ms) {
@@ -287,7 +287,7 @@
     struct pool *pool;
     while ((pool = deadline_heap_pop(dispatch->plans, dispatch->now_ms)) !=
            NULL) {
-        pool_moves_plan(dispatch, pool);
+        pool_plan_shares(dispatch, pool);
     }
     struct pool_team *pool_team;
     while ((pool_team = deadline_heap_pop(dispatch->unblocks,
--- a/core/dispatch_state.h
+++ b/core/dispatch_state.h
@@ -119,8 +119,9 @@
     double fill_level;
     double own_fraction;
     double mean_run_ms;
-    /* Urgent tasks: observed load, and slots kept free for them. */
+    /* Which kinds of queues it has: [urgent]. */
     bool has_queue[2];
+    /* Urgent tasks: observed load, and slots kept free for them. */
     uint32_t urgent_running;
     uint32_t urgent_queued;
     int64_t urgent_deadline_ms;
@@ -215,6 +216,7 @@
     char *name;
     char *address;
     char *rack_name;
+    /* Whether the list of hosts that is being applied contains it. */
     bool seen;
     bool usable;
     bool was_usable;
@@ -265,7 +267,7 @@
     bool probe;
     int64_t started_ms;
     int64_t lease_ms;
-    struct deadline_entry lease_end;
+    struct deadline_entry lease_expiry;
 };
 
 struct peer_usage {
@@ -374,13 +376,13 @@
 
 /* dispatch_share.c */
 void
-pool_moves_plan(struct dispatch *dispatch, struct pool *pool);
+pool_plan_shares(struct dispatch *dispatch, struct pool *pool);
 /* Assigns slots, until the next plan, to a team that gets work in a contended
  * pool. */
 void
 pool_team_join(struct dispatch *dispatch, struct pool_team *pool_team);
 void
-pool_plan_soon(struct dispatch *dispatch, struct pool *pool);
+pool_plan_shares_soon(struct dispatch *dispatch, struct pool *pool);
 void
 plans_run(struct dispatch *dispatch);
 void
@@ -434,7 +436,7 @@
 uint32_t
 live_gateways(const struct dispatch *dispatch);
 void
-peers_forget_old(struct dispatch *dispatch);
+peers_drop_stale(struct dispatch *dispatch);
 
 /* dispatch_forward.c */
 bool
@@ -462,7 +464,7 @@
 task_create(struct dispatch *dispatch, const struct dispatch_task *wanted,
             struct lane *lane);
 void
-task_over(struct dispatch *dispatch, struct task *task);
+task_end(struct dispatch *dispatch, struct task *task);
 void
 task_refuse(struct dispatch *dispatch, struct task *task, enum reason reason);
 void
--- a/core/dispatch_task.c
+++ b/core/dispatch_task.c
@@ -33,7 +33,7 @@
 }
 
 static void
-task_leave(struct dispatch *dispatch, struct task *task)
+task_unlink(struct dispatch *dispatch, struct task *task)
 {
     if (task->state == TASK_QUEUED) {
         lane_remove(dispatch, task);
@@ -45,16 +45,16 @@
 }
 
 void
-task_over(struct dispatch *dispatch, struct task *task)
+task_end(struct dispatch *dispatch, struct task *task)
 {
-    task_leave(dispatch, task);
+    task_unlink(dispatch, task);
     g_hash_table_remove(dispatch->tasks, &task->id);
 }
 
 void
 task_refuse(struct dispatch *dispatch, struct task *task, enum reason reason)
 {
-    task_leave(dispatch, task);
+    task_unlink(dispatch, task);
     task->state = TASK_REFUSED;
     task->reason = reason;
     g_queue_push_tail_link(&dispatch->refused, &task->link);
--- a/core/fair_queue.c
+++ b/core/fair_queue.c
@@ -189,7 +189,7 @@
     pool_team_activate(pool_team);
     const struct pool *pool = pool_team->pool;
     if (pool->plan.index == 0) {
-        pool_plan_soon(dispatch, pool_team->pool);
+        pool_plan_shares_soon(dispatch, pool_team->pool);
     }
     else if (pool->contended && pool_team->due_slots <= 0) {
         pool_team_join(dispatch, pool_team);
--- a/core/permits.c
+++ b/core/permits.c
@@ -222,8 +222,8 @@
     if (fleet->n_live == 0) {
         return 0;
     }
-    uint32_t part = record->limit / fleet->n_live;
-    return part + (fleet->rank < record->limit % fleet->n_live ? 1 : 0);
+    uint32_t share = record->limit / fleet->n_live;
+    return share + (fleet->rank < record->limit % fleet->n_live ? 1 : 0);
 }
 
 static void
@@ -240,10 +240,10 @@
                const struct permits_fleet *fleet)
 {
     for (size_t i = next->n_holdings; i > 0; i--) {
-        const char *holder = next->holdings[i - 1].incarnation;
-        if (strcmp(holder, permits->self) != 0 &&
-            fleet->reclaimable(fleet->ctx, holder)) {
-            permits_record_set(next, holder, 0);
+        const char *incarnation = next->holdings[i - 1].incarnation;
+        if (strcmp(incarnation, permits->self) != 0 &&
+            fleet->reclaimable(fleet->ctx, incarnation)) {
+            permits_record_set(next, incarnation, 0);
         }
     }
 }
--- a/core/request_views.h
+++ b/core/request_views.h
@@ -14,7 +14,7 @@
 void
 request_views_destroy(struct request_views *views);
 
-/** request_views_set() - set the current members, unless @epoch is older. */
+/** request_views_set() - set the current members, if @epoch is newer. */
 void
 request_views_set(struct request_views *views, const char *const *members,
                   size_t n_members, uint64_t epoch, int64_t now_ms);
--- a/include/core/deadline_heap.h
+++ b/include/core/deadline_heap.h
@@ -34,8 +34,7 @@
 void
 deadline_heap_remove(struct deadline_heap *heap, struct deadline_entry *entry);
 
-/** deadline_heap_first_ms() - time of the first entry; INT64_MAX when empty.
- */
+/** deadline_heap_first_ms() - time of the first entry; INT64_MAX if none. */
 int64_t
 deadline_heap_first_ms(const struct deadline_heap *heap);
 
--- a/include/core/members.h
+++ b/include/core/members.h
@@ -115,7 +115,7 @@
 members_peer_seen(struct members *members, const char *incarnation,
                   uint64_t epoch, int64_t now_ms);
 
-/** members_process_ended() - proof that the process of @incarnation has ended.
+/** members_process_ended() - the process of @incarnation has provably ended.
  */
 void
 members_process_ended(struct members *members, const char *incarnation,
@@ -153,8 +153,9 @@
 bool
 members_committed(const struct members *members);
 
-/** members_renewal_reads_due() - whether the renewal records should be read: a
- * member is silent or a fenced one's record is not known to be gone. */
+/** members_renewal_reads_due() - whether the renewal records have to be read:
+ * a member is unresponsive, or the renewal record of a fenced one may still
+ * exist. */
 bool
 members_renewal_reads_due(const struct members *members, int64_t now_ms);
 
@@ -192,11 +193,14 @@
              struct members_action *action);
 
 /**
- * members_reclaimable() - whether the permits of @incarnation may move
- * @lease_ms: longest lease this process knows of
+ * members_reclaimable() - whether other gateways may take the permits of
+ * @incarnation
+ * @lease_ms: longest lease that this process knows of
  *
- * True once its fencing was acknowledged by a majority, its renewal record
- * was gone, and then support period and longest lease have passed.
+ * True once a majority has acknowledged its fencing, its renewal record is
+ * gone, and since then the duration of a quorum lease and that of the longest
+ * attempt lease have passed, with a margin for clocks that run at different
+ * rates.
  */
 bool
 members_reclaimable(const struct members *members, const char *incarnation,
--- a/include/core/outlier.h
+++ b/include/core/outlier.h
@@ -55,8 +55,7 @@
 int64_t
 outlier_failed(struct outlier *host, struct outlier_pool *pool);
 
-/** outlier_discount_failure() - a failure turned out to be caused by the task.
- */
+/** outlier_discount_failure() - take back a failure that the task caused. */
 void
 outlier_discount_failure(struct outlier *host);
 
