--- a/standins/jobs/emulator.h
+++ b/standins/jobs/emulator.h
@@ -14,9 +14,12 @@
 };
 
 /**
- * struct emulated_host - a host and its present backend server
+ * struct emulated_host - a host and its current backend server
  * @unavailable_until_ms: it moves or reboots until then; 0: it is up
- * @incarnation: counts its backend servers
+ * @seq: number of the last entry written to the store
+ * @incarnation: number of restarts so far, part of the backend server's id
+ * @unreachable: it runs, but answers no calls and writes no entry
+ * @waiting_reports: struct waiting_report
  */
 struct emulated_host {
     struct emulator *emulator;
@@ -38,14 +41,17 @@
 
 /**
  * struct emulator - the platform
- * @store_down: the store answers nothing but 503
+ * @store_down: the store answers every call with 503
  * @store_unresponsive: the store does not answer
- * @violated_invariant: promise that the emulator breaks itself, so that its
- * check is seen to fail; NULL: none
- * @done_acked: tasks whose end as done was acknowledged
- * @checks: starts that were checked
- * @tickets_missing: starts refused for want of a ticket
- * @violations: promises that were broken
+ * @withheld: calls that get no answer while the store or a backend server is
+ *            unresponsive
+ * @violated_invariant: invariant that the emulator violates on purpose, to
+ *                      show that its check fails; NULL: none
+ * @done_acked: tasks whose completion as done was acknowledged
+ * @checks: starts checked
+ * @tickets_missing: starts refused for lack of a valid ticket
+ * @violations: violations found
+ * @moves: moves and reboots of hosts that were accepted
  */
 struct emulator {
     struct event_base *base;
--- a/standins/jobs/emulator_hosts.c
+++ b/standins/jobs/emulator_hosts.c
@@ -1,4 +1,4 @@
-/* Backend servers and the calls about their hosts. */
+/* Backend servers, the interface for hosts, and placement advice. */
 #include "emulator.h"
 
 #include <stdio.h>
@@ -13,7 +13,7 @@
     UNAVAILABLE_MS = 1000,
 };
 
-/** struct hold - a list call that waits for an end */
+/** struct waiting_report - a report request that waits for a completion */
 struct waiting_report {
     struct http_exchange *exchange;
     int64_t until_ms;
@@ -54,7 +54,7 @@
     g_free(key);
 }
 
-/* A new incarnation of the host: a new backend server that runs nothing. */
+/* Replaces the host's backend server by a new one without runs. */
 static void
 start_incarnation(struct emulated_host *host)
 {
@@ -75,7 +75,7 @@
     host->unavailable_until_ms = emulator_now_ms() + UNAVAILABLE_MS;
 }
 
-/* Run time in the job's text, "ms=N"; "forever" lasts until stopped. */
+/* Run time given in the job's spec as "ms=N"; "forever": until stopped. */
 static int64_t
 run_time_ms(const char *spec)
 {
@@ -100,7 +100,7 @@
     return g_strcmp0(emulator->violated_invariant, invariant) == 0;
 }
 
-/* Makes up what a broken promise would look like to the checks. */
+/* Sets up the state that a violation of the invariant would leave. */
 static void
 violate_invariant(struct emulated_host *host, const char *task)
 {
@@ -144,21 +144,22 @@
     g_free(key);
 }
 
-/* Whether the policy allows this backend server; half of them are. */
+/* Whether the policy allows @step on this backend server; it allows half of
+ * them. */
 static bool
 advised(const char *step, const char *id)
 {
     return (g_str_hash(step) + g_str_hash(id)) % 2 == 0;
 }
 
-/* A ticket holds for one step on one incarnation. */
+/* A ticket is valid for one step on one incarnation of a backend server. */
 static char *
 make_ticket(const char *step, const char *id)
 {
     return g_strdup_printf("%s@%s", step, id);
 }
 
-/* Starts of jobs whose text says "advised" need a ticket. */
+/* Starts of jobs whose spec contains "advised" need a ticket. */
 static bool
 ticket_missing(const struct emulated_host *host, const cJSON *body)
 {
@@ -280,7 +281,8 @@
         if (run->stops_ms != 0) {
             continue;
         }
-        /* A task that lasts is at work; another gets on with its time. */
+        /* Service tasks are ready; the progress of others changes with time.
+         */
         int64_t left_ms = run->ends_ms - now_ms;
         int percent = left_ms > INT32_MAX / 2 ? 100 : (int)(now_ms % 97);
         g_string_append_printf(out, "%s[\"%s\",%u,\"\",%d,0]",
@@ -302,6 +304,8 @@
     g_string_free(out, TRUE);
 }
 
+/* Records tasks whose completion as done is acknowledged: they must not start
+ * again. */
 static void
 record_acked(struct emulated_host *host, int64_t acked_completion)
 {
--- a/standins/jobs/emulator_kv.c
+++ b/standins/jobs/emulator_kv.c
@@ -1,4 +1,4 @@
-/* The store's interface over its model. */
+/* HTTP interface of the store. */
 #include "emulator.h"
 
 #include <stdlib.h>
@@ -11,7 +11,10 @@
     REFUSED_STATUS = 503,
 };
 
-/** struct watch - a call that waits for changes */
+/**
+ * struct watch - a call that waits for changes of keys under @prefix
+ * @after: revision after which changes count
+ */
 struct watch {
     struct http_exchange *exchange;
     char *prefix;
@@ -126,7 +129,7 @@
     g_free(after);
 }
 
-/* Answers a watch if there is something, or its time is over. */
+/* Answers a watch if there are changes or its wait is over; true if so. */
 static bool
 answer_watch(struct emulator *emulator, struct watch *watch, int64_t now_ms)
 {
--- a/standins/jobs/emulator_main.c
+++ b/standins/jobs/emulator_main.c
@@ -1,8 +1,8 @@
 /*
  * Emulator of the prepared platform for the demo and the process tests.
  *
- * Ports from FIRST on: the store, the calls about hosts, administration,
- * then one for each backend server.
+ * Ports from FIRST on: the store, the interface for hosts and advice,
+ * administration, then one for each backend server.
  */
 #include <argp.h>
 #include <signal.h>
@@ -74,8 +74,8 @@
     http_exchange_reply(exchange, 200, text);
 }
 
-/* Answers that were held back while something was silent are dropped late:
- * a refusal then means nothing to a caller that has given up. */
+/* Answers all withheld calls with 503. Their callers have given up by now, so
+ * that the refusal misleads nobody. */
 static void
 release_withheld(struct emulator *emulator)
 {
@@ -87,7 +87,8 @@
 }
 
 /* POST /put/KEY writes a key; POST /store/up|down|silent; POST /crash/N;
- * POST /dark/N; POST /break/PROMISE; GET /figures. */
+ * POST /dark/N toggles whether backend server N is reachable;
+ * POST /break/INVARIANT; GET /figures. */
 static void
 on_admin(void *ctx, struct http_exchange *exchange)
 {
@@ -161,8 +162,8 @@
                              emulator_backend_request, host);
 }
 
-/* "hosts" in the file tells the hosts of each pool; the rest is the
- * operator's configuration. */
+/* Reads the configuration: "hosts" is the number of hosts of each pool, the
+ * rest is the operator's configuration in the store. */
 static bool
 read_config(struct emulator *emulator, const struct arguments *arguments)
 {
@@ -216,7 +217,7 @@
 main(int argc, char **argv)
 {
     static const struct argp_option options[] = {
-        {"port", 'p', "FIRST", 0, "first of the ports", 0},
+        {"port", 'p', "FIRST", 0, "first port", 0},
         {0},
     };
     static const struct argp argp = {
@@ -228,7 +229,7 @@
     struct arguments arguments = {.first_port = 7600};
     argp_parse(&argp, argc, argv, 0, NULL, &arguments);
     if (arguments.config == NULL) {
-        fprintf(stderr, "a configuration is missing\n");
+        fprintf(stderr, "missing argument: CONFIG\n");
         return EXIT_FAILURE;
     }
     signal(SIGPIPE, SIG_IGN);
--- a/standins/jobs/job_caller.c
+++ b/standins/jobs/job_caller.c
@@ -26,9 +26,10 @@
 };
 
 /**
- * struct followed - a job on its way
- * @cancel_ms: when it is cancelled after it was sent; 0: never
- * @uncertain: a try got no answer, or one that leaves open whether it runs
+ * struct tracked_job - a job that has not ended
+ * @cancel_ms: how long after its submission it is cancelled; 0: never
+ * @uncertain: an attempt got no answer, or one that leaves open whether the
+ * job will run
  */
 struct tracked_job {
     struct job_caller *caller;
--- a/standins/jobs/job_caller.h
+++ b/standins/jobs/job_caller.h
@@ -1,4 +1,4 @@
-/* Callers that submit jobs, ask for their state, and keep figures. */
+/* A caller that submits jobs, polls their state and keeps statistics. */
 #ifndef STANDINS_JOBS_JOB_CALLER_H
 #define STANDINS_JOBS_JOB_CALLER_H
 
@@ -8,13 +8,14 @@
 #include <stdint.h>
 
 /**
- * struct caller_queue - a queue as callers see it, and what became of jobs
- * @name: for reports
+ * struct caller_queue - a queue as callers see it, with statistics of its jobs
+ * @name: name in printed tables
  * @host: Host header
  * @prefix: path prefix
  * @key: key of a client account, or NULL on an open queue
- * @objective_ms: a job completed within this time is in its objective
- * @times_ms: int64_t, time from sending to completion of each job
+ * @objective_ms: objective of the completion time
+ * @refused: jobs given up before they were accepted
+ * @times_ms: int64_t, time from submission to completion of each job
  */
 struct caller_queue {
     const char *name;
@@ -41,31 +42,32 @@
 void
 job_caller_destroy(struct job_caller *caller);
 
-/** job_caller_submit() - submit a job and follow it to its end. */
+/** job_caller_submit() - submit a job and poll its state until it ends. */
 void
 job_caller_submit(struct job_caller *caller, struct caller_queue *queue,
                   const char *body);
 
-/** job_caller_submit_to_cancel() - same, cancelled after @cancel_ms. */
+/** job_caller_submit_to_cancel() - same, and cancel it after @cancel_ms; 0:
+ * never. */
 void
 job_caller_submit_to_cancel(struct job_caller *caller,
                             struct caller_queue *queue, const char *body,
                             int64_t cancel_ms);
 
-/** job_caller_pending() - jobs that are not at their end. */
+/** job_caller_pending() - number of jobs that have not ended. */
 uint32_t
 job_caller_pending(const struct job_caller *caller);
 
-/** job_caller_answered() - jobs sent that got any answer. */
+/** job_caller_answered() - number of submissions that got an answer. */
 uint32_t
 job_caller_answered(const struct job_caller *caller);
 
-/** job_caller_refused() - paths of jobs of which every try was told
- * that it will never run. */
+/** job_caller_refused() - paths of jobs that will never run: every attempt was
+ * refused for good. */
 const GPtrArray *
 job_caller_refused(const struct job_caller *caller);
 
-/** caller_queue_init() - set up the figures of a queue. */
+/** caller_queue_init() - initialise the statistics of a queue. */
 void
 caller_queue_init(struct caller_queue *queue);
 void
@@ -76,10 +78,12 @@
 caller_queue_quantile_ms(const struct caller_queue *queue, double quantile);
 
 /**
- * http_call_sync() - one call, waiting for its answer in @base's loop
+ * http_call_sync() - send a request and run @base's loop until the answer
+ * @key: key of a client account, or NULL
+ * @text: request body, or NULL
+ * @body: receives the answer's body, to be freed with g_free(); may be NULL
  *
- * Returns: the status, 0 for no answer; @body, if not NULL, receives the
- * body, to be freed.
+ * Return: the HTTP status, 0 for no answer.
  */
 int
 http_call_sync(struct event_base *base, const char *address,
--- a/standins/jobs/jobs_load.c
+++ b/standins/jobs/jobs_load.c
@@ -1,6 +1,6 @@
 /*
- * Submits jobs of both deployments to entry hosts, follows them to their end
- * and prints a table; the last line tells the emulator's checks.
+ * Submits jobs of both deployments to entry hosts, polls them until they end
+ * and prints a table; the last line sums up the checks of the emulator.
  */
 #include <argp.h>
 #include <signal.h>
@@ -24,7 +24,11 @@
     int seconds;
 };
 
-/** struct queue_load - jobs of one queue; @per_second of them */
+/**
+ * struct queue_load - load of one queue
+ * @per_second: jobs submitted per second
+ * @cancel_ms: how long after its submission a job is cancelled; 0: never
+ */
 struct queue_load {
     struct caller_queue queue;
     double per_second;
@@ -86,7 +90,7 @@
 print_table(void)
 {
     printf("%-16s %6s %8s %10s %6s %8s %7s %9s %8s %8s\n", "queue", "jobs",
-           "accepted", "in aim", "late", "refused", "failed", "cancelled",
+           "accepted", "on time", "late", "refused", "failed", "cancelled",
            "p50 ms", "p99 ms");
     for (size_t i = 0; i < QUEUE_COUNT; i++) {
         const struct caller_queue *q = &loads[i].queue;
@@ -123,7 +127,7 @@
     uint32_t checked = (uint32_t)json_int_get(stats, "checks", 0);
     cJSON_Delete(stats);
     g_free(body);
-    /* Besides the starts: every accepted job came to an end. */
+    /* Besides the starts: every accepted job must have ended. */
     for (size_t i = 0; i < QUEUE_COUNT; i++) {
         checked += loads[i].queue.accepted;
     }
@@ -158,20 +162,22 @@
 main(int argc, char **argv)
 {
     static const struct argp_option options[] = {
-        {"admin", 'a', "ADDRESS", 0, "administration of the emulator", 0},
+        {"admin", 'a', "ADDRESS", 0, "administration address of the emulator",
+         0},
         {"seconds", 's', "N", 0, "how long to submit", 0},
         {0},
     };
     static const struct argp argp = {
         .options = options,
         .parser = parse_option,
-        .args_doc = "FRONT...",
-        .doc = "Submits jobs to entry hosts and tells what became of them.",
+        .args_doc = "FRONTEND...",
+        .doc = "Submits jobs to entry hosts and prints how they ended.",
     };
     struct arguments arguments = {.seconds = SECONDS_DEFAULT};
     argp_parse(&argp, argc, argv, 0, NULL, &arguments);
     if (arguments.n_frontends == 0 || arguments.admin == NULL) {
-        fprintf(stderr, "entry hosts or the emulator are missing\n");
+        fprintf(stderr,
+                "missing argument: FRONTEND and --admin are required\n");
         return EXIT_FAILURE;
     }
     signal(SIGPIPE, SIG_IGN);
--- a/standins/jobs/kv_model.h
+++ b/standins/jobs/kv_model.h
@@ -6,7 +6,11 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** struct kv_row - a key as it is, or as it was changed */
+/**
+ * struct kv_row - current state of a key, or a change of it
+ * @value: base64 text; NULL if @deleted
+ * @lease: lease that it is attached to; 0: none
+ */
 struct kv_row {
     char *key;
     char *value;
@@ -15,7 +19,7 @@
     bool deleted;
 };
 
-/** struct kv_lease - a lease */
+/** struct kv_lease - a lease; keys attached to it are deleted at its end */
 struct kv_lease {
     int64_t id;
     int64_t ttl_ms;
@@ -50,7 +54,7 @@
 void
 kv_model_delete(struct kv_model *kv, const char *key);
 
-/** kv_model_next_revision() - begin a transaction. */
+/** kv_model_next_revision() - start a transaction at a new revision. */
 void
 kv_model_next_revision(struct kv_model *kv);
 
@@ -58,10 +62,13 @@
 kv_model_grant_lease(struct kv_model *kv, int64_t ttl_ms, int64_t now_ms);
 struct kv_lease *
 kv_model_find_lease(const struct kv_model *kv, int64_t id);
+/** kv_model_revoke_lease() - end a lease and delete the keys attached to it.
+ */
 void
 kv_model_revoke_lease(struct kv_model *kv, int64_t id);
 
-/** kv_model_expire() - end leases that ran out; true if keys went. */
+/** kv_model_expire() - end the leases that have expired; true if the revision
+ * changed. */
 bool
 kv_model_expire(struct kv_model *kv, int64_t now_ms);
 
