--- a/bench/gateway_bench.c
+++ b/bench/gateway_bench.c
@@ -132,7 +132,7 @@
     fleet_store_faults(fleet, "{\"down\": true}");
     fleet_sleep_ms(5000);
     fleet_store_faults(fleet, "{\"down\": false}");
-    JsonNode *results = fleet_load_end(fleet, load);
+    JsonNode *results = fleet_load_finish(fleet, load);
     int64_t sent = fleet_result(results, "alpha", "sent");
     int64_t done = fleet_result(results, "alpha", "done");
     bench_figure("store_outage_lost_work", (double)(sent - done), "requests",
--- a/tests/process/change_test.c
+++ b/tests/process/change_test.c
@@ -73,7 +73,7 @@
 static void
 finish(GSubprocess *load)
 {
-    JsonNode *results = fleet_load_end(fleet, load);
+    JsonNode *results = fleet_load_finish(fleet, load);
     CU_ASSERT_PTR_NOT_NULL_FATAL(results);
     CU_ASSERT_EQUAL(fleet_result(results, NULL, "violated"), 0);
     CU_ASSERT(fleet_result(results, "public", "done") > 100);
@@ -86,7 +86,7 @@
     open_fleet(name);
     GSubprocess *load = start_load(10000);
     fleet_sleep_ms(2000);
-    CU_ASSERT(fleet_backend_tally(fleet, "teams", "alpha", "started") > 20);
+    CU_ASSERT(fleet_backend_stat(fleet, "teams", "alpha", "started") > 20);
     break_store_link(fault);
     char **parts = g_strsplit(key, ".", 3);
     char *output = fleet_ctl(fleet, "key", "withdraw", parts[1], NULL);
@@ -94,13 +94,13 @@
     CU_ASSERT_PTR_NOT_NULL(output);
     fleet_sleep_ms(IN_FORCE_MS + AFTER_MS);
     int64_t last_ms =
-        fleet_backend_tally(fleet, "teams", "alpha", "last_start_ms");
+        fleet_backend_stat(fleet, "teams", "alpha", "last_start_ms");
     printf("last start %" G_GINT64_FORMAT " ms after acceptance\n",
            last_ms - accepted_ms);
     CU_ASSERT(last_ms - accepted_ms <= IN_FORCE_MS);
     /* Other work goes on. */
-    CU_ASSERT(fleet_now_ms() - fleet_backend_tally(fleet, "teams", "public",
-                                                   "last_start_ms") <
+    CU_ASSERT(fleet_now_ms() - fleet_backend_stat(fleet, "teams", "public",
+                                                  "last_start_ms") <
               AFTER_MS);
     finish(load);
     g_strfreev(parts);
@@ -132,19 +132,19 @@
     open_fleet(name);
     GSubprocess *load = start_load(10000);
     fleet_sleep_ms(2000);
-    CU_ASSERT(fleet_backend_tally(fleet, "dcs", "zadar-1", "started") > 20);
+    CU_ASSERT(fleet_backend_stat(fleet, "dcs", "zadar-1", "started") > 20);
     break_store_link(fault);
     char *output = fleet_ctl(fleet, "dc", "out", "zadar-1", NULL);
     int64_t accepted_ms = fleet_now_ms();
     CU_ASSERT_PTR_NOT_NULL(output);
     fleet_sleep_ms(IN_FORCE_MS + AFTER_MS);
     int64_t last_ms =
-        fleet_backend_tally(fleet, "dcs", "zadar-1", "last_start_ms");
+        fleet_backend_stat(fleet, "dcs", "zadar-1", "last_start_ms");
     printf("last start %" G_GINT64_FORMAT " ms after acceptance\n",
            last_ms - accepted_ms);
     CU_ASSERT(last_ms - accepted_ms <= IN_FORCE_MS);
-    CU_ASSERT(fleet_now_ms() - fleet_backend_tally(fleet, "dcs", "split-1",
-                                                   "last_start_ms") <
+    CU_ASSERT(fleet_now_ms() - fleet_backend_stat(fleet, "dcs", "split-1",
+                                                  "last_start_ms") <
               AFTER_MS);
     finish(load);
     g_free(output);
@@ -177,19 +177,19 @@
     open_fleet("change-leaving");
     GSubprocess *load = start_load(9000);
     fleet_sleep_ms(2000);
-    CU_ASSERT(fleet_backend_tally(fleet, "hosts", "w-split-1-01", "started") >
+    CU_ASSERT(fleet_backend_stat(fleet, "hosts", "w-split-1-01", "started") >
               5);
     int64_t shown_ms = fleet_now_ms();
     fleet_publish_leaving(fleet, "w-split-1-01");
     fleet_sleep_ms(IN_FORCE_MS + AFTER_MS);
     int64_t last_ms =
-        fleet_backend_tally(fleet, "hosts", "w-split-1-01", "last_start_ms");
+        fleet_backend_stat(fleet, "hosts", "w-split-1-01", "last_start_ms");
     printf("last start %" G_GINT64_FORMAT " ms after the list showed it\n",
            last_ms - shown_ms);
     CU_ASSERT(last_ms - shown_ms <= IN_FORCE_MS);
-    CU_ASSERT(fleet_now_ms() - fleet_backend_tally(fleet, "hosts",
-                                                   "w-split-1-02",
-                                                   "last_start_ms") <
+    CU_ASSERT(fleet_now_ms() - fleet_backend_stat(fleet, "hosts",
+                                                  "w-split-1-02",
+                                                  "last_start_ms") <
               AFTER_MS);
     finish(load);
     close_fleet();
--- a/tests/process/limit_test.c
+++ b/tests/process/limit_test.c
@@ -70,7 +70,7 @@
 static void
 finish(GSubprocess *load, int64_t min_done)
 {
-    JsonNode *results = fleet_load_end(fleet, load);
+    JsonNode *results = fleet_load_finish(fleet, load);
     CU_ASSERT_PTR_NOT_NULL_FATAL(results);
     CU_ASSERT_EQUAL(fleet_result(results, NULL, "violated"), 0);
     CU_ASSERT(fleet_result(results, "alpha", "running_high") <= LIMIT);
@@ -86,9 +86,9 @@
     fleet_sleep_ms(3000);
     fleet_store_faults(fleet, "{\"down\": true}");
     fleet_sleep_ms(1000);
-    int64_t before = fleet_backend_tally(fleet, "teams", "alpha", "ended");
+    int64_t before = fleet_backend_stat(fleet, "teams", "alpha", "ended");
     fleet_sleep_ms(3000);
-    int64_t during = fleet_backend_tally(fleet, "teams", "alpha", "ended");
+    int64_t during = fleet_backend_stat(fleet, "teams", "alpha", "ended");
     /* The outage stops nobody who hears a majority. */
     CU_ASSERT(during - before > 50);
     fleet_store_faults(fleet, "{\"down\": false}");
@@ -166,7 +166,7 @@
     char *before = fleet_ctl(fleet, "get", "--json", NULL);
     CU_ASSERT_PTR_NOT_NULL_FATAL(before);
     char *lower = lower_limit(before);
-    char *path = g_build_filename(fleet->run, "lower.json", NULL);
+    char *path = g_build_filename(fleet->run_dir, "lower.json", NULL);
     g_file_set_contents(path, lower, -1, NULL);
     char *output = fleet_ctl(fleet, "apply", path, "--wait", NULL);
     CU_ASSERT_PTR_NOT_NULL(output);
@@ -175,9 +175,9 @@
     g_free(fleet_call(fleet, "POST", fleet->backend_port,
                       "/standin/restart-highs", "", NULL));
     fleet_sleep_ms(1500);
-    CU_ASSERT(fleet_backend_tally(fleet, "teams", "alpha", "running_high") <=
+    CU_ASSERT(fleet_backend_stat(fleet, "teams", "alpha", "running_high") <=
               LOWER_LIMIT);
-    CU_ASSERT(fleet_backend_tally(fleet, "teams", "alpha", "started") > 0);
+    CU_ASSERT(fleet_backend_stat(fleet, "teams", "alpha", "started") > 0);
     finish(load, 100);
     g_free(output);
     g_free(path);
--- a/tests/process/process_fleet.c
+++ b/tests/process/process_fleet.c
@@ -40,7 +40,7 @@
 static void
 give_up(struct fleet *fleet, const char *what)
 {
-    fprintf(stderr, "%s failed, see %s\n", what, fleet->run);
+    fprintf(stderr, "%s failed, see %s\n", what, fleet->run_dir);
     end_processes(fleet);
     exit(EXIT_FAILURE);
 }
@@ -48,7 +48,7 @@
 static char *
 run_path(const struct fleet *fleet, const char *name)
 {
-    return g_build_filename(fleet->run, name, NULL);
+    return g_build_filename(fleet->run_dir, name, NULL);
 }
 
 /* A test that ends early leaves no process behind. */
@@ -85,7 +85,7 @@
 start(struct fleet *fleet, const char *name, const char *program, ...)
 {
     GPtrArray *argv = g_ptr_array_new_with_free_func(g_free);
-    g_ptr_array_add(argv, g_build_filename(fleet->build, program, NULL));
+    g_ptr_array_add(argv, g_build_filename(fleet->build_dir, program, NULL));
     va_list list;
     va_start(list, program);
     for (char *arg = va_arg(list, char *); arg != NULL;
@@ -257,7 +257,7 @@
         " \"http_port\": %u, \"peer_port\": %u,"
         " \"store_url\": \"http://127.0.0.1:%u\","
         " \"secret_file\": \"%s/secret\", \"shutdown_ms\": 10000}",
-        name, http_port, peer_port, store_port, fleet->run);
+        name, http_port, peer_port, store_port, fleet->run_dir);
     g_file_set_contents(path, text, -1, NULL);
     g_free(text);
     g_free(file_name);
@@ -324,17 +324,17 @@
 {
     struct fleet *fleet = g_new0(struct fleet, 1);
     char *name = g_strdup_printf("process-run/%s", options->name);
-    fleet->build = g_strdup(g_getenv("EGRET_BUILD"));
-    if (fleet->build == NULL) {
+    fleet->build_dir = g_strdup(g_getenv("EGRET_BUILD"));
+    if (fleet->build_dir == NULL) {
         fprintf(stderr, "EGRET_BUILD is not set\n");
         exit(EXIT_FAILURE);
     }
-    fleet->run = g_build_filename(fleet->build, name, NULL);
+    fleet->run_dir = g_build_filename(fleet->build_dir, name, NULL);
     fleet->processes = g_ptr_array_new();
     fleet->session = soup_session_new_with_options("timeout", 30, NULL);
     fleet->n_gateways = options->gateways;
     fleet->config_file = run_path(fleet, "config.json");
-    g_mkdir_with_parents(fleet->run, 0700);
+    g_mkdir_with_parents(fleet->run_dir, 0700);
     g_file_set_contents(fleet->config_file, options->config, -1, NULL);
     char *secret = run_path(fleet, "secret");
     g_file_set_contents(secret, "a secret for process tests only", -1, NULL);
@@ -358,9 +358,9 @@
     start(fleet, "backend", "standins/standin-backend",
           g_strdup_printf("--layout=%s", options->layout),
           g_strdup_printf("--dcs=%s", options->dcs),
-          g_strdup_printf("--port-out=%s/backend.port", fleet->run), NULL);
+          g_strdup_printf("--port-out=%s/backend.port", fleet->run_dir), NULL);
     start(fleet, "proxy", "standins/standin-proxy",
-          g_strdup_printf("--port-out=%s/proxy.port", fleet->run), NULL);
+          g_strdup_printf("--port-out=%s/proxy.port", fleet->run_dir), NULL);
     fleet->backend_port = wait_port_file(fleet, "backend.port");
     fleet->proxy_port = wait_port_file(fleet, "proxy.port");
 }
@@ -412,9 +412,9 @@
     for (guint i = 0; i < fleet->processes->len; i++) {
         struct fleet_process *process = g_ptr_array_index(fleet->processes, i);
         if (g_subprocess_get_identifier(process->child) == NULL &&
-            !process->may_end) {
+            !process->exit_expected) {
             fprintf(stderr, "%s ended by itself, see %s\n", process->name,
-                    fleet->run);
+                    fleet->run_dir);
             all_alive = false;
         }
     }
@@ -430,8 +430,8 @@
     g_object_unref(fleet->session);
     json_node_unref(fleet->hosts);
     g_free(fleet->config_file);
-    g_free(fleet->build);
-    g_free(fleet->run);
+    g_free(fleet->build_dir);
+    g_free(fleet->run_dir);
     g_free(fleet);
     return all_alive;
 }
@@ -440,12 +440,12 @@
 fleet_signal(struct fleet *fleet, uint32_t i, int signal)
 {
     struct fleet_process *process = fleet->gateways[i];
-    process->may_end |= signal == SIGKILL || signal == SIGTERM;
+    process->exit_expected |= signal == SIGKILL || signal == SIGTERM;
     g_subprocess_send_signal(process->child, signal);
 }
 
 int
-fleet_wait_end(struct fleet *fleet, uint32_t i)
+fleet_wait_exit(struct fleet *fleet, uint32_t i)
 {
     GSubprocess *child = fleet->gateways[i]->child;
     g_subprocess_wait(child, NULL, NULL);
@@ -458,12 +458,12 @@
 fleet_ctl(struct fleet *fleet, ...)
 {
     GPtrArray *argv = g_ptr_array_new_with_free_func(g_free);
-    g_ptr_array_add(argv,
-                    g_build_filename(fleet->build, "egretctl/egretctl", NULL));
+    g_ptr_array_add(
+        argv, g_build_filename(fleet->build_dir, "egretctl/egretctl", NULL));
     g_ptr_array_add(argv, g_strdup_printf("--store=http://127.0.0.1:%u",
                                           fleet->store_port));
-    g_ptr_array_add(argv,
-                    g_strdup_printf("--secret-file=%s/secret", fleet->run));
+    g_ptr_array_add(
+        argv, g_strdup_printf("--secret-file=%s/secret", fleet->run_dir));
     va_list list;
     va_start(list, fleet);
     for (char *arg = va_arg(list, char *); arg != NULL;
@@ -523,8 +523,8 @@
 }
 
 int64_t
-fleet_backend_tally(struct fleet *fleet, const char *kind, const char *name,
-                    const char *member)
+fleet_backend_stat(struct fleet *fleet, const char *kind, const char *name,
+                   const char *member)
 {
     JsonNode *root = fleet_call_json(fleet, "GET", fleet->backend_port,
                                      "/standin/summary", NULL);
--- a/tests/process/process_fleet.h
+++ b/tests/process/process_fleet.h
@@ -14,7 +14,7 @@
 
 /**
  * struct fleet_options - what to start
- * @name: names the run directory
+ * @name: name of the run directory
  * @gateways: number of entry hosts
  * @layout: pools and their hosts, for the backend stand-in
  * @dcs: data centres of the hosts
@@ -37,7 +37,7 @@
 struct fleet_process {
     char *name;
     GSubprocess *child;
-    bool may_end;
+    bool exit_expected;
 };
 
 /**
@@ -48,8 +48,8 @@
  * @controllers: children that run egretfleetd
  */
 struct fleet {
-    char *build;
-    char *run;
+    char *build_dir;
+    char *run_dir;
     char *config_file;
     JsonNode *hosts;
     GPtrArray *processes;
@@ -81,9 +81,9 @@
 void
 fleet_signal(struct fleet *fleet, uint32_t i, int signal);
 
-/** fleet_wait_end() - wait for gateway @i to end; its exit status, or -1. */
+/** fleet_wait_exit() - wait for gateway @i to end; its exit status, or -1. */
 int
-fleet_wait_end(struct fleet *fleet, uint32_t i);
+fleet_wait_exit(struct fleet *fleet, uint32_t i);
 
 /** fleet_call() - one HTTP request; the body, to be freed, or NULL. */
 char *
@@ -95,8 +95,8 @@
 fleet_call_json(struct fleet *fleet, const char *method, uint16_t port,
                 const char *path, const char *body);
 
-/** fleet_ctl() - run egretctl with NULL-ended arguments; its output when it
- * exits with 0, else NULL. */
+/** fleet_ctl() - run egretctl with NULL-terminated arguments; its output when
+ * it exits with 0, else NULL. */
 char *
 fleet_ctl(struct fleet *fleet, ...) G_GNUC_NULL_TERMINATED;
 
@@ -117,18 +117,18 @@
 void
 fleet_publish_leaving(struct fleet *fleet, const char *name);
 
-/** fleet_backend_tally() - a member of the backend stand-in's summary. */
+/** fleet_backend_stat() - a member of the backend stand-in's summary. */
 int64_t
-fleet_backend_tally(struct fleet *fleet, const char *kind, const char *name,
-                    const char *member);
+fleet_backend_stat(struct fleet *fleet, const char *kind, const char *name,
+                   const char *member);
 
 /** fleet_load_start() - start callers with a plan in JSON. */
 GSubprocess *
 fleet_load_start(struct fleet *fleet, const char *plan);
 
-/** fleet_load_end() - wait for the callers; their results. */
+/** fleet_load_finish() - wait for the callers; their results. */
 JsonNode *
-fleet_load_end(struct fleet *fleet, GSubprocess *load);
+fleet_load_finish(struct fleet *fleet, GSubprocess *load);
 
 /** fleet_load_run() - both. */
 JsonNode *
@@ -151,9 +151,9 @@
 int64_t
 fleet_result(JsonNode *results, const char *team, const char *name);
 
-/** fleet_reason() - how many of @team's requests ended for @reason. */
+/** fleet_reason_count() - how many of @team's requests ended for @reason. */
 int64_t
-fleet_reason(JsonNode *results, const char *team, const char *reason);
+fleet_reason_count(JsonNode *results, const char *team, const char *reason);
 
 void
 fleet_sleep_ms(int64_t ms);
--- a/tests/process/process_load.c
+++ b/tests/process/process_load.c
@@ -6,13 +6,13 @@
 start_load(struct fleet *fleet, const char *plan, const char *targets,
            bool checked)
 {
-    char *plan_file = g_build_filename(fleet->run, "plan.json", NULL);
+    char *plan_file = g_build_filename(fleet->run_dir, "plan.json", NULL);
     char *program =
-        g_build_filename(fleet->build, "standins/standin-load", NULL);
+        g_build_filename(fleet->build_dir, "standins/standin-load", NULL);
     char *targets_arg = g_strdup_printf("--targets=%s", targets);
     char *plan_arg = g_strdup_printf("--plan=%s", plan_file);
     char *config = g_strdup_printf("--config=%s", fleet->config_file);
-    char *out = g_strdup_printf("--out=%s/results.json", fleet->run);
+    char *out = g_strdup_printf("--out=%s/results.json", fleet->run_dir);
     char *backend =
         g_strdup_printf("--backend=127.0.0.1:%u", fleet->backend_port);
     g_file_set_contents(plan_file, plan, -1, NULL);
@@ -49,13 +49,13 @@
 JsonNode *
 fleet_load_run_at(struct fleet *fleet, const char *plan, const char *targets)
 {
-    return fleet_load_end(fleet, start_load(fleet, plan, targets, false));
+    return fleet_load_finish(fleet, start_load(fleet, plan, targets, false));
 }
 
 JsonNode *
-fleet_load_end(struct fleet *fleet, GSubprocess *load)
+fleet_load_finish(struct fleet *fleet, GSubprocess *load)
 {
-    char *path = g_build_filename(fleet->run, "results.json", NULL);
+    char *path = g_build_filename(fleet->run_dir, "results.json", NULL);
     char *text = NULL;
     JsonNode *results = NULL;
     g_subprocess_wait(load, NULL, NULL);
@@ -72,7 +72,7 @@
 JsonNode *
 fleet_load_run(struct fleet *fleet, const char *plan)
 {
-    return fleet_load_end(fleet, fleet_load_start(fleet, plan));
+    return fleet_load_finish(fleet, fleet_load_start(fleet, plan));
 }
 
 static JsonObject *
@@ -99,7 +99,7 @@
 }
 
 int64_t
-fleet_reason(JsonNode *results, const char *team, const char *reason)
+fleet_reason_count(JsonNode *results, const char *team, const char *reason)
 {
     JsonObject *reasons =
         json_object_get_object_member(team_results(results, team), "reasons");
--- a/tests/process/serve_test.c
+++ b/tests/process/serve_test.c
@@ -43,13 +43,13 @@
     GSubprocess *load = fleet_load_start(fleet, plan);
     fleet_sleep_ms(1900);
     fleet_signal(fleet, 0, SIGTERM);
-    JsonNode *results = fleet_load_end(fleet, load);
+    JsonNode *results = fleet_load_finish(fleet, load);
     CU_ASSERT_PTR_NOT_NULL_FATAL(results);
     CU_ASSERT_EQUAL(fleet_result(results, NULL, "violated"), 0);
     CU_ASSERT_EQUAL(fleet_result(results, "alpha", "lost"), 0);
     CU_ASSERT_EQUAL(fleet_result(results, "alpha", "unknown"), 0);
     CU_ASSERT(fleet_result(results, "alpha", "done") > 60);
-    CU_ASSERT_EQUAL(fleet_wait_end(fleet, 0), 0);
+    CU_ASSERT_EQUAL(fleet_wait_exit(fleet, 0), 0);
     json_node_unref(results);
     g_free(plan);
     close_fleet();
@@ -196,7 +196,7 @@
     CU_ASSERT(done > 500);
     CU_ASSERT(fleet_result(results, "alpha", "failed") * 100 <= done);
     int64_t there =
-        fleet_backend_tally(fleet, "hosts", "w-split-1-01", "started");
+        fleet_backend_stat(fleet, "hosts", "w-split-1-01", "started");
     CU_ASSERT(there > 0);
     /* One of eight, without ejection it takes an eighth. */
     CU_ASSERT(there * 25 <= done);
