--- a/tests/process/change_test.c
+++ b/tests/process/change_test.c
@@ -1,15 +1,21 @@
-/* Changes by operators and the platform take hold within seconds, whatever
- * link of one gateway is broken. */
+/*
+ * A withdrawn key, a data centre out of service and a leaving host get no more
+ * starts from any gateway once CHANGE_ACTIVE_MS have passed. A gateway whose
+ * watch of the store hangs, or whose link to the store is cut, could go on
+ * with its old configuration.
+ */
 #include "process_config.h"
 #include "process_fleet.h"
 #include "process_suite.h"
 
 enum {
-    IN_FORCE_MS = 3000,
-    AFTER_MS = 2000,
+    /* By then every gateway has to follow a change. */
+    CHANGE_ACTIVE_MS = 3000,
+    /* How long starts are observed after that. */
+    OBSERVE_MS = 2000,
 };
 
-/** enum fault - what is wrong with the first gateway's way to the store */
+/** enum fault - fault between the first gateway and the store */
 enum fault {
     FAULT_NONE,
     FAULT_SILENT_WATCH,
@@ -41,7 +47,7 @@
 }
 
 static void
-break_store_link(enum fault fault)
+inject_store_fault(enum fault fault)
 {
     if (fault == FAULT_SILENT_WATCH) {
         fleet_proxy_faults(fleet,
@@ -53,7 +59,7 @@
     }
 }
 
-/* Callers ask every gateway in turn. */
+/* The callers send to all gateways in turn. */
 static GSubprocess *
 start_load(int64_t duration_ms)
 {
@@ -71,7 +77,7 @@
 }
 
 static void
-finish(GSubprocess *load)
+finish_load(GSubprocess *load)
 {
     JsonNode *results = fleet_load_finish(fleet, load);
     CU_ASSERT_PTR_NOT_NULL_FATAL(results);
@@ -81,28 +87,28 @@
 }
 
 static void
-withdraw_key(const char *name, enum fault fault)
+check_key_withdrawn(const char *name, enum fault fault)
 {
     open_fleet(name);
     GSubprocess *load = start_load(10000);
     fleet_sleep_ms(2000);
     CU_ASSERT(fleet_backend_stat(fleet, "teams", "alpha", "started") > 20);
-    break_store_link(fault);
+    inject_store_fault(fault);
     char **parts = g_strsplit(key, ".", 3);
     char *output = fleet_ctl(fleet, "key", "withdraw", parts[1], NULL);
     int64_t accepted_ms = fleet_now_ms();
     CU_ASSERT_PTR_NOT_NULL(output);
-    fleet_sleep_ms(IN_FORCE_MS + AFTER_MS);
+    fleet_sleep_ms(CHANGE_ACTIVE_MS + OBSERVE_MS);
     int64_t last_ms =
         fleet_backend_stat(fleet, "teams", "alpha", "last_start_ms");
     printf("last start %" G_GINT64_FORMAT " ms after acceptance\n",
            last_ms - accepted_ms);
-    CU_ASSERT(last_ms - accepted_ms <= IN_FORCE_MS);
-    /* Other work goes on. */
+    CU_ASSERT(last_ms - accepted_ms <= CHANGE_ACTIVE_MS);
+    /* Other teams still start tasks. */
     CU_ASSERT(fleet_now_ms() - fleet_backend_stat(fleet, "teams", "public",
                                                   "last_start_ms") <
-              AFTER_MS);
-    finish(load);
+              OBSERVE_MS);
+    finish_load(load);
     g_strfreev(parts);
     g_free(output);
     close_fleet();
@@ -111,42 +117,42 @@
 static void
 test_key(void)
 {
-    withdraw_key("change-key", FAULT_NONE);
+    check_key_withdrawn("change-key", FAULT_NONE);
 }
 
 static void
 test_key_silent_watch(void)
 {
-    withdraw_key("change-key-watch", FAULT_SILENT_WATCH);
+    check_key_withdrawn("change-key-watch", FAULT_SILENT_WATCH);
 }
 
 static void
 test_key_link_cut(void)
 {
-    withdraw_key("change-key-link", FAULT_LINK_CUT);
+    check_key_withdrawn("change-key-link", FAULT_LINK_CUT);
 }
 
 static void
-take_dc_out(const char *name, enum fault fault)
+check_dc_out(const char *name, enum fault fault)
 {
     open_fleet(name);
     GSubprocess *load = start_load(10000);
     fleet_sleep_ms(2000);
     CU_ASSERT(fleet_backend_stat(fleet, "dcs", "zadar-1", "started") > 20);
-    break_store_link(fault);
+    inject_store_fault(fault);
     char *output = fleet_ctl(fleet, "dc", "out", "zadar-1", NULL);
     int64_t accepted_ms = fleet_now_ms();
     CU_ASSERT_PTR_NOT_NULL(output);
-    fleet_sleep_ms(IN_FORCE_MS + AFTER_MS);
+    fleet_sleep_ms(CHANGE_ACTIVE_MS + OBSERVE_MS);
     int64_t last_ms =
         fleet_backend_stat(fleet, "dcs", "zadar-1", "last_start_ms");
     printf("last start %" G_GINT64_FORMAT " ms after acceptance\n",
            last_ms - accepted_ms);
-    CU_ASSERT(last_ms - accepted_ms <= IN_FORCE_MS);
+    CU_ASSERT(last_ms - accepted_ms <= CHANGE_ACTIVE_MS);
     CU_ASSERT(fleet_now_ms() - fleet_backend_stat(fleet, "dcs", "split-1",
                                                   "last_start_ms") <
-              AFTER_MS);
-    finish(load);
+              OBSERVE_MS);
+    finish_load(load);
     g_free(output);
     close_fleet();
 }
@@ -154,23 +160,23 @@
 static void
 test_dc(void)
 {
-    take_dc_out("change-dc", FAULT_NONE);
+    check_dc_out("change-dc", FAULT_NONE);
 }
 
 static void
 test_dc_silent_watch(void)
 {
-    take_dc_out("change-dc-watch", FAULT_SILENT_WATCH);
+    check_dc_out("change-dc-watch", FAULT_SILENT_WATCH);
 }
 
 static void
 test_dc_link_cut(void)
 {
-    take_dc_out("change-dc-link", FAULT_LINK_CUT);
+    check_dc_out("change-dc-link", FAULT_LINK_CUT);
 }
 
-/* The platform's list shows the host as leaving; the backend server itself
- * would still take work. */
+/* The platform's host list shows the host as leaving; the backend server
+ * itself would still accept tasks. */
 static void
 test_leaving_host(void)
 {
@@ -179,19 +185,20 @@
     fleet_sleep_ms(2000);
     CU_ASSERT(fleet_backend_stat(fleet, "hosts", "w-split-1-01", "started") >
               5);
-    int64_t shown_ms = fleet_now_ms();
+    int64_t published_ms = fleet_now_ms();
     fleet_publish_leaving(fleet, "w-split-1-01");
-    fleet_sleep_ms(IN_FORCE_MS + AFTER_MS);
+    fleet_sleep_ms(CHANGE_ACTIVE_MS + OBSERVE_MS);
     int64_t last_ms =
         fleet_backend_stat(fleet, "hosts", "w-split-1-01", "last_start_ms");
-    printf("last start %" G_GINT64_FORMAT " ms after the list showed it\n",
-           last_ms - shown_ms);
-    CU_ASSERT(last_ms - shown_ms <= IN_FORCE_MS);
+    printf("last start %" G_GINT64_FORMAT
+           " ms after the host list showed it\n",
+           last_ms - published_ms);
+    CU_ASSERT(last_ms - published_ms <= CHANGE_ACTIVE_MS);
     CU_ASSERT(fleet_now_ms() - fleet_backend_stat(fleet, "hosts",
                                                   "w-split-1-02",
                                                   "last_start_ms") <
-              AFTER_MS);
-    finish(load);
+              OBSERVE_MS);
+    finish_load(load);
     close_fleet();
 }
 
--- a/tests/process/limit_test.c
+++ b/tests/process/limit_test.c
@@ -1,4 +1,9 @@
-/* Running work of a team stays within its limit through every fault. */
+/*
+ * A team never runs more tasks than its limit while the store is out of reach,
+ * a gateway is killed or paused, or the limit is lowered. Permits that others
+ * take over too early from a lost gateway, or a gateway that resumes with
+ * permits it no longer holds, would exceed it.
+ */
 #include <signal.h>
 
 #include "process_config.h"
@@ -9,10 +14,11 @@
     LIMIT = 10,
     LOWER_LIMIT = 4,
     SHORT_RUN_MS = 40,
-    /* Work that outlives the gateway that sent it, and its fencing. */
+    /* Longer than it takes to fence the gateway that started the task. */
     LONG_RUN_MS = 5900,
-    /* Longer than others take to fence a silent gateway and to wait until
-     * its last work must have ended, so that its permits are moved. */
+    /* Longer than the others take to fence an unresponsive gateway and to
+     * wait until its last task must have ended, so that its permits are
+     * reclaimed. */
     PAUSE_MS = 11000,
 };
 
@@ -20,7 +26,7 @@
 static char *key;
 
 static char *
-plan_text(int64_t duration_ms, bool lost_allowed, uint32_t run_ms)
+make_plan(int64_t duration_ms, bool lost_allowed, uint32_t run_ms)
 {
     return g_strdup_printf(
         "{\"duration_ms\": %" G_GINT64_FORMAT ", \"lost_allowed\": %s,"
@@ -33,7 +39,7 @@
 static GSubprocess *
 start_load(int64_t duration_ms, bool lost_allowed, uint32_t run_ms)
 {
-    char *plan = plan_text(duration_ms, lost_allowed, run_ms);
+    char *plan = make_plan(duration_ms, lost_allowed, run_ms);
     GSubprocess *load = fleet_load_start(fleet, plan);
     g_free(plan);
     return load;
@@ -66,9 +72,10 @@
     g_free(key);
 }
 
-/* Ends the load and checks the limit; at least @min_done must be done. */
+/* Waits for the load and checks the limit and that at least @min_done tasks
+ * are done. */
 static void
-finish(GSubprocess *load, int64_t min_done)
+finish_load(GSubprocess *load, int64_t min_done)
 {
     JsonNode *results = fleet_load_finish(fleet, load);
     CU_ASSERT_PTR_NOT_NULL_FATAL(results);
@@ -89,10 +96,10 @@
     int64_t before = fleet_backend_stat(fleet, "teams", "alpha", "ended");
     fleet_sleep_ms(3000);
     int64_t during = fleet_backend_stat(fleet, "teams", "alpha", "ended");
-    /* The outage stops nobody who hears a majority. */
+    /* A gateway with lease grants of a majority goes on without the store. */
     CU_ASSERT(during - before > 50);
     fleet_store_faults(fleet, "{\"down\": false}");
-    finish(load, 300);
+    finish_load(load, 300);
     close_fleet();
 }
 
@@ -103,11 +110,11 @@
     GSubprocess *load = start_load(9000, true, SHORT_RUN_MS);
     fleet_sleep_ms(3000);
     fleet_signal(fleet, 1, SIGKILL);
-    finish(load, 200);
+    finish_load(load, 200);
     close_fleet();
 }
 
-/* The killed gateway's work goes on at the backend servers. */
+/* The tasks of the killed gateway still run at the backend servers. */
 static void
 test_killed_with_long_work(void)
 {
@@ -118,7 +125,7 @@
     GSubprocess *load = start_load(9000, true, LONG_RUN_MS);
     fleet_sleep_ms(2000);
     fleet_signal(fleet, 1, SIGKILL);
-    finish(load, 10);
+    finish_load(load, 10);
     close_fleet();
     g_strfreev(parts);
     g_free(config);
@@ -133,11 +140,11 @@
     fleet_signal(fleet, 1, SIGSTOP);
     fleet_sleep_ms(PAUSE_MS);
     fleet_signal(fleet, 1, SIGCONT);
-    finish(load, 300);
+    finish_load(load, 300);
     close_fleet();
 }
 
-/* The present document with its keys, and only the limit changed. */
+/* Returns the active configuration with its keys and a lower limit. */
 static char *
 lower_limit(const char *text)
 {
@@ -170,7 +177,7 @@
     g_file_set_contents(path, lower, -1, NULL);
     char *output = fleet_ctl(fleet, "apply", path, "--wait", NULL);
     CU_ASSERT_PTR_NOT_NULL(output);
-    /* What ran before may end; what starts from now on counts. */
+    /* Tasks that ran before may end; starts from now on are counted. */
     fleet_sleep_ms(2000);
     g_free(fleet_call(fleet, "POST", fleet->backend_port,
                       "/standin/restart-highs", "", NULL));
@@ -178,7 +185,7 @@
     CU_ASSERT(fleet_backend_stat(fleet, "teams", "alpha", "running_high") <=
               LOWER_LIMIT);
     CU_ASSERT(fleet_backend_stat(fleet, "teams", "alpha", "started") > 0);
-    finish(load, 100);
+    finish_load(load, 100);
     g_free(output);
     g_free(path);
     g_free(lower);
--- a/tests/process/once_test.c
+++ b/tests/process/once_test.c
@@ -1,5 +1,9 @@
-/* Work runs at most once, and answers are whole and true, while connections
- * to backend servers break. */
+/*
+ * A task that is not declared idempotent runs at most once, and callers get a
+ * complete and correct response, while connections to backend servers are cut,
+ * answers are truncated, or gateways and callers go away. A retry after a lost
+ * answer, or a request id sent again elsewhere, could start a task twice.
+ */
 #include <signal.h>
 
 #include "process_config.h"
@@ -71,7 +75,7 @@
     fleet_proxy_faults(fleet, "{\"routes\": \"backend-*\", \"kill\": \"any\","
                               " \"kill_permille\": 100}");
     JsonNode *results = run_load(0, "run_ms=10 answer_bytes=5000", false);
-    /* Some were cut at each place, some went through. */
+    /* Enough connections were cut, and enough tasks went through. */
     CU_ASSERT(count_kills() > 50);
     CU_ASSERT(fleet_result(results, "alpha", "unknown") > 0);
     CU_ASSERT(fleet_result(results, "alpha", "done") > 200);
@@ -118,13 +122,13 @@
     close_fleet();
 }
 
-/* Connections in use go silent while new ones work. */
+/* Open connections stop passing data while new ones work. */
 static void
-test_silent(void)
+test_silent_connections(void)
 {
     open_fleet("once-silent", 2);
-    JsonNode *warm = run_load(1000, "run_ms=5", false);
-    json_node_unref(warm);
+    JsonNode *before = run_load(1000, "run_ms=5", false);
+    json_node_unref(before);
     fleet_proxy_faults(fleet,
                        "{\"routes\": \"backend-*\", \"silence\": true}");
     JsonNode *results = run_load(1000, "run_ms=5", false);
@@ -133,30 +137,30 @@
     close_fleet();
 }
 
-/** struct repeat - one id sent twice and what became of it */
-struct repeat {
+/** struct repeated_id - outcomes of one request id that is sent twice */
+struct repeated_id {
     char *outcomes[2];
     uint32_t n;
 };
 
 static void
-on_repeat(GObject *session, GAsyncResult *result, gpointer data)
+on_response(GObject *session, GAsyncResult *result, gpointer data)
 {
-    struct repeat *repeat = data;
+    struct repeated_id *repeated_id = data;
     SoupMessage *message =
         soup_session_get_async_result_message(SOUP_SESSION(session), result);
     GBytes *body =
         soup_session_send_and_read_finish(SOUP_SESSION(session), result, NULL);
     const char *outcome = soup_message_headers_get_one(
         soup_message_get_response_headers(message), "Egret-Outcome");
-    repeat->outcomes[repeat->n++] =
+    repeated_id->outcomes[repeated_id->n++] =
         g_strdup(body == NULL || outcome == NULL ? "none" : outcome);
     g_clear_pointer(&body, g_bytes_unref);
 }
 
 static void
-send_id_until(struct repeat *repeat, uint32_t gateway, const char *id,
-              GCancellable *hang_up)
+send_id_cancellable(struct repeated_id *repeated_id, uint32_t gateway,
+                    const char *id, GCancellable *cancel)
 {
     char *uri = g_strdup_printf("http://127.0.0.1:%u/v1/queues/keyed/tasks",
                                 fleet->http_ports[gateway]);
@@ -169,8 +173,8 @@
     soup_message_headers_append(headers, "Egret-Request-Id", id);
     soup_message_set_request_body_from_bytes(message, "text/plain", body);
     soup_session_send_and_read_async(fleet->session, message,
-                                     G_PRIORITY_DEFAULT, hang_up, on_repeat,
-                                     repeat);
+                                     G_PRIORITY_DEFAULT, cancel, on_response,
+                                     repeated_id);
     g_object_unref(message);
     g_bytes_unref(body);
     g_free(text);
@@ -179,9 +183,9 @@
 }
 
 static void
-send_id(struct repeat *repeat, uint32_t gateway, const char *id)
+send_id(struct repeated_id *repeated_id, uint32_t gateway, const char *id)
 {
-    send_id_until(repeat, gateway, id, NULL);
+    send_id_cancellable(repeated_id, gateway, id, NULL);
 }
 
 static uint32_t
@@ -200,36 +204,37 @@
 }
 
 static void
-wait_answers(struct repeat *repeat, uint32_t n)
+wait_responses(struct repeated_id *repeated_id, uint32_t n)
 {
     int64_t until_ms = fleet_now_ms() + 20000;
-    while (repeat->n < n && fleet_now_ms() < until_ms) {
+    while (repeated_id->n < n && fleet_now_ms() < until_ms) {
         g_main_context_iteration(NULL, FALSE);
         g_usleep(1000);
     }
-    CU_ASSERT_EQUAL_FATAL(repeat->n, n);
+    CU_ASSERT_EQUAL_FATAL(repeated_id->n, n);
 }
 
-/* One id through @first and @second; the second after @gap_ms. */
+/* Sends one id to gateway @first and after @gap_ms to gateway @second. */
 static void
-check_repeat(const char *id, uint32_t first, uint32_t second, int64_t gap_ms)
+check_repeated_id(const char *id, uint32_t first, uint32_t second,
+                  int64_t gap_ms)
 {
-    struct repeat repeat = {.n = 0};
-    send_id(&repeat, first, id);
+    struct repeated_id repeated_id = {.n = 0};
+    send_id(&repeated_id, first, id);
     int64_t until_ms = fleet_now_ms() + gap_ms;
     while (fleet_now_ms() < until_ms) {
         g_main_context_iteration(NULL, FALSE);
     }
-    send_id(&repeat, second, id);
-    wait_answers(&repeat, 2);
+    send_id(&repeated_id, second, id);
+    wait_responses(&repeated_id, 2);
     uint32_t runs = count_runs(id);
     CU_ASSERT(runs <= 1);
     for (uint32_t i = 0; i < 2; i++) {
-        const char *outcome = repeat.outcomes[i];
+        const char *outcome = repeated_id.outcomes[i];
         CU_ASSERT_STRING_NOT_EQUAL(outcome, "none");
         CU_ASSERT(runs == 0 || !g_str_equal(outcome, "not-run"));
         CU_ASSERT(runs == 1 || !g_str_equal(outcome, "done"));
-        g_free(repeat.outcomes[i]);
+        g_free(repeated_id.outcomes[i]);
     }
 }
 
@@ -239,7 +244,7 @@
     open_fleet("once-repeat", 3);
     for (uint32_t i = 0; i < 30; i++) {
         char *id = g_strdup_printf("again-%u", i);
-        check_repeat(id, i % 3, (i / 3) % 3, (i % 5) * 60);
+        check_repeated_id(id, i % 3, (i / 3) % 3, (i % 5) * 60);
         g_free(id);
     }
     close_fleet();
@@ -249,19 +254,19 @@
 test_repeated_after_kill(void)
 {
     open_fleet("once-repeat-kill", 3);
-    struct repeat first = {.n = 0};
+    struct repeated_id first = {.n = 0};
     send_id(&first, 0, "killed-1");
     int64_t until_ms = fleet_now_ms() + 75;
     while (fleet_now_ms() < until_ms) {
         g_main_context_iteration(NULL, FALSE);
     }
     fleet_signal(fleet, 0, SIGKILL);
-    wait_answers(&first, 1);
-    struct repeat again = {.n = 0};
+    wait_responses(&first, 1);
+    struct repeated_id again = {.n = 0};
     send_id(&again, 1, "killed-1");
     send_id(&again, 2, "killed-1");
-    /* The callback holds two answers. */
-    wait_answers(&again, 2);
+    /* struct repeated_id has space for two responses. */
+    wait_responses(&again, 2);
     uint32_t runs = count_runs("killed-1");
     CU_ASSERT(runs <= 1);
     for (uint32_t i = 0; i < 2; i++) {
@@ -274,7 +279,7 @@
 }
 
 static void
-turn_loop(int64_t ms)
+run_main_loop(int64_t ms)
 {
     int64_t until_ms = fleet_now_ms() + ms;
     while (fleet_now_ms() < until_ms) {
@@ -283,7 +288,7 @@
     }
 }
 
-/* Requests that a gateway still holds, as it counts them itself. */
+/* Requests under way in a gateway, from its own metrics. */
 static int64_t
 count_inflight(uint32_t gateway)
 {
@@ -304,25 +309,25 @@
     open_fleet("once-leave", 3);
     for (uint32_t round = 0; round < 6; round++) {
         char *id = g_strdup_printf("left-%u", round);
-        struct repeat left = {.n = 0};
-        struct repeat back = {.n = 0};
-        GCancellable *hang_up = g_cancellable_new();
-        send_id_until(&left, 0, id, hang_up);
-        send_id_until(&left, 1, id, hang_up);
-        turn_loop(75);
-        g_cancellable_cancel(hang_up);
-        wait_answers(&left, 2);
+        struct repeated_id left = {.n = 0};
+        struct repeated_id back = {.n = 0};
+        GCancellable *cancel = g_cancellable_new();
+        send_id_cancellable(&left, 0, id, cancel);
+        send_id_cancellable(&left, 1, id, cancel);
+        run_main_loop(75);
+        g_cancellable_cancel(cancel);
+        wait_responses(&left, 2);
         send_id(&back, 2, id);
-        wait_answers(&back, 1);
+        wait_responses(&back, 1);
         CU_ASSERT_STRING_EQUAL(back.outcomes[0], "done");
         CU_ASSERT_EQUAL(count_runs(id), 1);
         g_free(left.outcomes[0]);
         g_free(left.outcomes[1]);
         g_free(back.outcomes[0]);
-        g_object_unref(hang_up);
+        g_object_unref(cancel);
         g_free(id);
     }
-    turn_loop(500);
+    run_main_loop(500);
     for (uint32_t i = 0; i < 3; i++) {
         CU_ASSERT_EQUAL(count_inflight(i), 0);
     }
@@ -337,7 +342,7 @@
         {"kills with ids", test_kills_with_ids},
         {"answers broken", test_answers_broken},
         {"truncated by server", test_truncated_by_server},
-        {"silent connections", test_silent},
+        {"silent connections", test_silent_connections},
         {"repeated ids", test_repeated_ids},
         {"repeated after kill", test_repeated_after_kill},
         {"callers leave", test_callers_leave},
--- a/tests/process/process_config.h
+++ b/tests/process/process_config.h
@@ -1,9 +1,9 @@
-/* Configuration that the process tests share. */
+/* Configuration of the process tests. */
 #ifndef TESTS_PROCESS_CONFIG_H
 #define TESTS_PROCESS_CONFIG_H
 
-/* One pool over two data centres, a queue with a key and one without. Work
- * ends or runs out of its lease within two seconds. */
+/* One pool in two data centres, a queue that needs a key and an open one.
+ * Every task ends, or its lease expires, within two seconds. */
 #define PROCESS_CONFIG(limit)                                                 \
     "{\"service_unit\": \"task\","                                            \
     " \"data_centres\": [{\"name\": \"split-1\", \"region\": \"croatia\"},"   \
--- a/tests/process/process_fleet.c
+++ b/tests/process/process_fleet.c
@@ -10,8 +10,8 @@
 #include "../../standins/free_ports.h"
 
 enum {
-    START_MS = 20000,
-    POLL_MS = 50,
+    START_TIMEOUT_MS = 20000,
+    POLL_INTERVAL_MS = 50,
 };
 
 int64_t
@@ -27,7 +27,7 @@
 }
 
 static void
-end_processes(struct fleet *fleet)
+kill_processes(struct fleet *fleet)
 {
     for (guint i = fleet->processes->len; i > 0; i--) {
         struct fleet_process *process =
@@ -38,10 +38,10 @@
 }
 
 static void
-give_up(struct fleet *fleet, const char *what)
+fail(struct fleet *fleet, const char *what)
 {
     fprintf(stderr, "%s failed, see %s\n", what, fleet->run_dir);
-    end_processes(fleet);
+    kill_processes(fleet);
     exit(EXIT_FAILURE);
 }
 
@@ -51,9 +51,9 @@
     return g_build_filename(fleet->run_dir, name, NULL);
 }
 
-/* A test that ends early leaves no process behind. */
+/* Children die with a test that exits early. */
 static void
-end_with_parent(gpointer data)
+set_parent_death_signal(gpointer data)
 {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
 }
@@ -67,20 +67,20 @@
     char *log = run_path(fleet, log_name);
     GError *error = NULL;
     g_subprocess_launcher_set_stdout_file_path(launcher, log);
-    g_subprocess_launcher_set_child_setup(launcher, end_with_parent, NULL,
-                                          NULL);
+    g_subprocess_launcher_set_child_setup(launcher, set_parent_death_signal,
+                                          NULL, NULL);
     GSubprocess *child = g_subprocess_launcher_spawnv(
         launcher, (const char *const *)argv, &error);
     g_object_unref(launcher);
     g_free(log_name);
     g_free(log);
     if (child == NULL) {
-        give_up(fleet, error->message);
+        fail(fleet, error->message);
     }
     return child;
 }
 
-/* Takes over what stands in @argv. */
+/* Takes ownership of the arguments after @program. */
 static struct fleet_process *
 start(struct fleet *fleet, const char *name, const char *program, ...)
 {
@@ -107,12 +107,12 @@
 {
     char *path = run_path(fleet, name);
     char *text = NULL;
-    int64_t until_ms = fleet_now_ms() + START_MS;
+    int64_t end_ms = fleet_now_ms() + START_TIMEOUT_MS;
     while (!g_file_get_contents(path, &text, NULL, NULL)) {
-        if (fleet_now_ms() > until_ms) {
-            give_up(fleet, name);
+        if (fleet_now_ms() > end_ms) {
+            fail(fleet, name);
         }
-        fleet_sleep_ms(POLL_MS);
+        fleet_sleep_ms(POLL_INTERVAL_MS);
     }
     uint16_t port = (uint16_t)strtoul(text, NULL, 10);
     g_free(text);
@@ -163,21 +163,22 @@
 wait_ok(struct fleet *fleet, const char *method, uint16_t port,
         const char *path, const char *body)
 {
-    int64_t until_ms = fleet_now_ms() + START_MS;
+    int64_t end_ms = fleet_now_ms() + START_TIMEOUT_MS;
     guint status = 0;
     while (status != SOUP_STATUS_OK) {
         g_free(fleet_call(fleet, method, port, path, body, &status));
-        if (fleet_now_ms() > until_ms) {
-            give_up(fleet, path);
+        if (fleet_now_ms() > end_ms) {
+            fail(fleet, path);
         }
         if (status != SOUP_STATUS_OK) {
-            fleet_sleep_ms(POLL_MS);
+            fleet_sleep_ms(POLL_INTERVAL_MS);
         }
     }
 }
 
 static void
-put(struct fleet *fleet, uint16_t port, const char *path, const char *body)
+send_put(struct fleet *fleet, uint16_t port, const char *path,
+         const char *body)
 {
     g_free(fleet_call(fleet, "PUT", port, path, body, NULL));
 }
@@ -191,7 +192,7 @@
                                      "/standin/routes", body);
     g_free(body);
     if (root == NULL) {
-        give_up(fleet, name);
+        fail(fleet, name);
     }
     uint16_t port = (uint16_t)json_object_get_int_member(
         json_node_get_object(root), "port");
@@ -200,7 +201,7 @@
 }
 
 static void
-publish(struct fleet *fleet)
+publish_host_list(struct fleet *fleet)
 {
     char *text = json_to_string(fleet->hosts, FALSE);
     wait_ok(fleet, "PUT", fleet->store_port, "/standin/hosts", text);
@@ -221,12 +222,13 @@
                 "leaving");
         }
     }
-    publish(fleet);
+    publish_host_list(fleet);
 }
 
-/* The host list names the proxy's ports in place of the backend's. */
+/* Publishes the backend stand-in's host list, unless @direct with the proxy's
+ * ports in place of the backend servers'. */
 static void
-publish_hosts(struct fleet *fleet, bool direct)
+publish_initial_host_list(struct fleet *fleet, bool direct)
 {
     fleet->hosts = fleet_call_json(fleet, "GET", fleet->backend_port,
                                    "/standin/hosts", NULL);
@@ -243,7 +245,7 @@
                                    add_route(fleet, name, port));
         g_free(name);
     }
-    publish(fleet);
+    publish_host_list(fleet);
 }
 
 static char *
@@ -265,7 +267,7 @@
 }
 
 static void
-start_entry_host(struct fleet *fleet, uint32_t i)
+start_gateway(struct fleet *fleet, uint32_t i)
 {
     uint16_t ports[2];
     char name[32];
@@ -346,9 +348,9 @@
 static void
 start_standins(struct fleet *fleet, const struct fleet_options *options)
 {
-    const char *const stale[] = {"backend.port", "proxy.port"};
-    for (size_t i = 0; i < G_N_ELEMENTS(stale); i++) {
-        char *path = run_path(fleet, stale[i]);
+    const char *const port_files[] = {"backend.port", "proxy.port"};
+    for (size_t i = 0; i < G_N_ELEMENTS(port_files); i++) {
+        char *path = run_path(fleet, port_files[i]);
         remove(path);
         g_free(path);
     }
@@ -370,15 +372,15 @@
 {
     struct fleet *fleet = create_fleet(options);
     start_standins(fleet, options);
-    publish_hosts(fleet, options->direct_backends);
+    publish_initial_host_list(fleet, options->direct_backends);
     start_controllers(fleet, options->routed_controllers);
     for (uint32_t i = 0; i < fleet->n_gateways; i++) {
-        start_entry_host(fleet, i);
+        start_gateway(fleet, i);
     }
     char *output =
         fleet_ctl(fleet, "apply", fleet->config_file, "--wait", NULL);
     if (output == NULL) {
-        give_up(fleet, "egretctl apply");
+        fail(fleet, "egretctl apply");
     }
     g_free(output);
     for (uint32_t i = 0; i < fleet->n_gateways; i++) {
@@ -390,8 +392,8 @@
 }
 
 static void
-keep_records(struct fleet *fleet, uint16_t port, const char *path,
-             const char *name)
+save_response(struct fleet *fleet, uint16_t port, const char *path,
+              const char *name)
 {
     char *text = fleet_call(fleet, "GET", port, path, NULL, NULL);
     char *file = run_path(fleet, name);
@@ -405,20 +407,20 @@
 bool
 fleet_stop(struct fleet *fleet)
 {
-    bool all_alive = true;
-    keep_records(fleet, fleet->backend_port, "/standin/summary",
-                 "summary.json");
-    keep_records(fleet, fleet->proxy_port, "/standin/routes", "routes.json");
+    bool all_expected = true;
+    save_response(fleet, fleet->backend_port, "/standin/summary",
+                  "summary.json");
+    save_response(fleet, fleet->proxy_port, "/standin/routes", "routes.json");
     for (guint i = 0; i < fleet->processes->len; i++) {
         struct fleet_process *process = g_ptr_array_index(fleet->processes, i);
         if (g_subprocess_get_identifier(process->child) == NULL &&
             !process->exit_expected) {
-            fprintf(stderr, "%s ended by itself, see %s\n", process->name,
+            fprintf(stderr, "%s exited unexpectedly, see %s\n", process->name,
                     fleet->run_dir);
-            all_alive = false;
+            all_expected = false;
         }
     }
-    end_processes(fleet);
+    kill_processes(fleet);
     for (guint i = 0; i < fleet->processes->len; i++) {
         struct fleet_process *process = g_ptr_array_index(fleet->processes, i);
         g_subprocess_wait(process->child, NULL, NULL);
@@ -433,7 +435,7 @@
     g_free(fleet->build_dir);
     g_free(fleet->run_dir);
     g_free(fleet);
-    return all_alive;
+    return all_expected;
 }
 
 void
@@ -486,7 +488,7 @@
     return output;
 }
 
-/* The key stands among the lines about its coming into force. */
+/* egretctl prints the key among the lines about the progress of --wait. */
 char *
 fleet_key(struct fleet *fleet, const char *team)
 {
@@ -507,19 +509,19 @@
 void
 fleet_store_faults(struct fleet *fleet, const char *faults)
 {
-    put(fleet, fleet->store_port, "/standin/faults", faults);
+    send_put(fleet, fleet->store_port, "/standin/faults", faults);
 }
 
 void
 fleet_proxy_faults(struct fleet *fleet, const char *faults)
 {
-    put(fleet, fleet->proxy_port, "/standin/faults", faults);
+    send_put(fleet, fleet->proxy_port, "/standin/faults", faults);
 }
 
 void
 fleet_backend_mode(struct fleet *fleet, const char *mode)
 {
-    put(fleet, fleet->backend_port, "/standin/mode", mode);
+    send_put(fleet, fleet->backend_port, "/standin/mode", mode);
 }
 
 int64_t
@@ -528,12 +530,12 @@
 {
     JsonNode *root = fleet_call_json(fleet, "GET", fleet->backend_port,
                                      "/standin/summary", NULL);
-    JsonObject *tallies =
+    JsonObject *stats =
         json_object_get_object_member(json_node_get_object(root), kind);
     int64_t value = 0;
-    if (json_object_has_member(tallies, name)) {
+    if (json_object_has_member(stats, name)) {
         value = json_object_get_int_member(
-            json_object_get_object_member(tallies, name), member);
+            json_object_get_object_member(stats, name), member);
     }
     json_node_unref(root);
     return value;
--- a/tests/process/process_fleet.h
+++ b/tests/process/process_fleet.h
@@ -1,4 +1,5 @@
-/* A small fleet of real processes behind the fault-injecting proxy. */
+/* A small fleet of real processes whose connections go through a
+ * fault-injecting proxy. */
 #ifndef TESTS_PROCESS_FLEET_H
 #define TESTS_PROCESS_FLEET_H
 
@@ -15,13 +16,13 @@
 /**
  * struct fleet_options - what to start
  * @name: name of the run directory
- * @gateways: number of entry hosts
+ * @gateways: number of gateways
  * @layout: pools and their hosts, for the backend stand-in
  * @dcs: data centres of the hosts
  * @config: configuration as JSON text
- * @direct_backends: backend servers are reached without the proxy
- * @routed_controllers: this many controllers, each with a route of its own to
- *                      the store; 0 for one without
+ * @direct_backends: reach backend servers without the proxy
+ * @routed_controllers: number of controllers, each with its own route to the
+ *                      store through the proxy; 0 for one without the proxy
  */
 struct fleet_options {
     const char *name;
@@ -33,7 +34,7 @@
     uint32_t routed_controllers;
 };
 
-/** struct fleet_process - a child and whether its end is expected */
+/** struct fleet_process - a child process and whether it may exit */
 struct fleet_process {
     char *name;
     GSubprocess *child;
@@ -41,10 +42,11 @@
 };
 
 /**
- * struct fleet - the processes and where they listen
+ * struct fleet - the processes and their ports
+ * @run_dir: directory of logs, settings and results
  * @processes: struct fleet_process
  * @hosts: the platform's host list
- * @gateways: children that run egretd; NULL when ended on purpose
+ * @gateways: children that run egretd
  * @controllers: children that run egretfleetd
  */
 struct fleet {
@@ -65,32 +67,34 @@
 };
 
 /**
- * fleet_start() - start everything and wait until each gateway serves
+ * fleet_start() - start all processes and wait until each gateway serves
  *
- * Ends the test program with a message when something does not come up.
+ * Ends the test program with a message when one of them does not start.
  */
 struct fleet *
 fleet_start(const struct fleet_options *options);
 
-/** fleet_stop() - end all; false when a process had died by itself. */
+/** fleet_stop() - end all processes; false when one had exited unexpectedly.
+ */
 bool
 fleet_stop(struct fleet *fleet);
 
-/** fleet_signal() - send a signal to gateway @i; an ending one makes its end
- * expected. */
+/** fleet_signal() - send a signal to gateway @i; SIGKILL and SIGTERM make its
+ * exit expected. */
 void
 fleet_signal(struct fleet *fleet, uint32_t i, int signal);
 
-/** fleet_wait_exit() - wait for gateway @i to end; its exit status, or -1. */
+/** fleet_wait_exit() - wait for gateway @i to exit; its exit status, or -1. */
 int
 fleet_wait_exit(struct fleet *fleet, uint32_t i);
 
-/** fleet_call() - one HTTP request; the body, to be freed, or NULL. */
+/** fleet_call() - send one HTTP request; returns the body (free with g_free())
+ * or NULL, and in @status the HTTP status, 0 without a response. */
 char *
 fleet_call(struct fleet *fleet, const char *method, uint16_t port,
            const char *path, const char *body, guint *status);
 
-/** fleet_call_json() - the same, parsed. */
+/** fleet_call_json() - fleet_call() with the body parsed as JSON. */
 JsonNode *
 fleet_call_json(struct fleet *fleet, const char *method, uint16_t port,
                 const char *path, const char *body);
@@ -100,12 +104,12 @@
 char *
 fleet_ctl(struct fleet *fleet, ...) G_GNUC_NULL_TERMINATED;
 
-/** fleet_key() - a new key of @team, in force everywhere. */
+/** fleet_key() - issue a key for @team and wait until all gateways know it. */
 char *
 fleet_key(struct fleet *fleet, const char *team);
 
-/** fleet_store_faults(), fleet_proxy_faults(), fleet_backend_mode() - switch
- * faults by JSON text. */
+/** fleet_store_faults(), fleet_proxy_faults(), fleet_backend_mode() - set the
+ * faults of a stand-in, as JSON text. */
 void
 fleet_store_faults(struct fleet *fleet, const char *faults);
 void
@@ -113,41 +117,45 @@
 void
 fleet_backend_mode(struct fleet *fleet, const char *mode);
 
-/** fleet_publish_leaving() - show host @name as leaving in the host list. */
+/** fleet_publish_leaving() - publish the host list with host @name leaving. */
 void
 fleet_publish_leaving(struct fleet *fleet, const char *name);
 
-/** fleet_backend_stat() - a member of the backend stand-in's summary. */
+/** fleet_backend_stat() - statistic @member of @name, one of @kind ("teams",
+ * "dcs", "hosts"), in the backend stand-in's summary; 0 when absent. */
 int64_t
 fleet_backend_stat(struct fleet *fleet, const char *kind, const char *name,
                    const char *member);
 
-/** fleet_load_start() - start callers with a plan in JSON. */
+/** fleet_load_start() - start the load generator with a plan in JSON. */
 GSubprocess *
 fleet_load_start(struct fleet *fleet, const char *plan);
 
-/** fleet_load_finish() - wait for the callers; their results. */
+/** fleet_load_finish() - wait for the load generator; its results or NULL. */
 JsonNode *
 fleet_load_finish(struct fleet *fleet, GSubprocess *load);
 
-/** fleet_load_run() - both. */
+/** fleet_load_run() - fleet_load_start() and fleet_load_finish(). */
 JsonNode *
 fleet_load_run(struct fleet *fleet, const char *plan);
 
-/** fleet_load_run_at() - the same against other targets, without checks. */
+/** fleet_load_run_at() - run the load against other targets, without checks
+ * against the records of the backend stand-in. */
 JsonNode *
 fleet_load_run_at(struct fleet *fleet, const char *plan, const char *targets);
 
-/** fleet_relay_start() - a bare relay to @target; where it listens. */
+/** fleet_relay_start() - start a plain relay to @target; returns its address.
+ */
 char *
 fleet_relay_start(struct fleet *fleet, const char *target,
                   bool new_connections);
 
-/** fleet_result_double() - a figure that is not a count. */
+/** fleet_result_double() - result @name of @team that is not an integer. */
 double
 fleet_result_double(JsonNode *results, const char *team, const char *name);
 
-/** fleet_result() - figure @name of @team in results. */
+/** fleet_result() - result @name of @team, or of the whole run for a NULL
+ * @team. */
 int64_t
 fleet_result(JsonNode *results, const char *team, const char *name);
 
--- a/tests/process/process_suite.h
+++ b/tests/process/process_suite.h
@@ -1,4 +1,4 @@
-/* Runs one test of a suite, so that each has its own time limit. */
+/* Runs a single test of a suite, so that meson gives each its own time-out. */
 #ifndef TESTS_PROCESS_SUITE_H
 #define TESTS_PROCESS_SUITE_H
 
@@ -6,7 +6,8 @@
 
 #include "../suite.h"
 
-/** suite_main_one() - run the test that @argv names, or all of them. */
+/** suite_main_one() - run the test named by the first argument, or all without
+ * one; returns the exit status of the program. */
 static inline int
 suite_main_one(const char *name, const struct suite_test *tests,
                size_t n_tests, int argc, char **argv)
--- a/tests/process/serve_test.c
+++ b/tests/process/serve_test.c
@@ -1,4 +1,8 @@
-/* Graceful shutdown, generations that never fall, and bad input. */
+/*
+ * A gateway in service: shutdown loses no task, the active generation never
+ * decreases, invalid input does no harm, and a failing backend server is
+ * ejected.
+ */
 #include <signal.h>
 
 #include "process_config.h"
@@ -29,7 +33,7 @@
     g_free(key);
 }
 
-/* Work that gateway 0 holds when it is told to end. */
+/* Tasks that run or wait in gateway 0 at SIGTERM all get their outcome. */
 static void
 test_shutdown(void)
 {
@@ -56,7 +60,7 @@
 }
 
 static int64_t
-generation(uint32_t i)
+active_generation(uint32_t i)
 {
     char *text =
         fleet_call(fleet, "GET", fleet->http_ports[i], "/metrics", NULL, NULL);
@@ -68,8 +72,9 @@
     return value;
 }
 
-/* Operators race, answers get lost, the store goes away for a while: what a
- * gateway has in force never falls, and all end with the same. */
+/* While operators race, answers of the store get lost and the store is down
+ * for a while, the active generation of a gateway never decreases, and all
+ * gateways end with the same. */
 static void
 test_generations(void)
 {
@@ -88,20 +93,20 @@
         g_free(first);
         g_free(second);
         for (uint32_t i = 0; i < 3; i++) {
-            int64_t now = generation(i);
+            int64_t now = active_generation(i);
             CU_ASSERT(now >= highest[i]);
             highest[i] = MAX(highest[i], now);
         }
     }
     fleet_sleep_ms(3000);
-    int64_t last = generation(0);
+    int64_t last = active_generation(0);
     CU_ASSERT(last >= 6);
-    CU_ASSERT_EQUAL(generation(1), last);
-    CU_ASSERT_EQUAL(generation(2), last);
+    CU_ASSERT_EQUAL(active_generation(1), last);
+    CU_ASSERT_EQUAL(active_generation(2), last);
     close_fleet();
 }
 
-/* Sends raw bytes and returns what came back until the end or a second. */
+/* Sends raw bytes and returns what one read gives within two seconds. */
 static char *
 send_raw(uint16_t port, const char *bytes, size_t size_bytes)
 {
@@ -124,7 +129,7 @@
 }
 
 static void
-check_refused(const char *bytes, size_t size_bytes)
+check_rejected(const char *bytes, size_t size_bytes)
 {
     char *answer = send_raw(fleet->http_ports[0], bytes, size_bytes);
     CU_ASSERT(strstr(answer, " 200 ") == NULL);
@@ -152,24 +157,25 @@
         "Authorization: Bearer egk.x\r\nContent-Length: 1\r\n\r\na",
     };
     for (size_t i = 0; i < G_N_ELEMENTS(requests); i++) {
-        check_refused(requests[i], strlen(requests[i]));
+        check_rejected(requests[i], strlen(requests[i]));
     }
     GString *large = g_string_new("GET /healthz HTTP/1.1\r\nHost: a\r\nX: ");
     for (uint32_t i = 0; i < 200000; i++) {
         g_string_append_c(large, 'x');
     }
     g_string_append(large, "\r\n\r\n");
-    check_refused(large->str, large->len);
+    check_rejected(large->str, large->len);
     g_string_free(large, TRUE);
-    /* Junk on the port for peers: a length far over the bound, a short
-     * frame, and bytes without sense. */
-    static const char junk[][12] = {
+    /* Invalid frames on the peer port: a length far over the bound, a
+     * truncated frame, and HTTP. */
+    static const char invalid_frames[][12] = {
         "\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff",
         "\x00\x00\x00\x02\x93\x01",
         "GET / HTTP/",
     };
-    for (size_t i = 0; i < G_N_ELEMENTS(junk); i++) {
-        g_free(send_raw(fleet->peer_ports[0], junk[i], sizeof(junk[i])));
+    for (size_t i = 0; i < G_N_ELEMENTS(invalid_frames); i++) {
+        g_free(send_raw(fleet->peer_ports[0], invalid_frames[i],
+                        sizeof(invalid_frames[i])));
     }
     guint status = 0;
     g_free(fleet_call(fleet, "POST", fleet->http_ports[0],
@@ -178,7 +184,7 @@
     close_fleet();
 }
 
-/* One backend server that fails everything takes little of the work. */
+/* A backend server that fails every task gets few of them. */
 static void
 test_failing_host(void)
 {
@@ -198,7 +204,7 @@
     int64_t there =
         fleet_backend_stat(fleet, "hosts", "w-split-1-01", "started");
     CU_ASSERT(there > 0);
-    /* One of eight, without ejection it takes an eighth. */
+    /* Without ejection this one of eight would get an eighth. */
     CU_ASSERT(there * 25 <= done);
     json_node_unref(results);
     g_free(plan);
--- a/tests/standing/registration_test.c
+++ b/tests/standing/registration_test.c
@@ -1,8 +1,9 @@
 /*
  * Registration, quorum leases and permits of several gateways in one process,
  * over real peer links and a stand-in store: gateways that start, are
- * replaced, killed or cut off from the store must neither share out more
- * permits than the limit nor stay without a quorum lease.
+ * replaced, killed or cut off from the store must never hold more permits than
+ * the limit together, and must get their quorum leases back as soon as the
+ * store or a majority of the gateways is reachable.
  */
 #include <string.h>
 
