--- a/bench/config_bench.c
+++ b/bench/config_bench.c
@@ -125,7 +125,7 @@
         .previous = "0123456789abcdef",
         .author = "operator@host",
         .summary = "key issue team-000 0123456789ab",
-        .parts = config_keys_of(texts),
+        .parts = config_part_keys(texts),
     };
     char *head_text = config_head_render(&head);
     size_t largest = 0;
--- a/bench/fleet_bench.c
+++ b/bench/fleet_bench.c
@@ -83,7 +83,7 @@
 lower_bound_s(const struct fleet_sim *sim, uint32_t hosts, uint32_t at_once)
 {
     double cycle_ms = (double)(sim->options.drain_ms + sim->options.reboot_ms +
-                               sim->options.timings.prove_ms);
+                               sim->options.timings.recovery_ms);
     return ceil((double)hosts / at_once) * cycle_ms / 1000;
 }
 
@@ -233,7 +233,7 @@
     uint32_t available = 0;
     for (uint32_t i = 0; i < sim->n_hosts; i++) {
         const struct sim_host *host = &sim->hosts[i];
-        bool out = sim->options.config->dcs[0].state == DC_OUT &&
+        bool out = sim->options.config->dcs[0].state == DC_OUT_OF_SERVICE &&
                    g_str_equal(host->dc, "d0");
         available += !out && g_str_equal(host->initial_pool, pool);
     }
@@ -252,7 +252,8 @@
     struct pool_work managed = {0};
     struct pool_work fixed = {0};
     for (int64_t s = 0; s < 5 * 3600; s++) {
-        config->dcs[0].state = s >= 2 * 3600 && s < 4 * 3600 ? DC_OUT : DC_IN;
+        config->dcs[0].state =
+            s >= 2 * 3600 && s < 4 * 3600 ? DC_OUT_OF_SERVICE : DC_IN_SERVICE;
         for (uint32_t p = 0; p < 5; p++) {
             sim->demand_slots[p] = 0.7 * 8 * HOST_SLOTS;
         }
--- a/common/config_check.c
+++ b/common/config_check.c
@@ -61,7 +61,7 @@
 {
     size_t n_in = 0;
     for (size_t i = 0; i < config->n_dcs; i++) {
-        n_in += config->dcs[i].state == DC_IN;
+        n_in += config->dcs[i].state == DC_IN_SERVICE;
     }
     return n_in;
 }
--- a/common/config_read.c
+++ b/common/config_read.c
@@ -85,12 +85,14 @@
 read_dc(const struct json_place *place, void *entry)
 {
     struct config_dc *dc = entry;
-    json_read_only(place, dc_members);
+    json_reject_unknown_members(place, dc_members);
     dc->name = read_name(place, "name", true);
     dc->region = read_name(place, "region", true);
     const char *state = json_read_string(place, "state", false);
-    dc->state = g_strcmp0(state, "out") == 0 ? DC_OUT : DC_IN;
-    if (state != NULL && dc->state == DC_IN && !g_str_equal(state, "in")) {
+    dc->state =
+        g_strcmp0(state, "out") == 0 ? DC_OUT_OF_SERVICE : DC_IN_SERVICE;
+    if (state != NULL && dc->state == DC_IN_SERVICE &&
+        !g_str_equal(state, "in")) {
         add_finding(place, "state", "must be \"in\" or \"out\"");
     }
 }
@@ -99,7 +101,7 @@
 read_pool(const struct json_place *place, void *entry)
 {
     struct config_pool *pool = entry;
-    json_read_only(place, pool_members);
+    json_reject_unknown_members(place, pool_members);
     pool->name = read_name(place, "name", true);
     pool->spare = json_read_bool(place, "spare", false);
     pool->min_available_hosts =
@@ -120,7 +122,7 @@
 read_queue(const struct json_place *place, void *entry)
 {
     struct config_queue *queue = entry;
-    json_read_only(place, queue_members);
+    json_reject_unknown_members(place, queue_members);
     queue->name = read_name(place, "name", true);
     queue->pool = read_name(place, "pool", true);
     queue->open_team = read_name(place, "open_team", false);
@@ -161,7 +163,7 @@
 read_key(const struct json_place *place, void *entry)
 {
     struct config_key *key = entry;
-    json_read_only(place, key_members);
+    json_reject_unknown_members(place, key_members);
     const char *id = json_read_string(place, "id", true);
     const char *hash = json_read_string(place, "sha256", true);
     key->expires_s = json_read_int(place, "expires_s", 0, INT64_MAX, 0, false);
@@ -216,7 +218,7 @@
 read_team(const struct json_place *place, void *entry)
 {
     struct config_team *team = entry;
-    json_read_only(place, team_members);
+    json_reject_unknown_members(place, team_members);
     team->name = read_name(place, "name", true);
     team->share_permille =
         read_u32(place, "share_permille", 0, SHARE_MAX_PERMILLE, 0, true);
@@ -255,7 +257,7 @@
         .findings = findings,
     };
     struct config *config = g_new0(struct config, 1);
-    json_read_only(&place, root_members);
+    json_reject_unknown_members(&place, root_members);
     config->unit = read_unit(&place);
     config->dcs = read_entries(&place, "data_centres", true,
                                sizeof(*config->dcs), read_dc, &config->n_dcs);
--- a/common/config_write.c
+++ b/common/config_write.c
@@ -17,7 +17,8 @@
         json_builder_begin_object(builder);
         json_write_text(builder, "name", dc->name);
         json_write_text(builder, "region", dc->region);
-        json_write_text(builder, "state", dc->state == DC_OUT ? "out" : "in");
+        json_write_text(builder, "state",
+                        dc->state == DC_OUT_OF_SERVICE ? "out" : "in");
         json_builder_end_object(builder);
     }
     json_builder_end_array(builder);
--- a/common/fleet_timings.c
+++ b/common/fleet_timings.c
@@ -15,22 +15,23 @@
 
 static const struct timing timings_known[] = {
     {"tick_ms", offsetof(struct fleet_timings, tick_ms), 1000},
-    {"turn_ms", offsetof(struct fleet_timings, turn_ms), 3000},
+    {"turn_ms", offsetof(struct fleet_timings, stagger_max_ms), 3000},
     {"list_stale_ms", offsetof(struct fleet_timings, list_stale_ms), 5000},
     {"demand_poll_ms", offsetof(struct fleet_timings, demand_poll_ms), 10000},
     {"demand_stale_ms", offsetof(struct fleet_timings, demand_stale_ms),
      45000},
     {"drain_margin_ms", offsetof(struct fleet_timings, drain_margin_ms),
      15000},
-    {"lost_ms", offsetof(struct fleet_timings, lost_ms), 60000},
-    {"prove_ms", offsetof(struct fleet_timings, prove_ms), 30000},
-    {"return_ms", offsetof(struct fleet_timings, return_ms), 900000},
-    {"repair_ms", offsetof(struct fleet_timings, repair_ms), 1800000},
-    {"settle_ms", offsetof(struct fleet_timings, settle_ms), 120000},
-    {"patience_ms", offsetof(struct fleet_timings, patience_ms), 3600000},
-    {"surplus_ms", offsetof(struct fleet_timings, surplus_ms), 3600000},
-    {"smooth_ms", offsetof(struct fleet_timings, smooth_ms), 600000},
-    {"retire_ms", offsetof(struct fleet_timings, retire_ms), 86400000},
+    {"lost_ms", offsetof(struct fleet_timings, fail_after_ms), 60000},
+    {"prove_ms", offsetof(struct fleet_timings, recovery_ms), 30000},
+    {"return_ms", offsetof(struct fleet_timings, reboot_timeout_ms), 900000},
+    {"repair_ms", offsetof(struct fleet_timings, suspect_hold_ms), 1800000},
+    {"settle_ms", offsetof(struct fleet_timings, wave_skip_ms), 120000},
+    {"patience_ms", offsetof(struct fleet_timings, load_wait_max_ms), 3600000},
+    {"surplus_ms", offsetof(struct fleet_timings, surplus_hold_ms), 3600000},
+    {"smooth_ms", offsetof(struct fleet_timings, demand_smoothing_ms), 600000},
+    {"retire_ms", offsetof(struct fleet_timings, record_retention_ms),
+     86400000},
 };
 
 static int64_t *
@@ -60,6 +61,6 @@
         *member_of(&timings, timing) = json_read_int(
             place, timing->name, 1, TIME_MAX_MS, timing->default_ms, false);
     }
-    json_read_only(place, names);
+    json_reject_unknown_members(place, names);
     return timings;
 }
--- a/common/json_read.c
+++ b/common/json_read.c
@@ -156,7 +156,8 @@
 }
 
 void
-json_read_only(const struct json_place *place, const char *const *members)
+json_reject_unknown_members(const struct json_place *place,
+                            const char *const *members)
 {
     if (place->object == NULL) {
         return;
--- a/common/settings.c
+++ b/common/settings.c
@@ -97,14 +97,14 @@
 static void
 read_times(const struct json_place *place, struct settings *settings)
 {
-    settings->support_ms = read_ms(place, "support_ms", 2000);
+    settings->quorum_lease_ms = read_ms(place, "support_ms", 2000);
     settings->heartbeat_ms = read_ms(place, "heartbeat_ms", 500);
     settings->store_timeout_ms = read_ms(place, "store_timeout_ms", 1000);
     settings->watch_wait_ms = read_ms(place, "watch_wait_ms", 10000);
     settings->connect_timeout_ms = read_ms(place, "connect_timeout_ms", 1000);
     settings->shutdown_ms = read_ms(place, "shutdown_ms", 60000);
     settings->id_retention_ms = read_ms(place, "id_retention_ms", 60000);
-    if (settings->heartbeat_ms * 2 > settings->support_ms) {
+    if (settings->heartbeat_ms * 2 > settings->quorum_lease_ms) {
         findings_add(place->findings, place->file, "$.heartbeat_ms",
                      "must be at most half of support_ms");
     }
@@ -145,7 +145,7 @@
         .findings = findings,
     };
     struct settings *settings = g_new0(struct settings, 1);
-    json_read_only(&place, members);
+    json_reject_unknown_members(&place, members);
     settings->name = g_strdup(json_read_string(&place, "name", true));
     settings->dc = g_strdup(json_read_string(&place, "dc", true));
     settings->address = g_strdup(json_read_string(&place, "address", true));
--- a/core/dispatch_config.c
+++ b/core/dispatch_config.c
@@ -142,7 +142,7 @@
 {
     for (size_t i = 0; i < config->n_dcs; i++) {
         struct dc *dc = dispatch_dc(dispatch, config->dcs[i].name);
-        dc->out_of_service = config->dcs[i].state == DC_OUT;
+        dc->out_of_service = config->dcs[i].state == DC_OUT_OF_SERVICE;
     }
     for (size_t i = 0; i < config->n_pools; i++) {
         dispatch_pool(dispatch, config->pools[i].name)->configured = true;
--- a/core/fleet_index.c
+++ b/core/fleet_index.c
@@ -84,7 +84,8 @@
     pass->dc_in_service = g_array_new(FALSE, FALSE, sizeof(bool));
     GHashTable *dcs = g_hash_table_new(g_str_hash, g_str_equal);
     for (size_t i = 0; i < config->n_dcs; i++) {
-        add_dc(pass, dcs, config->dcs[i].name, config->dcs[i].state == DC_IN);
+        add_dc(pass, dcs, config->dcs[i].name,
+               config->dcs[i].state == DC_IN_SERVICE);
     }
     return dcs;
 }
--- a/core/host_transitions.c
+++ b/core/host_transitions.c
@@ -54,7 +54,7 @@
 mark_lost(struct fleet_pass *pass, struct pass_host *host)
 {
     if (host->healthy ||
-        time_in_health_ms(pass, host) < pass->timings->lost_ms) {
+        time_in_health_ms(pass, host) < pass->timings->fail_after_ms) {
         return false;
     }
     struct host_record *record =
@@ -177,7 +177,7 @@
         record->seen_down = false;
         return;
     }
-    if (time_in_state_ms(pass, host) < pass->timings->return_ms) {
+    if (time_in_state_ms(pass, host) < pass->timings->reboot_timeout_ms) {
         return;
     }
     if (up) {
@@ -200,7 +200,7 @@
     }
     int64_t stable_ms =
         MIN(time_in_state_ms(pass, host), time_in_health_ms(pass, host));
-    if (host->healthy && stable_ms >= pass->timings->prove_ms) {
+    if (host->healthy && stable_ms >= pass->timings->recovery_ms) {
         pass_add_host_write(pass, host, HOST_SERVING, host->record->reason);
     }
 }
@@ -209,7 +209,7 @@
 remove_record(struct fleet_pass *pass, struct pass_host *host)
 {
     if (host->info->listed || host->entry != NULL ||
-        time_in_state_ms(pass, host) < pass->timings->retire_ms) {
+        time_in_state_ms(pass, host) < pass->timings->record_retention_ms) {
         return;
     }
     struct fleet_action *action = g_new0(struct fleet_action, 1);
@@ -225,7 +225,7 @@
 plan_failed(struct fleet_pass *pass, struct pass_host *host)
 {
     if (g_strcmp0(host->record->reason, "suspect") == 0 && host->healthy) {
-        if (time_in_state_ms(pass, host) >= pass->timings->repair_ms) {
+        if (time_in_state_ms(pass, host) >= pass->timings->suspect_hold_ms) {
             pass_add_host_write(pass, host, HOST_REBOOTING, "suspect")
                 ->seen_down = false;
         }
@@ -345,7 +345,8 @@
 
 /* Whether an entry is no longer needed. The records read here may be out of
  * date: a record must show that the entry was used, whatever pool it names,
- * and a missing record counts only once the entry is older than retire_ms. */
+ * and a missing record counts only once the entry is older than
+ * record_retention_ms. */
 static bool
 is_entry_obsolete(const struct fleet_pass *pass, const struct pass_host *host,
                   const struct pass_pool *pool,
@@ -353,7 +354,7 @@
 {
     if (host == NULL || host->record == NULL) {
         int64_t age_s = pass->snapshot->now_s - entry->admitted_s;
-        return age_s * 1000 > pass->timings->retire_ms &&
+        return age_s * 1000 > pass->timings->record_retention_ms &&
                (host == NULL || !host->info->damaged);
     }
     if (entry->admission > host->record->admission) {
--- a/core/maintenance_plan.c
+++ b/core/maintenance_plan.c
@@ -17,7 +17,7 @@
  * @done: rebooted
  * @due: not done yet
  * @in_progress: of @due, admitted, draining, rebooting or returning
- * @skipped: of @due, down for settle_ms: the wave can complete without them
+ * @skipped: of @due, down for wave_skip_ms: the wave can complete without them
  * @held_out: host name to reason, as in struct wave_record
  */
 struct wave_progress {
@@ -133,8 +133,8 @@
     return racks;
 }
 
-/* Whether the demand allows to take @host out. After patience_ms of waiting,
- * hosts are taken out one at a time in spite of the demand. */
+/* Whether the demand allows to take @host out. After load_wait_max_ms of
+ * waiting, hosts are taken out one at a time in spite of the demand. */
 static bool
 load_allows(struct fleet_pass *pass, struct pass_pool *pool,
             const struct pass_host *host)
@@ -154,7 +154,8 @@
     if (history->load_wait_since_ms == INT64_MIN) {
         history->load_wait_since_ms = now_ms;
     }
-    if (now_ms - history->load_wait_since_ms >= pass->timings->patience_ms &&
+    if (now_ms - history->load_wait_since_ms >=
+            pass->timings->load_wait_max_ms &&
         pool->disrupted == 0) {
         return true;
     }
@@ -242,7 +243,7 @@
     const struct host_history *history = host->history;
     int64_t since_ms = record->state == HOST_FAILED ? history->state_since_ms
                                                     : history->health_since_ms;
-    if (pass->snapshot->now_ms - since_ms < pass->timings->settle_ms) {
+    if (pass->snapshot->now_ms - since_ms < pass->timings->wave_skip_ms) {
         return;
     }
     progress->skipped++;
--- a/core/pool_moves.c
+++ b/core/pool_moves.c
@@ -246,7 +246,7 @@
     int64_t now_ms = pass->snapshot->now_ms;
     int64_t since_ms = pool->history->surplus_since_ms;
     int64_t moved_ms = (pass->snapshot->now_s - pool->last_moved_s) * 1000;
-    int64_t hold_ms = pass->timings->surplus_ms;
+    int64_t hold_ms = pass->timings->surplus_hold_ms;
     if (pool->config->spare || since_ms == INT64_MIN ||
         now_ms - since_ms < hold_ms || moved_ms < hold_ms) {
         return 0;
--- a/core/pool_needs.c
+++ b/core/pool_needs.c
@@ -29,7 +29,7 @@
     }
     int64_t step_ms = now_ms - history->sampled_ms;
     double weight =
-        1 - exp(-(double)step_ms / (double)pass->timings->smooth_ms);
+        1 - exp(-(double)step_ms / (double)pass->timings->demand_smoothing_ms);
     history->smoothed_slots +=
         weight * (pool->info->demand_slots - history->smoothed_slots);
     history->sampled_ms = now_ms;
@@ -111,8 +111,8 @@
     for (size_t i = 0; i < pass->n_pools; i++) {
         struct pass_pool *pool = &pass->pools[i];
         smooth_demand(pass, pool);
-        pool->demand_reliable =
-            pool->history->demand_known_ms >= pass->timings->smooth_ms;
+        pool->demand_reliable = pool->history->demand_known_ms >=
+                                pass->timings->demand_smoothing_ms;
         set_targets(pass, pool);
         track_surplus(pass, pool);
     }
--- a/egretctl/cmd_dc.c
+++ b/egretctl/cmd_dc.c
@@ -27,8 +27,8 @@
 {
     struct dc_change wanted = {.name = name, .state = state};
     char *subject = g_strdup_printf("data_centres[%s]", name);
-    char *summary =
-        g_strdup_printf("dc %s %s", state == DC_OUT ? "out" : "in", name);
+    char *summary = g_strdup_printf(
+        "dc %s %s", state == DC_OUT_OF_SERVICE ? "out" : "in", name);
     enum ctl_exit code = change_publish(ctl, &(struct config_change){
                                                  .summary = summary,
                                                  .subject = subject,
@@ -44,12 +44,12 @@
 command_dc_in(struct ctl *ctl, int n_args, char **args)
 {
     (void)n_args;
-    return change_dc(ctl, args[0], DC_IN);
+    return change_dc(ctl, args[0], DC_IN_SERVICE);
 }
 
 enum ctl_exit
 command_dc_out(struct ctl *ctl, int n_args, char **args)
 {
     (void)n_args;
-    return change_dc(ctl, args[0], DC_OUT);
+    return change_dc(ctl, args[0], DC_OUT_OF_SERVICE);
 }
--- a/egretctl/cmd_status.c
+++ b/egretctl/cmd_status.c
@@ -59,7 +59,7 @@
         const char *const cells[] = {
             dc->name,
             dc->region,
-            dc->state == DC_OUT ? "out" : "in",
+            dc->state == DC_OUT_OF_SERVICE ? "out" : "in",
         };
         table_add(table, cells);
     }
--- a/egretctl/main.c
+++ b/egretctl/main.c
@@ -173,7 +173,7 @@
             .path = "$",
             .findings = findings,
         };
-        json_read_only(&place, members);
+        json_reject_unknown_members(&place, members);
         read_default(&place, "store_url", &parsed->store_url);
         read_default(&place, "secret_file", &parsed->secret_file);
         json_node_unref(root);
--- a/egretctl/session.c
+++ b/egretctl/session.c
@@ -157,11 +157,11 @@
         .value = text,
         .size_bytes = strlen(text),
     };
-    config_fetch_entry(wait->ctl->store, &entry, NULL,
-                       (struct config_fetch_callback){
-                           .done = on_snapshot,
-                           .ctx = wait,
-                       });
+    config_fetch_from_head(wait->ctl->store, &entry, NULL,
+                           (struct config_fetch_callback){
+                               .done = on_snapshot,
+                               .ctx = wait,
+                           });
     g_free(text);
 }
 
@@ -260,7 +260,7 @@
         .config = config,
         .base = base->head,
         .base_version = base->head_version,
-        .above = above,
+        .above_generation = above,
         .author = ctl->author,
         .summary = summary,
         .written_s = g_get_real_time() / G_USEC_PER_SEC,
--- a/egretd/config_feed.c
+++ b/egretd/config_feed.c
@@ -73,7 +73,7 @@
 static GTree *
 index_parts(const struct config_head *head, GTree *texts)
 {
-    GTree *parts_by_key = config_texts_create();
+    GTree *parts_by_key = config_text_map_create();
     for (GTreeNode *node = g_tree_node_first(head->parts); node != NULL;
          node = g_tree_node_next(node)) {
         const char *text = g_tree_lookup(texts, g_tree_node_key(node));
@@ -171,7 +171,7 @@
         feed->read_again = true;
         return;
     }
-    feed->fetch = config_fetch_entry(
+    feed->fetch = config_fetch_from_head(
         feed->options.store, entry, feed->parts_by_key,
         (struct config_fetch_callback){.done = on_fetched, .ctx = feed});
 }
@@ -320,7 +320,7 @@
 offered_texts(const struct config_feed *feed, const struct config_head *head,
               const struct message_config *offer)
 {
-    GTree *texts = config_texts_create();
+    GTree *texts = config_text_map_create();
     for (GTreeNode *node = g_tree_node_first(head->parts);
          node != NULL && feed->parts_by_key != NULL;
          node = g_tree_node_next(node)) {
--- a/egretd/membership.c
+++ b/egretd/membership.c
@@ -190,8 +190,8 @@
 {
     struct membership *membership = ctx;
     switch (message->type) {
-    case MESSAGE_BEAT:
-    case MESSAGE_BEAT_ACK:
+    case MESSAGE_HEARTBEAT:
+    case MESSAGE_HEARTBEAT_ACK:
     case MESSAGE_MEMBERS:
         registration_handle_message(membership->registration, peer, message);
         return;
@@ -204,7 +204,7 @@
     case MESSAGE_USAGE:
         usage_report_received(membership->usage, peer, &message->as.usage);
         return;
-    case MESSAGE_PERMIT_WANT:
+    case MESSAGE_PERMIT_REQUEST:
         permit_accounts_handle_request(membership->accounts, peer, message);
         return;
     default:
--- a/egretd/peer_link.c
+++ b/egretd/peer_link.c
@@ -293,7 +293,7 @@
     link->dialled = g_strdup(options->dialled);
     g_object_ref(options->connection);
     link->cancellable = g_cancellable_new();
-    link->reader = frame_reader_create(FRAME_MAX_UNPROVED_BYTES);
+    link->reader = frame_reader_create(FRAME_UNAUTHENTICATED_MAX_BYTES);
     g_queue_init(&link->writes);
     link->last_frame_ms = ms_clock_now(&options->clock);
     link->own_hello.incarnation = (char *)options->incarnation;
--- a/egretd/permit_accounts.c
+++ b/egretd/permit_accounts.c
@@ -385,8 +385,8 @@
     }
     account->requested_ms = now_ms;
     struct message message = {
-        .type = MESSAGE_PERMIT_WANT,
-        .as.permit_want = {.team = account->name, .permits = shortage},
+        .type = MESSAGE_PERMIT_REQUEST,
+        .as.permit_request = {.team = account->name, .permits = shortage},
     };
     peers_send(account->accounts->options.peers, holder, &message);
     /* Permits that the holder releases show only in the record. */
@@ -425,7 +425,7 @@
 permit_accounts_handle_request(struct permit_accounts *accounts,
                                const char *peer, const struct message *message)
 {
-    const struct message_permit_want *want = &message->as.permit_want;
+    const struct message_permit_request *want = &message->as.permit_request;
     struct permit_account *account =
         g_hash_table_lookup(accounts->by_name, want->team);
     if (account == NULL ||
--- a/egretd/registration.c
+++ b/egretd/registration.c
@@ -158,11 +158,12 @@
     quorum_lease_granted(registration->quorum_lease, registration->incarnation,
                          now_ms);
     return (struct message){
-        .type = MESSAGE_BEAT,
-        .as.beat = {.number = number,
-                    .generation = registration->options.generation(
-                        registration->options.ctx),
-                    .epoch = members_current(registration->members)->epoch},
+        .type = MESSAGE_HEARTBEAT,
+        .as.heartbeat = {.number = number,
+                         .generation = registration->options.generation(
+                             registration->options.ctx),
+                         .epoch =
+                             members_current(registration->members)->epoch},
     };
 }
 
@@ -269,7 +270,7 @@
     int64_t gap_ms = now_ms - registration->last_tick_ms;
     registration->last_tick_ms = now_ms;
     const struct registration_options *options = &registration->options;
-    if (gap_ms >= options->settings->support_ms / 2) {
+    if (gap_ms >= options->settings->quorum_lease_ms / 2) {
         require_config_confirmation(registration);
     }
     else if (options->config_confirmed_ms(options->ctx) <
@@ -306,7 +307,7 @@
 
 static void
 observe_peer(struct registration *registration, const char *peer,
-             const struct message_beat *heartbeat)
+             const struct message_heartbeat *heartbeat)
 {
     members_peer_seen(registration->members, peer, heartbeat->epoch,
                       registration_now(registration));
@@ -319,18 +320,18 @@
 
 static void
 on_heartbeat(struct registration *registration, const char *peer,
-             const struct message_beat *heartbeat)
+             const struct message_heartbeat *heartbeat)
 {
     observe_peer(registration, peer, heartbeat);
     uint64_t epoch = members_current(registration->members)->epoch;
     struct message answer = {
-        .type = MESSAGE_BEAT_ACK,
-        .as.beat = {.number = heartbeat->number,
-                    .generation = registration->options.generation(
-                        registration->options.ctx),
-                    .epoch = epoch,
-                    .supports = members_grants_lease(registration->members,
-                                                     peer, heartbeat->epoch)},
+        .type = MESSAGE_HEARTBEAT_ACK,
+        .as.heartbeat = {.number = heartbeat->number,
+                         .generation = registration->options.generation(
+                             registration->options.ctx),
+                         .epoch = epoch,
+                         .grants_lease = members_grants_lease(
+                             registration->members, peer, heartbeat->epoch)},
     };
     peers_send(registration->options.peers, peer, &answer);
     if (heartbeat->epoch < epoch) {
@@ -341,7 +342,7 @@
 
 static void
 on_heartbeat_ack(struct registration *registration, const char *peer,
-                 const struct message_beat *heartbeat)
+                 const struct message_heartbeat *heartbeat)
 {
     observe_peer(registration, peer, heartbeat);
     bool recent = heartbeat->number <= registration->heartbeat_number &&
@@ -349,7 +350,7 @@
                       HEARTBEATS_REMEMBERED;
     bool current = heartbeat->generation <=
                    registration->options.generation(registration->options.ctx);
-    if (heartbeat->supports && recent && current) {
+    if (heartbeat->grants_lease && recent && current) {
         quorum_lease_granted(
             registration->quorum_lease, peer,
             registration->heartbeat_sent_ms[heartbeat->number %
@@ -382,11 +383,11 @@
                             const char *peer, const struct message *message)
 {
     switch (message->type) {
-    case MESSAGE_BEAT:
-        on_heartbeat(registration, peer, &message->as.beat);
+    case MESSAGE_HEARTBEAT:
+        on_heartbeat(registration, peer, &message->as.heartbeat);
         return;
-    case MESSAGE_BEAT_ACK:
-        on_heartbeat_ack(registration, peer, &message->as.beat);
+    case MESSAGE_HEARTBEAT_ACK:
+        on_heartbeat_ack(registration, peer, &message->as.heartbeat);
         return;
     case MESSAGE_MEMBERS:
         on_members_message(registration, &message->as.members);
@@ -430,8 +431,8 @@
     };
     return members_create(&(struct members_options){
         .self = &self,
-        .quorum_lease_ms = options->settings->support_ms,
-        .fence_after_ms = options->settings->support_ms,
+        .quorum_lease_ms = options->settings->quorum_lease_ms,
+        .fence_after_ms = options->settings->quorum_lease_ms,
     });
 }
 
@@ -446,7 +447,7 @@
     registration->last_tick_ms = registration_now(registration);
     registration->members = create_members(options);
     registration->quorum_lease = quorum_lease_create(
-        options->incarnation, options->settings->support_ms);
+        options->incarnation, options->settings->quorum_lease_ms);
     registration->reclaims_started =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     require_config_confirmation(registration);
--- a/egretd/registration_renewal.c
+++ b/egretd/registration_renewal.c
@@ -72,7 +72,7 @@
 registration_renewal_start(struct registration *registration)
 {
     registration->renewal.key =
-        g_strconcat(STORE_KEY_BEATS, registration->incarnation, NULL);
+        g_strconcat(STORE_KEY_HEARTBEATS, registration->incarnation, NULL);
     registration->renewal.version = STORE_VERSION_ABSENT;
     registration_renewal_send(registration);
 }
@@ -82,7 +82,8 @@
 {
     struct registration_renewal *renewal = &registration->renewal;
     const struct settings *settings = registration->options.settings;
-    int64_t interval_ms = (settings->support_ms - settings->heartbeat_ms) / 2;
+    int64_t interval_ms =
+        (settings->quorum_lease_ms - settings->heartbeat_ms) / 2;
     bool recent =
         renewal->renewed_ms == renewal->sent_ms &&
         registration_now(registration) - renewal->sent_ms < interval_ms;
@@ -108,7 +109,7 @@
 static const struct store_entry *
 find_renewal(const struct store_result *result, const char *incarnation)
 {
-    size_t prefix_bytes = strlen(STORE_KEY_BEATS);
+    size_t prefix_bytes = strlen(STORE_KEY_HEARTBEATS);
     for (size_t i = 0; i < result->n_entries; i++) {
         const char *key = result->entries[i].key;
         if (strlen(key) > prefix_bytes &&
@@ -164,7 +165,7 @@
     }
     registration->renewals_read_pending = true;
     registration->renewals_read_sent_ms = registration_now(registration);
-    store_get(registration->options.store, STORE_KEY_BEATS,
+    store_get(registration->options.store, STORE_KEY_HEARTBEATS,
               registration_callback(registration, on_others_read));
 }
 
--- a/egretfleetd/plan_executor.c
+++ b/egretfleetd/plan_executor.c
@@ -88,7 +88,7 @@
         return 0;
     }
     return stagger_delay_ms(executor->options.settings->name, pool,
-                            executor->options.settings->fleet.turn_ms);
+                            executor->options.settings->fleet.stagger_max_ms);
 }
 
 /* Identity of an action across passes. */
@@ -139,7 +139,7 @@
 {
     struct fleet_view *view = executor->options.view;
     if (g_str_has_prefix(write->key, STORE_KEY_HOSTS)) {
-        host_records_put(fleet_view_records(view), write->shard, entry);
+        host_records_update(fleet_view_records(view), write->shard, entry);
         return;
     }
     record_table_put(fleet_view_disruptions(view), entry);
--- a/include/common/config.h
+++ b/include/common/config.h
@@ -22,8 +22,8 @@
 
 /** enum dc_state - whether operators let work start in a data centre */
 enum dc_state {
-    DC_IN,
-    DC_OUT,
+    DC_IN_SERVICE,
+    DC_OUT_OF_SERVICE,
 };
 
 struct config_dc {
--- a/include/common/json_read.h
+++ b/include/common/json_read.h
@@ -56,8 +56,10 @@
 json_read_object(const struct json_place *place, const char *member,
                  bool required);
 
-/** json_read_only() - one finding per member not in NULL-ended @members. */
+/** json_reject_unknown_members() - one finding per member not in NULL-ended
+ * @members. */
 void
-json_read_only(const struct json_place *place, const char *const *members);
+json_reject_unknown_members(const struct json_place *place,
+                            const char *const *members);
 
 #endif
--- a/include/common/settings.h
+++ b/include/common/settings.h
@@ -20,7 +20,7 @@
  * @hosts_url: base URL of the platform's host list
  * @secret_file: file with the secret shared by the project's processes
  * @log_level: lines above it are not written
- * @support_ms: longest time a gateway may start work after its last proof
+ * @quorum_lease_ms: longest time a gateway may start work after its last proof
  *              of standing
  * @heartbeat_ms: interval between heartbeats to peers
  * @store_timeout_ms: deadline of one store call
@@ -43,7 +43,7 @@
     char *hosts_url;
     char *secret_file;
     enum log_level log_level;
-    int64_t support_ms;
+    int64_t quorum_lease_ms;
     int64_t heartbeat_ms;
     int64_t store_timeout_ms;
     int64_t watch_wait_ms;
--- a/include/core/fleet_pass.h
+++ b/include/core/fleet_pass.h
@@ -94,7 +94,7 @@
  *                    data centre is out of service
  * @last_moved_s: wall time of the last move of a host into the pool
  * @longest_run_ms: longest run time that a queue of the pool allows
- * @demand_reliable: demand has been known for smooth_ms
+ * @demand_reliable: demand has been known for demand_smoothing_ms
  */
 struct pass_pool {
     const struct config_pool *config;
--- a/include/egretd/permit_accounts.h
+++ b/include/egretd/permit_accounts.h
@@ -51,7 +51,8 @@
                             const struct gateway_member *members,
                             size_t n_members);
 
-/** permit_accounts_handle_request() - handle MESSAGE_PERMIT_WANT of a peer. */
+/** permit_accounts_handle_request() - handle MESSAGE_PERMIT_REQUEST of a peer.
+ */
 void
 permit_accounts_handle_request(struct permit_accounts *accounts,
                                const char *peer,
--- a/include/store/config_parts.h
+++ b/include/store/config_parts.h
@@ -46,9 +46,9 @@
 void
 config_head_destroy(struct config_head *head);
 
-/** config_texts_create() - sorted table of strings that owns both sides. */
+/** config_text_map_create() - sorted table of strings that owns both sides. */
 GTree *
-config_texts_create(void);
+config_text_map_create(void);
 
 /** config_part_key() - key of a part below STORE_KEY_CONFIG_PARTS. */
 char *
@@ -58,9 +58,9 @@
 GTree *
 config_split(const struct config *config);
 
-/** config_keys_of() - part names to part keys, for a head. */
+/** config_part_keys() - part names to part keys, for a head. */
 GTree *
-config_keys_of(GTree *texts);
+config_part_keys(GTree *texts);
 
 /**
  * config_join() - configuration out of a head and its parts
--- a/include/store/config_store.h
+++ b/include/store/config_store.h
@@ -43,10 +43,10 @@
 config_fetch(struct store *store, GTree *known,
              struct config_fetch_callback callback);
 
-/** config_fetch_entry() - the same for a head that was just read. */
+/** config_fetch_from_head() - the same for a head that was just read. */
 struct config_fetch *
-config_fetch_entry(struct store *store, const struct store_entry *head,
-                   GTree *known, struct config_fetch_callback callback);
+config_fetch_from_head(struct store *store, const struct store_entry *head,
+                       GTree *known, struct config_fetch_callback callback);
 
 /** config_fetch_cancel() - no callback follows. */
 void
@@ -56,14 +56,14 @@
  * struct config_publish_request - what to put in force
  * @base: head that the change was made on; NULL for the first generation
  * @base_version: its version, or STORE_VERSION_ABSENT
- * @above: the new generation is higher than this, too; gateways may hold
- *         more than a store that was set back
+ * @above_generation: the new generation is higher than this, too; gateways may
+ * hold more than a store that was set back
  */
 struct config_publish_request {
     const struct config *config;
     const struct config_head *base;
     uint64_t base_version;
-    uint64_t above;
+    uint64_t above_generation;
     const char *author;
     const char *summary;
     int64_t written_s;
--- a/include/store/host_records.h
+++ b/include/store/host_records.h
@@ -43,11 +43,11 @@
 uint64_t
 host_records_version(const struct host_records *records, uint32_t shard);
 
-/** host_records_put() - take over a shard that a call of ours has written
+/** host_records_update() - take over a shard that a call of ours has written
  * or read, unless a newer version is held. */
 void
-host_records_put(struct host_records *records, uint32_t shard,
-                 const struct store_entry *entry);
+host_records_update(struct host_records *records, uint32_t shard,
+                    const struct store_entry *entry);
 
 /** host_records_key() - key of a shard; free with g_free(). */
 char *
--- a/include/store/store_keys.h
+++ b/include/store/store_keys.h
@@ -29,7 +29,7 @@
  * Renewals, one record for each incarnation, deleted when it is fenced:
  *   {"beat": N, "lease_ms": L}
  */
-#define STORE_KEY_BEATS "egretglade/beats/"
+#define STORE_KEY_HEARTBEATS "egretglade/beats/"
 
 /*
  * Permits, one record for each team:
--- a/include/wire/frame.h
+++ b/include/wire/frame.h
@@ -13,7 +13,7 @@
     FRAME_HEADER_BYTES = 4,
     FRAME_MAX_BYTES = 2 << 20,
     /* Bound before the other end has proved that it knows the secret. */
-    FRAME_MAX_UNPROVED_BYTES = 512,
+    FRAME_UNAUTHENTICATED_MAX_BYTES = 512,
 };
 
 /**
--- a/include/wire/message.h
+++ b/include/wire/message.h
@@ -23,24 +23,24 @@
  * enum message_type - kinds of messages; numbers are part of the protocol
  * @MESSAGE_HELLO: first on a link, both ways: who I am and a nonce
  * @MESSAGE_PROOF: HMAC over both nonces; ends the handshake
- * @MESSAGE_BEAT: asks for support, with a sequence number
- * @MESSAGE_BEAT_ACK: answers a beat: supported or not
+ * @MESSAGE_HEARTBEAT: asks for support, with a sequence number
+ * @MESSAGE_HEARTBEAT_ACK: answers a heartbeat: supported or not
  * @MESSAGE_MEMBERS: the members record, to a peer that knows an older one
  * @MESSAGE_CONFIG: head and parts of a newer generation
  * @MESSAGE_CONFIG_PULL: asks for it
  * @MESSAGE_USAGE: use of pools by team on the sender
- * @MESSAGE_PERMIT_WANT: asks the holder to move permits to the sender
+ * @MESSAGE_PERMIT_REQUEST: asks the holder to move permits to the sender
  */
 enum message_type {
     MESSAGE_HELLO = 1,
     MESSAGE_PROOF = 2,
-    MESSAGE_BEAT = 3,
-    MESSAGE_BEAT_ACK = 4,
+    MESSAGE_HEARTBEAT = 3,
+    MESSAGE_HEARTBEAT_ACK = 4,
     MESSAGE_MEMBERS = 5,
     MESSAGE_CONFIG = 7,
     MESSAGE_CONFIG_PULL = 8,
     MESSAGE_USAGE = 9,
-    MESSAGE_PERMIT_WANT = 10,
+    MESSAGE_PERMIT_REQUEST = 10,
 };
 
 struct message_hello {
@@ -54,17 +54,17 @@
 };
 
 /**
- * struct message_beat - a request for support and its answer
+ * struct message_heartbeat - a request for support and its answer
  * @number: sequence number chosen by the asker, echoed
  * @generation: newest configuration generation in force at the sender
  * @epoch: newest members epoch known to the sender
- * @supports: in an answer: the asker may count the sender
+ * @grants_lease: in an answer: the asker may count the sender
  */
-struct message_beat {
+struct message_heartbeat {
     uint64_t number;
     uint64_t generation;
     uint64_t epoch;
-    bool supports;
+    bool grants_lease;
 };
 
 /**
@@ -117,7 +117,7 @@
     size_t n_entries;
 };
 
-struct message_permit_want {
+struct message_permit_request {
     char *team;
     uint32_t permits;
 };
@@ -128,12 +128,12 @@
     union {
         struct message_hello hello;
         struct message_proof proof;
-        struct message_beat beat;
+        struct message_heartbeat heartbeat;
         struct message_members members;
         struct message_config config;
         struct message_config_pull config_pull;
         struct message_usage usage;
-        struct message_permit_want permit_want;
+        struct message_permit_request permit_request;
     } as;
 };
 
--- a/standins/store_faults.c
+++ b/standins/store_faults.c
@@ -30,7 +30,7 @@
         .path = "$",
         .findings = findings,
     };
-    json_read_only(&place, members);
+    json_reject_unknown_members(&place, members);
     next.down = json_read_bool(&place, "down", next.down);
     next.drop = json_read_bool(&place, "drop", next.drop);
     next.silence_watches =
--- a/store/config_fetch.c
+++ b/store/config_fetch.c
@@ -174,7 +174,7 @@
         fail_findings(fetch, findings);
     }
     else {
-        snapshot->texts = config_texts_create();
+        snapshot->texts = config_text_map_create();
         read_missing(fetch);
     }
     findings_destroy(findings);
@@ -227,8 +227,8 @@
 }
 
 struct config_fetch *
-config_fetch_entry(struct store *store, const struct store_entry *head,
-                   GTree *known, struct config_fetch_callback callback)
+config_fetch_from_head(struct store *store, const struct store_entry *head,
+                       GTree *known, struct config_fetch_callback callback)
 {
     struct config_fetch *fetch = fetch_create(store, known, callback);
     fetch->pending = 1;
--- a/store/config_head.c
+++ b/store/config_head.c
@@ -21,7 +21,7 @@
 }
 
 GTree *
-config_texts_create(void)
+config_text_map_create(void)
 {
     return g_tree_new_full(compare_texts, NULL, g_free, g_free);
 }
@@ -93,8 +93,8 @@
         .findings = findings,
     };
     struct config_head *head = g_new0(struct config_head, 1);
-    head->parts = config_texts_create();
-    json_read_only(&place, members);
+    head->parts = config_text_map_create();
+    json_reject_unknown_members(&place, members);
     head->generation =
         (uint64_t)json_read_int(&place, "generation", 1, INT64_MAX, 0, true);
     head->id = g_strdup(json_read_string(&place, "id", true));
--- a/store/config_parts.c
+++ b/store/config_parts.c
@@ -70,7 +70,7 @@
 GTree *
 config_split(const struct config *config)
 {
-    GTree *texts = config_texts_create();
+    GTree *texts = config_text_map_create();
     JsonNode *root = config_to_json(config);
     JsonObject *base = json_node_get_object(root);
     JsonObject *dcs = json_object_new();
@@ -87,9 +87,9 @@
 }
 
 GTree *
-config_keys_of(GTree *texts)
+config_part_keys(GTree *texts)
 {
-    GTree *keys = config_texts_create();
+    GTree *keys = config_text_map_create();
     for (GTreeNode *node = g_tree_node_first(texts); node != NULL;
          node = g_tree_node_next(node)) {
         const char *name = g_tree_node_key(node);
--- a/store/config_publish.c
+++ b/store/config_publish.c
@@ -218,7 +218,7 @@
               const struct config_head *base)
 {
     GTree *texts = config_split(config);
-    publish->head.parts = config_keys_of(texts);
+    publish->head.parts = config_part_keys(texts);
     for (GTreeNode *node = g_tree_node_first(texts); node != NULL;
          node = g_tree_node_next(node)) {
         const char *name = g_tree_node_key(node);
@@ -253,10 +253,11 @@
     publish->store = store;
     publish->callback = callback;
     publish->base_version = request->base_version;
-    publish->parts = config_texts_create();
+    publish->parts = config_text_map_create();
     collect_parts(publish, request->config, base);
     publish->head.generation =
-        MAX(base == NULL ? 0 : base->generation, request->above) + 1;
+        MAX(base == NULL ? 0 : base->generation, request->above_generation) +
+        1;
     publish->head.id = make_id();
     publish->head.previous = g_strdup(base == NULL ? "" : base->id);
     publish->head.author = g_strdup(request->author);
--- a/store/host_records.c
+++ b/store/host_records.c
@@ -143,8 +143,8 @@
 }
 
 void
-host_records_put(struct host_records *records, uint32_t shard,
-                 const struct store_entry *entry)
+host_records_update(struct host_records *records, uint32_t shard,
+                    const struct store_entry *entry)
 {
     struct followed_shard *followed = &records->shards[shard];
     if (!followed->read || entry->version <= followed->version) {
--- a/tests/common/settings_test.c
+++ b/tests/common/settings_test.c
@@ -29,7 +29,7 @@
     CU_ASSERT_PTR_NOT_NULL_FATAL(settings);
     CU_ASSERT_EQUAL(findings_count(findings), 0);
     CU_ASSERT_STRING_EQUAL(settings->hosts_url, "http://127.0.0.1:8500");
-    CU_ASSERT_EQUAL(settings->support_ms, 2000);
+    CU_ASSERT_EQUAL(settings->quorum_lease_ms, 2000);
     settings_destroy(settings);
     findings_destroy(findings);
     remove(path);
--- a/tests/core/dispatch_property_test.c
+++ b/tests/core/dispatch_property_test.c
@@ -106,7 +106,7 @@
     check(model, host_index < model->n_listed_hosts,
           "start on a host that is not listed");
     uint32_t dc = (uint32_t)g_ascii_strtoull(host->dc + 3, NULL, 10);
-    check(model, config->dcs[dc].state == DC_IN,
+    check(model, config->dcs[dc].state == DC_IN_SERVICE,
           "start in a data centre out of service");
     check(model, config->teams[team].n_keys == 1, "start for a withdrawn key");
     check(model, model->running[team] <= model->permits[team],
@@ -321,8 +321,9 @@
     uint32_t roll = random_below(&model->random, 6);
     if (roll == 0) {
         uint32_t dc = random_below(&model->random, DC_COUNT);
-        config->dcs[dc].state =
-            config->dcs[dc].state == DC_IN ? DC_OUT : DC_IN;
+        config->dcs[dc].state = config->dcs[dc].state == DC_IN_SERVICE
+                                    ? DC_OUT_OF_SERVICE
+                                    : DC_IN_SERVICE;
     }
     else if (roll == 1) {
         uint32_t team = random_below(&model->random, TEAM_COUNT);
--- a/tests/core/dispatch_test.c
+++ b/tests/core/dispatch_test.c
@@ -220,7 +220,7 @@
     env = env_create(0);
     CU_ASSERT_EQUAL(reason_at_deadline(&env), REASON_NO_HOST);
     env = env_create(1);
-    env.fixture->config.dcs[0].state = DC_OUT;
+    env.fixture->config.dcs[0].state = DC_OUT_OF_SERVICE;
     dispatch_set_config(env.dispatch, &env.fixture->config);
     CU_ASSERT_EQUAL(reason_at_deadline(&env), REASON_DC_OUT_OF_SERVICE);
     env = env_create(1);
--- a/tests/core/policy_test.c
+++ b/tests/core/policy_test.c
@@ -303,7 +303,7 @@
     struct sim *sim = sim_create(&options);
     sim_run(sim, WARM_UP_MS);
     CU_ASSERT(starts_in_dc(sim, "dc-1") > 0);
-    set_dc(sim, DC_OUT);
+    set_dc(sim, DC_OUT_OF_SERVICE);
     sim_run(sim, WARM_UP_MS);
     CU_ASSERT_EQUAL(starts_in_dc(sim, "dc-1"), 0);
     /* 250 tasks a second of 0.2 s each need 50 slots. The 6 hosts that are
@@ -313,9 +313,9 @@
     uint64_t first = 0;
     uint64_t steady = 0;
     for (int i = 0; i < DC_RETURN_COUNT; i++) {
-        set_dc(sim, DC_OUT);
+        set_dc(sim, DC_OUT_OF_SERVICE);
         sim_run(sim, 2000);
-        set_dc(sim, DC_IN);
+        set_dc(sim, DC_IN_SERVICE);
         sim_run(sim, 500);
         first += starts_in_dc(sim, "dc-1");
         sim_run(sim, 9500);
--- a/tests/fleet/fleet_sim.c
+++ b/tests/fleet/fleet_sim.c
@@ -344,7 +344,7 @@
            sim->n_hosts * sizeof(bool));
     for (size_t i = 0; i < sim->options.config->n_dcs; i++) {
         controller->dc_in_service_seen[i] =
-            sim->options.config->dcs[i].state == DC_IN;
+            sim->options.config->dcs[i].state == DC_IN_SERVICE;
     }
 }
 
@@ -467,9 +467,9 @@
     uint32_t available = 0;
     for (uint32_t i = 0; i < sim->n_hosts; i++) {
         const struct sim_host *host = &sim->hosts[i];
-        available +=
-            host->up && counts_as_available(sim, host, pool) &&
-            sim->options.config->dcs[dc_index(sim, host->dc)].state == DC_IN;
+        available += host->up && counts_as_available(sim, host, pool) &&
+                     sim->options.config->dcs[dc_index(sim, host->dc)].state ==
+                         DC_IN_SERVICE;
     }
     return available;
 }
--- a/tests/fleet/planner_policy_test.c
+++ b/tests/fleet/planner_policy_test.c
@@ -8,11 +8,11 @@
 {
     struct fleet_timings timings = fleet_timings_default();
     timings.drain_margin_ms = 2000;
-    timings.lost_ms = 20000;
-    timings.prove_ms = 5000;
-    timings.return_ms = 120000;
-    timings.repair_ms = 60000;
-    timings.settle_ms = 30000;
+    timings.fail_after_ms = 20000;
+    timings.recovery_ms = 5000;
+    timings.reboot_timeout_ms = 120000;
+    timings.suspect_hold_ms = 60000;
+    timings.wave_skip_ms = 30000;
     return (struct fleet_sim_options){
         .seed = seed,
         .config = config,
@@ -248,12 +248,12 @@
     sim->demand_slots[1] = 20;
     run_steps(sim, 700);
     CU_ASSERT_EQUAL(sim->moves[0] + sim->moves[1], 0);
-    config->dcs[0].state = DC_OUT;
+    config->dcs[0].state = DC_OUT_OF_SERVICE;
     run_steps(sim, 60);
     CU_ASSERT(fleet_sim_available(sim, "p0") > 9);
     CU_ASSERT(fleet_sim_available(sim, "p1") > 9);
     uint32_t moved = sim->moves[0] + sim->moves[1];
-    config->dcs[0].state = DC_IN;
+    config->dcs[0].state = DC_IN_SERVICE;
     run_steps(sim, 3300);
     CU_ASSERT_EQUAL(sim->moves[2], 0);
     run_steps(sim, 8 * 3600);
@@ -291,7 +291,7 @@
 {
     struct config *config = fleet_sim_config(3, 1, 4);
     struct fleet_sim_options options = options_for(1, config);
-    options.timings.surplus_ms = 300000;
+    options.timings.surplus_hold_ms = 300000;
     struct fleet_sim *sim = fleet_sim_create(&options);
     for (uint32_t i = 0; i < 6 * 3600; i++) {
         sim->demand_slots[0] = i / 1800 % 2 == 0 ? 110 : 130;
--- a/tests/fleet/planner_test.c
+++ b/tests/fleet/planner_test.c
@@ -14,13 +14,13 @@
 {
     struct fleet_timings timings = fleet_timings_default();
     timings.drain_margin_ms = 2000;
-    timings.lost_ms = 20000;
-    timings.prove_ms = 5000;
-    timings.return_ms = 120000;
-    timings.repair_ms = 30000;
-    timings.settle_ms = 30000;
-    timings.surplus_ms = 60000;
-    timings.smooth_ms = 30000;
+    timings.fail_after_ms = 20000;
+    timings.recovery_ms = 5000;
+    timings.reboot_timeout_ms = 120000;
+    timings.suspect_hold_ms = 30000;
+    timings.wave_skip_ms = 30000;
+    timings.surplus_hold_ms = 60000;
+    timings.demand_smoothing_ms = 30000;
     return timings;
 }
 
@@ -81,7 +81,7 @@
     struct config *config = sim->options.config;
     struct config_dc *dc =
         &config->dcs[random_below(random, (uint32_t)config->n_dcs)];
-    dc->state = dc->state == DC_IN ? DC_OUT : DC_IN;
+    dc->state = dc->state == DC_IN_SERVICE ? DC_OUT_OF_SERVICE : DC_IN_SERVICE;
 }
 
 /* Demand jumps, a data centre leaves and returns, the store goes away. */
@@ -112,7 +112,7 @@
     sim->options.pause_percent = 0;
     sim->store_down = false;
     for (size_t i = 0; i < sim->options.config->n_dcs; i++) {
-        sim->options.config->dcs[i].state = DC_IN;
+        sim->options.config->dcs[i].state = DC_IN_SERVICE;
     }
     for (size_t i = 0; i < sim->options.config->n_pools; i++) {
         sim->demand_slots[i] = 4;
@@ -181,8 +181,8 @@
     options.stale_shard_read_percent = 85;
     options.drain_ms = 1000;
     options.timings.drain_margin_ms = 1000;
-    options.timings.surplus_ms = 2000;
-    options.timings.smooth_ms = 2000;
+    options.timings.surplus_hold_ms = 2000;
+    options.timings.demand_smoothing_ms = 2000;
     struct fleet_sim *sim = fleet_sim_create(&options);
     run_steps(sim, 3);
     fleet_sim_start_wave(sim);
--- a/tests/standing/link_fixture.h
+++ b/tests/standing/link_fixture.h
@@ -21,7 +21,7 @@
 node_message(void *ctx, const char *incarnation, const struct message *message)
 {
     struct node *node = ctx;
-    node->n_heartbeats += message->type == MESSAGE_BEAT;
+    node->n_heartbeats += message->type == MESSAGE_HEARTBEAT;
 }
 
 static void
@@ -91,7 +91,7 @@
 static void
 node_send_heartbeat(struct node *node)
 {
-    peers_broadcast(node->peers, &(struct message){.type = MESSAGE_BEAT});
+    peers_broadcast(node->peers, &(struct message){.type = MESSAGE_HEARTBEAT});
 }
 
 #endif
--- a/tests/standing/registration_test.c
+++ b/tests/standing/registration_test.c
@@ -53,7 +53,7 @@
 on_message(void *ctx, const char *peer, const struct message *message)
 {
     struct gateway *gateway = ctx;
-    if (message->type == MESSAGE_PERMIT_WANT) {
+    if (message->type == MESSAGE_PERMIT_REQUEST) {
         permit_accounts_handle_request(gateway->accounts, peer, message);
         return;
     }
@@ -222,7 +222,7 @@
     gateway->settings = (struct settings){.name = gateway->incarnation,
                                           .dc = "dc",
                                           .address = "127.0.0.1",
-                                          .support_ms = QUORUM_LEASE_MS,
+                                          .quorum_lease_ms = QUORUM_LEASE_MS,
                                           .heartbeat_ms = HEARTBEAT_MS};
     gateway->counters = counters_create();
     gateway->store = store_create(&(struct store_options){
--- a/tests/standing/wire_test.c
+++ b/tests/standing/wire_test.c
@@ -24,17 +24,17 @@
     {.type = MESSAGE_HELLO,
      .as.hello = {.incarnation = "gw-1", .name = "gw", .nonce = {1, 2, 3}}},
     {.type = MESSAGE_PROOF, .as.proof = {.mac = {9, 8, 7}}},
-    {.type = MESSAGE_BEAT,
-     .as.beat = {.number = 7, .generation = 8, .epoch = 9}},
-    {.type = MESSAGE_BEAT_ACK,
-     .as.beat = {.number = UINT64_MAX, .epoch = 9, .supports = true}},
+    {.type = MESSAGE_HEARTBEAT,
+     .as.heartbeat = {.number = 7, .generation = 8, .epoch = 9}},
+    {.type = MESSAGE_HEARTBEAT_ACK,
+     .as.heartbeat = {.number = UINT64_MAX, .epoch = 9, .grants_lease = true}},
     {.type = MESSAGE_MEMBERS,
      .as.members = {.epoch = 3, .record = "{\"epoch\":3}"}},
     {.type = MESSAGE_CONFIG_PULL, .as.config_pull = {.have_generation = 12}},
     {.type = MESSAGE_USAGE,
      .as.usage = {.entries = usage_entries, .n_entries = 2}},
-    {.type = MESSAGE_PERMIT_WANT,
-     .as.permit_want = {.team = "team-a", .permits = 3}},
+    {.type = MESSAGE_PERMIT_REQUEST,
+     .as.permit_request = {.team = "team-a", .permits = 3}},
 };
 
 static struct message *
--- a/tests/store/fuzz_test.c
+++ b/tests/store/fuzz_test.c
@@ -78,7 +78,7 @@
     struct config_head head = {
         .generation = 1,
         .id = "x",
-        .parts = config_keys_of(texts),
+        .parts = config_part_keys(texts),
     };
     struct config *joined = config_join(&head, texts, findings);
     CU_ASSERT_PTR_NOT_NULL_FATAL(joined);
--- a/wire/message.c
+++ b/wire/message.c
@@ -176,12 +176,12 @@
 }
 
 static bool
-decode_beat(struct fields *fields, struct message_beat *beat)
+decode_heartbeat(struct fields *fields, struct message_heartbeat *beat)
 {
     return read_uint(fields, "number", UINT64_MAX, &beat->number) &&
            read_uint(fields, "generation", UINT64_MAX, &beat->generation) &&
            read_uint(fields, "epoch", UINT64_MAX, &beat->epoch) &&
-           read_bool(fields, "supports", &beat->supports);
+           read_bool(fields, "supports", &beat->grants_lease);
 }
 
 static bool
@@ -268,7 +268,8 @@
 }
 
 static bool
-decode_permit_want(struct fields *fields, struct message_permit_want *want)
+decode_permit_request(struct fields *fields,
+                      struct message_permit_request *want)
 {
     return read_text(fields, "team", MESSAGE_TEXT_MAX_BYTES, &want->team) &&
            read_uint32(fields, "permits", &want->permits);
@@ -282,9 +283,9 @@
         return decode_hello(fields, &message->as.hello);
     case MESSAGE_PROOF:
         return read_bytes(fields, "mac", message->as.proof.mac);
-    case MESSAGE_BEAT:
-    case MESSAGE_BEAT_ACK:
-        return decode_beat(fields, &message->as.beat);
+    case MESSAGE_HEARTBEAT:
+    case MESSAGE_HEARTBEAT_ACK:
+        return decode_heartbeat(fields, &message->as.heartbeat);
     case MESSAGE_MEMBERS:
         return decode_members(fields, &message->as.members);
     case MESSAGE_CONFIG:
@@ -294,8 +295,8 @@
                          &message->as.config_pull.have_generation);
     case MESSAGE_USAGE:
         return decode_usage(fields, &message->as.usage);
-    case MESSAGE_PERMIT_WANT:
-        return decode_permit_want(fields, &message->as.permit_want);
+    case MESSAGE_PERMIT_REQUEST:
+        return decode_permit_request(fields, &message->as.permit_request);
     }
     return fault(fields, "type", "is not known");
 }
@@ -398,12 +399,12 @@
     case MESSAGE_USAGE:
         clear_usage(&message->as.usage);
         break;
-    case MESSAGE_PERMIT_WANT:
-        g_free(message->as.permit_want.team);
+    case MESSAGE_PERMIT_REQUEST:
+        g_free(message->as.permit_request.team);
         break;
     case MESSAGE_PROOF:
-    case MESSAGE_BEAT:
-    case MESSAGE_BEAT_ACK:
+    case MESSAGE_HEARTBEAT:
+    case MESSAGE_HEARTBEAT_ACK:
     case MESSAGE_CONFIG_PULL:
         break;
     }
--- a/wire/message_encode.c
+++ b/wire/message_encode.c
@@ -33,14 +33,14 @@
 }
 
 static void
-encode_beat(msgpack_packer *packer, enum message_type type,
-            const struct message_beat *beat)
+encode_heartbeat(msgpack_packer *packer, enum message_type type,
+                 const struct message_heartbeat *beat)
 {
     pack_envelope(packer, type, 4);
     msgpack_pack_uint64(packer, beat->number);
     msgpack_pack_uint64(packer, beat->generation);
     msgpack_pack_uint64(packer, beat->epoch);
-    if (beat->supports) {
+    if (beat->grants_lease) {
         msgpack_pack_true(packer);
     }
     else {
@@ -88,10 +88,10 @@
 }
 
 static void
-encode_permit_want(msgpack_packer *packer,
-                   const struct message_permit_want *want)
+encode_permit_request(msgpack_packer *packer,
+                      const struct message_permit_request *want)
 {
-    pack_envelope(packer, MESSAGE_PERMIT_WANT, 2);
+    pack_envelope(packer, MESSAGE_PERMIT_REQUEST, 2);
     pack_text(packer, want->team);
     msgpack_pack_uint32(packer, want->permits);
 }
@@ -109,9 +109,9 @@
         pack_envelope(&packer, MESSAGE_PROOF, 1);
         pack_nonce(&packer, message->as.proof.mac);
         break;
-    case MESSAGE_BEAT:
-    case MESSAGE_BEAT_ACK:
-        encode_beat(&packer, message->type, &message->as.beat);
+    case MESSAGE_HEARTBEAT:
+    case MESSAGE_HEARTBEAT_ACK:
+        encode_heartbeat(&packer, message->type, &message->as.heartbeat);
         break;
     case MESSAGE_MEMBERS:
         encode_members(&packer, &message->as.members);
@@ -126,8 +126,8 @@
     case MESSAGE_USAGE:
         encode_usage(&packer, &message->as.usage);
         break;
-    case MESSAGE_PERMIT_WANT:
-        encode_permit_want(&packer, &message->as.permit_want);
+    case MESSAGE_PERMIT_REQUEST:
+        encode_permit_request(&packer, &message->as.permit_request);
         break;
     }
 }
