--- a/tests/core/request_ids_test.c
+++ b/tests/core/request_ids_test.c
@@ -1,3 +1,5 @@
+/* A non-idempotent request id runs at most once, also when the gateway that
+ * owns it changes. */
 #include <glib.h>
 #include <stdio.h>
 #include <string.h>
--- a/tests/fleet/fleet_process.c
+++ b/tests/fleet/fleet_process.c
@@ -15,7 +15,8 @@
     N_DCS = 3,
     HOSTS_PER_RACK = 4,
     REBOOT_MS = 600,
-    /* Longer than the host list's lag and a planning pass together. */
+    /* Longer than the lag of the host list plus a planning pass: every
+     * controller knows of a failure after this time. */
     FAILURE_VISIBLE_MS = 1500,
 };
 
@@ -36,7 +37,7 @@
     return g_get_monotonic_time() / 1000;
 }
 
-/** struct answer - what a store call brought, kept past the callback */
+/** struct store_reply - result of a store call, copied in its callback */
 struct store_reply {
     enum status_code code;
     GPtrArray *texts;
@@ -168,7 +169,7 @@
     const struct host_record *old = g_hash_table_lookup(fleet->records, name);
     if (old != NULL && !g_str_equal(old->pool, new->pool)) {
         fleet->moves++;
-        /* Between two samples a host may have passed its drain. */
+        /* A host with a new admission may have drained between two samples. */
         fleet->moves_without_drain +=
             old->admission == new->admission && old->state != HOST_DRAINING;
     }
@@ -208,8 +209,9 @@
     return entries;
 }
 
-/* Hosts are read after the disruptions: what was given back in between
- * counts, what was taken in between shows as draining. */
+/* The host records are read after the disruption records: a host released in
+ * between counts as available, one that began to drain in between shows as
+ * draining. */
 static void
 on_hosts(void *ctx, const struct store_result *result)
 {
--- a/tests/fleet/fleet_process.h
+++ b/tests/fleet/fleet_process.h
@@ -1,5 +1,5 @@
-/* Controllers as processes on a stand-in store, and a platform that reboots
- * the hosts whose records ask for it. */
+/* Runs fleet controllers as processes on a stand-in store, and plays the
+ * platform that reboots the hosts whose records request it. */
 #ifndef TESTS_FLEET_FLEET_PROCESS_H
 #define TESTS_FLEET_FLEET_PROCESS_H
 
@@ -15,7 +15,12 @@
     SAMPLE_INTERVAL_MS = 100,
 };
 
-/** struct platform_host - truth about one host */
+/**
+ * struct platform_host - actual state of a host
+ * @reboot_requested: its record has requested a reboot
+ * @never_returns: stays down after a reboot
+ * @up_at_ms: when a failure or reboot ends
+ */
 struct platform_host {
     char name[16];
     char dc[8];
@@ -31,11 +36,16 @@
 };
 
 /**
- * struct fleet_process - one test's fleet
- * @budget_violations: admissions that left a pool below its budget, failures
- * that the list had shown for long counted
+ * struct fleet_process - fleet of one test
+ * @records: host name to struct host_record, as last read from the store
+ * @disruptions: pool name to struct disruption_record, as last read
+ * @sample_timer: plays the platform and reads the store
+ * @read_pending: a read of the store has not finished
+ * @budget_violations: samples that showed a pool below its budget while hosts
+ *                     were admitted; a host that failed so recently that a
+ *                     controller may not know counts as available
  * @moves: changes of a host's pool
- * @moves_without_drain: those of hosts that were not draining
+ * @moves_without_drain: moves of hosts that were not draining
  */
 struct fleet_process {
     struct store_process store_process;
@@ -59,11 +69,11 @@
 };
 
 /**
- * struct fleet_process_options - shape of the fleet
+ * struct fleet_process_options - size of the fleet
  * @fleet_settings: JSON object for the "fleet" member of the settings, or
- *                  NULL for short delays
+ *                  NULL for short timings
  * @racks_per_dc: racks of four hosts in each of the data centres "d0", "d1"
- *                and "d2"; hosts are dealt to @pools in turn
+ *                and "d2"; the hosts join @pools in turn
  */
 struct fleet_process_options {
     const char *fleet_settings;
@@ -80,22 +90,24 @@
 void
 fleet_process_stop(struct fleet_process *fleet);
 
-/** fleet_process_configure() - put a configuration in force; @dc_out names a
- * data centre that is out, or NULL. */
+/** fleet_process_configure() - publish a configuration; @dc_out names a data
+ * centre that is out of service, or NULL. */
 void
 fleet_process_configure(struct fleet_process *fleet, const char *dc_out);
 
-/** fleet_process_run() - let time pass until @done says so, or for
- * @limit_ms; returns whether it did. */
+/** fleet_process_run() - run until @done returns true, at most for @limit_ms;
+ * returns whether it did. */
 bool
 fleet_process_run(struct fleet_process *fleet, int64_t limit_ms,
                   bool (*done)(struct fleet_process *fleet));
 
-/** fleet_process_start_wave() - create wave @number over everything. */
+/** fleet_process_start_wave() - start maintenance wave @number for all hosts.
+ */
 void
 fleet_process_start_wave(struct fleet_process *fleet, unsigned number);
 
-/** fleet_process_wave() - present record of a wave; destroy it. */
+/** fleet_process_wave() - stored record of a wave; free it with
+ * wave_record_destroy(). */
 struct wave_record *
 fleet_process_wave(struct fleet_process *fleet, unsigned number);
 
@@ -103,17 +115,18 @@
 void
 fleet_process_set_faults(struct fleet_process *fleet, const char *json);
 
-/** fleet_process_fail_rack() - take a rack down for @down_ms. */
+/** fleet_process_fail_rack() - take all hosts of a rack down for @down_ms. */
 void
 fleet_process_fail_rack(struct fleet_process *fleet, const char *dc,
                         const char *rack, int64_t down_ms);
 
-/** fleet_process_stop_sampling() - stop playing the platform and reading. */
+/** fleet_process_stop_sampling() - stop playing the platform and reading the
+ * store. */
 void
 fleet_process_stop_sampling(struct fleet_process *fleet);
 
-/** fleet_process_count() - hosts with a record in @pool and @state; NULL and
- * -1 for any. */
+/** fleet_process_count() - number of hosts recorded in @pool and @state; NULL
+ * and -1 for any. */
 unsigned
 fleet_process_count(struct fleet_process *fleet, const char *pool, int state);
 
--- a/tests/fleet/fleet_process_test.c
+++ b/tests/fleet/fleet_process_test.c
@@ -1,3 +1,5 @@
+/* Fleet controllers as processes, with faults of the store, hosts and
+ * controllers. */
 #include <signal.h>
 
 #include "../suite.h"
@@ -41,7 +43,9 @@
     return fleet_process_count(fleet, NULL, HOST_REBOOTING) > 0;
 }
 
-/* A wave in which everything goes wrong at once. */
+/* A wave with several faults at once: lost answers of the store, an old host
+ * list, a rack failure, and controllers that stop and go on with old data. No
+ * budget may be broken, and every host is rebooted exactly once. */
 static void
 test_wave_under_faults(void)
 {
@@ -79,6 +83,8 @@
     return fleet_process_count(fleet, NULL, HOST_SERVING) == fleet->n_hosts;
 }
 
+/* While the store is unreachable no further reboot begins, and hosts that were
+ * rebooting come up; the wave goes on afterwards. */
 static void
 test_store_outage(void)
 {
@@ -124,7 +130,8 @@
     return usable[0] == 7 && usable[1] == 7;
 }
 
-/* p0 and p1 have 8 hosts each and need 7; a data centre takes three. */
+/* p0 and p1 have 8 hosts each and need 7. A data centre out of service takes
+ * three of them, so two move into each pool; they stay after its return. */
 static void
 test_dc_out_and_back(void)
 {
@@ -139,7 +146,7 @@
     CU_ASSERT_EQUAL(moved_out, 4);
     fleet_process_configure(&fleet, NULL);
     fleet_process_run(&fleet, 3000, NULL);
-    /* No demand is reported, so nothing says that hosts are superfluous. */
+    /* Without reported demand no pool is known to have too many hosts. */
     CU_ASSERT_EQUAL(fleet.moves, moved_out);
     CU_ASSERT_EQUAL(fleet.budget_violations, 0);
     CU_ASSERT_EQUAL(fleet.moves_without_drain, 0);
@@ -156,6 +163,8 @@
     return held;
 }
 
+/* A host that does not come up after its reboot is recorded as failed and held
+ * out of the wave, which must not wait for it forever. */
 static void
 test_host_does_not_return(void)
 {
--- a/tests/fleet/fleet_sim.c
+++ b/tests/fleet/fleet_sim.c
@@ -2,15 +2,12 @@
 
 #include "core/record_edit.h"
 
-/** struct sim_batch - steps of one plan on one record */
-struct sim_batch {
-    struct sim_record *read;
-    GPtrArray *actions;
-};
-
 /**
  * struct sim_controller - a controller and what it has read
- * @late: batches planned earlier and not written yet
+ * @plan: result of its last planning pass
+ * @host_up_seen: host list as it has read it
+ * @dc_in_service_seen: states of the data centres that it has read
+ * @versions: versions of the @shards
  */
 struct sim_controller {
     struct fleet_planner *planner;
@@ -158,7 +155,7 @@
         sim->disruptions[i] = record_create(sim, disruption_record_create(),
                                             destroy_disruptions);
     }
-    sim->waves = g_new0(struct sim_record *, SIM_LAG_STEPS_MAX);
+    sim->waves = g_new0(struct sim_record *, SIM_WAVES_MAX);
     sim->demand_slots = g_new0(double, n_pools);
     sim->moves = g_new0(uint32_t, n_pools);
     for (size_t i = 0; i < n_pools; i++) {
@@ -169,7 +166,7 @@
         struct sim_controller *controller = &sim->controllers[i];
         controller->planner = fleet_planner_create(&options->timings);
         controller->disruptions = g_new0(struct sim_record *, n_pools);
-        controller->waves = g_new0(struct sim_record *, SIM_LAG_STEPS_MAX);
+        controller->waves = g_new0(struct sim_record *, SIM_WAVES_MAX);
         controller->host_up_seen = g_new0(bool, sim->n_hosts);
         controller->dc_in_service_seen = g_new0(bool, options->config->n_dcs);
     }
@@ -188,7 +185,7 @@
         for (size_t i = 0; i < n_pools; i++) {
             record_unref(controller->disruptions[i]);
         }
-        for (uint32_t i = 0; i < SIM_LAG_STEPS_MAX; i++) {
+        for (uint32_t i = 0; i < SIM_WAVES_MAX; i++) {
             record_unref(controller->waves[i]);
         }
         fleet_planner_destroy(controller->planner);
@@ -204,7 +201,7 @@
     for (size_t i = 0; i < n_pools; i++) {
         record_unref(sim->disruptions[i]);
     }
-    for (uint32_t i = 0; i < SIM_LAG_STEPS_MAX; i++) {
+    for (uint32_t i = 0; i < SIM_WAVES_MAX; i++) {
         record_unref(sim->waves[i]);
     }
     g_free(sim->controllers);
@@ -394,7 +391,7 @@
     struct fleet_host *hosts = build_fleet_hosts(sim, controller);
     struct fleet_pool_info *pools =
         g_new0(struct fleet_pool_info, config->n_pools);
-    const struct wave_record *waves[SIM_LAG_STEPS_MAX];
+    const struct wave_record *waves[SIM_WAVES_MAX];
     for (size_t i = 0; i < config->n_pools; i++) {
         pools[i] = (struct fleet_pool_info){
             .name = config->pools[i].name,
@@ -474,8 +471,8 @@
     return available;
 }
 
-/* A host that has failed since the controller read its record: no decision
- * took it away. */
+/* Whether a host of @pool failed after the controller had read its record as
+ * serving: then the controller could not know that it is not available. */
 static bool
 failed_since_read(struct fleet_sim *sim,
                   const struct sim_controller *controller,
@@ -494,8 +491,9 @@
                                          g_strcmp0(now->reason, "back") == 0);
 }
 
-/* Available hosts by true records and by what the controller knew of
- * failures and data centres; all of them, or those in one data centre. */
+/* Available hosts according to the present records, but with the failures and
+ * states of data centres that the controller had read; in @dc, or in all if it
+ * is NULL. */
 static uint32_t
 expected_available(struct fleet_sim *sim,
                    const struct sim_controller *controller, const char *pool,
@@ -513,6 +511,8 @@
     return available;
 }
 
+/* Whether the host was available as far as the controller knew. Disrupting one
+ * that was not can't break a budget. */
 static bool
 was_available(const struct fleet_sim *sim,
               const struct sim_controller *controller,
@@ -544,7 +544,8 @@
         config->min_available_per_dc_hosts;
 }
 
-/* A drain has to stand in its pool's record as it is now. */
+/* Counts a violation if a host starts to drain without an entry of the same
+ * admission in its pool's present disruption record. */
 static void
 check_drain(struct fleet_sim *sim, const struct fleet_action *action)
 {
@@ -562,6 +563,7 @@
         entry == NULL || entry->admission != action->record->admission;
 }
 
+/* Counts moves to each pool, and a violation if the host was not draining. */
 static void
 count_move(struct fleet_sim *sim, const struct fleet_action *action)
 {
@@ -612,7 +614,9 @@
     }
 }
 
-/* Steps of @kind or its neighbour that go to the record numbered @slot. */
+/* The actions of @plan that change one record: with FLEET_WRITE_HOST host
+ * shard
+ * @slot, with FLEET_ADMIT the disruption record of pool @slot. */
 static GPtrArray *
 actions_for_record(struct fleet_sim *sim, const struct fleet_plan *plan,
                    enum fleet_action_kind kind, size_t slot)
@@ -635,7 +639,8 @@
     return actions;
 }
 
-/* Whether a write of @controller on @read meets the version it read. */
+/* Whether a compare-and-swap succeeds: the record still has the version that
+ * the controller read. False without actions. */
 static bool
 cas_succeeds(struct fleet_sim *sim, const struct sim_record *read,
              const struct sim_record *present, const GPtrArray *actions)
@@ -688,7 +693,9 @@
     }
 }
 
-/* A paused controller first writes what it had planned before the pause. */
+/* One pass of a controller: read, plan, write. With delayed_write_percent it
+ * instead writes its previous plan, on the versions read then; after a pause
+ * that plan can be old. */
 static void
 step_controller(struct fleet_sim *sim, struct sim_controller *controller)
 {
--- a/tests/fleet/host_list_test.c
+++ b/tests/fleet/host_list_test.c
@@ -1,3 +1,4 @@
+/* Parsing of the platform's host list and of stored host records. */
 #include <glib.h>
 #include <string.h>
 
@@ -21,6 +22,8 @@
     "  \"Service\": {\"Address\": \"127.0.0.1\", \"Port\": 0, \"Meta\": {}},"
     "  \"Checks\": []}]";
 
+/* Malformed entries are reported and left out; the others are read, sorted by
+ * name. A host is live if all its checks pass. */
 static void
 test_list(void)
 {
@@ -53,7 +56,8 @@
     CU_ASSERT_PTR_NULL(host_list_parse("{}", 2, &n, findings));
     CU_ASSERT_PTR_NULL(host_list_parse("[", 1, &n, findings));
     CU_ASSERT_EQUAL(findings_count(findings), 2);
-    /* A list cut short is no list at any length. */
+    /* A list truncated at any length must be refused: the missing hosts would
+     * look removed. */
     for (size_t i = 0; i + 1 < strlen(list_text); i++) {
         CU_ASSERT_PTR_NULL(host_list_parse(list_text, i, &n, findings));
     }
@@ -65,6 +69,7 @@
     findings_destroy(findings);
 }
 
+/* Brackets and quotes inside strings must not end an entry. */
 static void
 test_brackets_in_names(void)
 {
@@ -83,8 +88,10 @@
     findings_destroy(findings);
 }
 
+/* Invalid records in a shard are reported, and kept when the shard is written
+ * again; the valid ones stay usable. */
 static void
-test_damaged_record_is_set_aside(void)
+test_damaged_record_is_kept(void)
 {
     const char *text =
         "{\"write\": \"a:1\", \"hosts\": {"
@@ -121,7 +128,7 @@
         {"list", test_list},
         {"list is no array", test_list_is_no_array},
         {"brackets in names", test_brackets_in_names},
-        {"damaged record is set aside", test_damaged_record_is_set_aside},
+        {"damaged record is kept", test_damaged_record_is_kept},
     };
     return suite_main("hosts", tests, G_N_ELEMENTS(tests));
 }
--- a/tests/fleet/planner_policy_test.c
+++ b/tests/fleet/planner_policy_test.c
@@ -1,3 +1,5 @@
+/* Decisions of the fleet planner on a simulated fleet: maintenance waves,
+ * moves between pools, failures and suspect hosts. */
 #include <stdio.h>
 
 #include "../suite.h"
@@ -67,7 +69,7 @@
     return NULL;
 }
 
-/* Hosts that are up, by state; @pool NULL for any. */
+/* Number of hosts that are up and recorded in @state; @pool NULL for any. */
 static uint32_t
 count_state(struct fleet_sim *sim, const char *pool, enum host_state state)
 {
@@ -82,8 +84,9 @@
     return count;
 }
 
-/* 18 hosts in each pool, 6 data centre racks of 4; a rack lost at any moment
- * of a wave leaves each budget of 9 standing. */
+/* 18 hosts in each pool, in 9 racks of 4. A rack lost at any moment of a wave
+ * must not take the pool below its budget of 9: the wave has to keep a reserve
+ * for it. */
 static void
 test_rack_lost_during_wave(void)
 {
@@ -105,11 +108,12 @@
         CU_ASSERT(sim->reboots > 0);
         check_and_destroy(sim);
     }
-    printf("lowest %u ", min_available);
+    printf("lowest availability %u ", min_available);
     CU_ASSERT(min_available >= 9);
 }
 
-/* Drains take long; hosts that fail meanwhile stop them. */
+/* Hosts fail while others drain for a long time. Drains that would break the
+ * budget when they finish have to be cancelled. */
 static void
 test_failure_cancels_drains(void)
 {
@@ -130,7 +134,8 @@
     check_and_destroy(sim);
 }
 
-/* A host that is down for good neither blocks a wave nor is forgotten. */
+/* A wave must not wait forever for a host that stays down, and has to record
+ * that it left it out. */
 static void
 test_wave_ends_without_dead_host(void)
 {
@@ -160,8 +165,9 @@
     return count;
 }
 
-/* The later wave takes the hosts that the first had done before it began,
- * and only when the first has ended. */
+/* The second wave begins when the first has ended, and reboots only the hosts
+ * that the first had rebooted before the second was started: those rebooted
+ * later are up to date for both. */
 static void
 test_waves_run_one_after_another(void)
 {
@@ -188,7 +194,8 @@
     check_and_destroy(sim);
 }
 
-/* Drains take half a minute; a pause within it gives all hosts back. */
+/* Drains take half a minute. A pause cancels them and returns all hosts to
+ * service; after a stop no further host is rebooted. */
 static void
 test_pause_and_stop(void)
 {
@@ -216,7 +223,7 @@
     check_and_destroy(sim);
 }
 
-/* While the queue asks for all there is, a wave waits. */
+/* While demand needs all 64 slots of a pool, a wave waits with its hosts. */
 static void
 test_wave_waits_for_low_demand(void)
 {
@@ -238,6 +245,8 @@
     check_and_destroy(sim);
 }
 
+/* Hosts move in to replace those of a data centre out of service. After its
+ * return they are given back, but not at once, and not moved again. */
 static void
 test_dc_out_and_back(void)
 {
@@ -264,7 +273,8 @@
     check_and_destroy(sim);
 }
 
-/* Bursts of five times the mean, a twentieth in between. */
+/* Demand in short bursts of five times the mean, with a twentieth in between:
+ * a planner that follows it would move hosts all the time. */
 static void
 test_alternating_demand_moves_nothing(void)
 {
@@ -285,7 +295,8 @@
     check_and_destroy(sim);
 }
 
-/* Demand that swings around a pool's size by a fifth in half an hour. */
+/* Demand that changes by a fifth every half hour must not move hosts back and
+ * forth. */
 static void
 test_oscillating_demand_moves_few(void)
 {
@@ -302,6 +313,7 @@
     check_and_destroy(sim);
 }
 
+/* Demand that stays higher brings enough hosts into a pool. */
 static void
 test_pool_follows_sustained_demand(void)
 {
@@ -316,6 +328,8 @@
     check_and_destroy(sim);
 }
 
+/* All hosts fail their tasks: they are rebooted, but only as many at a time as
+ * the budgets allow. */
 static void
 test_suspect_hosts_are_rebooted(void)
 {
@@ -332,7 +346,8 @@
     run_steps(sim, 600);
     CU_ASSERT_EQUAL(count_state(sim, NULL, HOST_SERVING), sim->n_hosts);
     CU_ASSERT_EQUAL(sim->reboots, sim->n_hosts);
-    /* One that fails again right after its return is left out for longer. */
+    /* A host that fails again right after its return stays out for the repair
+     * time. */
     sim->hosts[0].fails_all_tasks = true;
     while (count_state(sim, NULL, HOST_RETURNING) == 0) {
         fleet_sim_step(sim);
@@ -345,6 +360,9 @@
     check_and_destroy(sim);
 }
 
+/* Targets that can't be met and a pool that is not configured have to be
+ * reported. No action is planned for a host with a damaged record; a host with
+ * an unknown initial pool joins the spare pool. */
 static void
 test_bad_targets_are_reported(void)
 {
@@ -402,7 +420,9 @@
     fleet_sim_config_free(config);
 }
 
-/* Another controller's adoptions have not come through for p0 yet. */
+/* Another controller has written the first records of the hosts in p0, but
+ * they have not been read yet. The pool must not be taken for empty and filled
+ * from the spare pool. */
 static void
 test_missing_records_move_nothing(void)
 {
@@ -460,14 +480,14 @@
         {"rack lost during wave", test_rack_lost_during_wave},
         {"failure cancels drains", test_failure_cancels_drains},
         {"wave ends without dead host", test_wave_ends_without_dead_host},
-        {"two waves do not meet", test_waves_run_one_after_another},
+        {"waves run one after another", test_waves_run_one_after_another},
         {"pause and stop", test_pause_and_stop},
-        {"wave waits for quiet", test_wave_waits_for_low_demand},
+        {"wave waits for low demand", test_wave_waits_for_low_demand},
         {"data centre out and back", test_dc_out_and_back},
         {"alternating demand", test_alternating_demand_moves_nothing},
-        {"swinging demand", test_oscillating_demand_moves_few},
-        {"lasting demand", test_pool_follows_sustained_demand},
-        {"suspect goes and returns", test_suspect_hosts_are_rebooted},
+        {"oscillating demand", test_oscillating_demand_moves_few},
+        {"sustained demand", test_pool_follows_sustained_demand},
+        {"suspect hosts are rebooted", test_suspect_hosts_are_rebooted},
         {"bad targets are reported", test_bad_targets_are_reported},
         {"missing records", test_missing_records_move_nothing},
     };
--- a/tests/fleet/planner_test.c
+++ b/tests/fleet/planner_test.c
@@ -1,3 +1,5 @@
+/* The fleet planner under random faults: several controllers that plan from
+ * old records must not break a disruption budget together. */
 #include <stdio.h>
 
 #include "../suite.h"
@@ -84,7 +86,8 @@
     dc->state = dc->state == DC_IN_SERVICE ? DC_OUT_OF_SERVICE : DC_IN_SERVICE;
 }
 
-/* Demand jumps, a data centre leaves and returns, the store goes away. */
+/* Changes demand, takes a data centre out of service or back, makes the store
+ * unreachable or reachable, lets tasks fail on a host. */
 static void
 inject_faults(struct fleet_sim *sim, struct random *random)
 {
@@ -104,6 +107,8 @@
     }
 }
 
+/* Ends failures, outages and pauses; stale reads and lost or delayed writes go
+ * on. */
 static void
 end_faults(struct fleet_sim *sim)
 {
@@ -122,6 +127,8 @@
     }
 }
 
+/* A wave under random faults must break no budget, and must end once the
+ * faults have ended. @totals: admissions, conflicts, moves, reboots. */
 static void
 run_schedule(uint64_t seed, uint32_t totals[4])
 {
@@ -164,14 +171,15 @@
     }
     printf("%u admissions, %u conflicts, %u moves, %u reboots\n", totals[0],
            totals[1], totals[2], totals[3]);
-    /* The schedules have to reach what they are to test. */
+    /* Schedules without admissions, conflicts or moves would test nothing. */
     CU_ASSERT(totals[0] > SCHEDULE_COUNT * 10);
     CU_ASSERT(totals[1] > SCHEDULE_COUNT);
     CU_ASSERT(totals[2] > SCHEDULE_COUNT);
 }
 
-/* A pool gives hosts away while controllers see host records late: what has
- * left must not be counted. */
+/* A pool gives hosts away while the controllers read old host records. A
+ * controller that still counts a host which has moved would admit too many of
+ * the others. */
 static void
 run_moves_schedule(uint64_t seed, uint32_t *moves)
 {
@@ -213,8 +221,8 @@
 main(void)
 {
     static const struct suite_test tests[] = {
-        {"schedules", test_schedules},
-        {"moves seen late", test_moves_with_stale_records},
+        {"random schedules", test_schedules},
+        {"moves with stale records", test_moves_with_stale_records},
     };
     return suite_main("planner", tests, G_N_ELEMENTS(tests));
 }
