--- a/tests/common/event_log_test.c
+++ b/tests/common/event_log_test.c
@@ -1,5 +1,9 @@
 #define _GNU_SOURCE
-/* The log under more lines than it takes, and with nobody reading it. */
+/*
+ * A burst of events must neither write more lines than the log's budget nor
+ * block the process when nobody reads its output, and every dropped line has
+ * to be counted in a "log_dropped" line.
+ */
 #include <fcntl.h>
 #include <glib.h>
 #include <stdio.h>
@@ -11,19 +15,19 @@
 #include "common/event_log.h"
 
 enum {
-    EVENTS = 40,
-    LINES_EACH = 500,
-    /* Lines that the log may write in a second of the worst load: 400, and
-     * 20 of each kind. */
-    LINES_MOST = 400 + 20 * EVENTS,
+    EVENT_KINDS = 40,
+    LINES_PER_KIND = 500,
+    /* Most lines that the log may write in one second: 400, and 20 of each
+     * kind. */
+    LINES_PER_S_MAX = 400 + 20 * EVENT_KINDS,
     PIPE_BYTES = 4096,
-    FLOOD_LINES = 20000,
+    BURST_LINES = 20000,
     READ_BYTES = 1 << 20,
 };
 
-/* Standard output into a pipe; returns the end to read from. */
+/* Redirects standard output into a pipe and returns its read end. */
 static int
-divert(int *saved, int pipe_bytes)
+redirect_stdout(int *saved, int pipe_bytes)
 {
     int ends[2];
     CU_ASSERT_EQUAL_FATAL(pipe(ends), 0);
@@ -40,40 +44,40 @@
 }
 
 static void
-restore(int saved)
+restore_stdout(int saved)
 {
     dup2(saved, STDOUT_FILENO);
     close(saved);
 }
 
-/* What can be read now; g_free(). */
+/* Returns what can be read without blocking; free with g_free(). */
 static char *
-drain(int from)
+read_available(int read_fd)
 {
     char *text = g_malloc0(READ_BYTES);
     size_t used = 0;
     ssize_t got;
     while (used + 1 < READ_BYTES &&
-           (got = read(from, text + used, READ_BYTES - 1 - used)) > 0) {
+           (got = read(read_fd, text + used, READ_BYTES - 1 - used)) > 0) {
         used += (size_t)got;
     }
     return text;
 }
 
 static uint32_t
-count_of(const char *text, const char *what)
+count_matches(const char *text, const char *pattern)
 {
     uint32_t count = 0;
-    for (const char *at = strstr(text, what); at != NULL;
-         at = strstr(at + 1, what)) {
+    for (const char *at = strstr(text, pattern); at != NULL;
+         at = strstr(at + 1, pattern)) {
         count++;
     }
     return count;
 }
 
-/* Lines that the log says it has dropped. */
+/* Sum of the lines that "log_dropped" events in @text report. */
 static uint32_t
-dropped_of(const char *text)
+count_dropped(const char *text)
 {
     static const char member[] = "\"event\":\"log_dropped\",\"lines\":";
     uint32_t sum = 0;
@@ -85,68 +89,69 @@
 }
 
 static void
-wait_for_second(void)
+wait_for_next_second(void)
 {
     struct timespec now;
     clock_gettime(CLOCK_REALTIME, &now);
     g_usleep((gulong)((1000000000 - now.tv_nsec) / 1000 + 2000));
 }
 
-/* Many kinds of event at once: the whole log stays within its bound, and the
- * next second tells how many lines are missing. */
+/* Many kinds of events at once: the whole log stays within its budget, and
+ * the first event of the next second reports how many lines were dropped. */
 static void
 test_lines_are_bounded(void)
 {
     int saved = -1;
-    int from = divert(&saved, READ_BYTES);
-    wait_for_second();
-    for (int i = 0; i < EVENTS * LINES_EACH; i++) {
+    int read_fd = redirect_stdout(&saved, READ_BYTES);
+    wait_for_next_second();
+    for (int i = 0; i < EVENT_KINDS * LINES_PER_KIND; i++) {
         char event[16];
-        snprintf(event, sizeof(event), "kind_%d", i % EVENTS);
+        snprintf(event, sizeof(event), "kind_%d", i % EVENT_KINDS);
         event_log(event, "\"n\":%d", i);
     }
-    char *flood = drain(from);
-    wait_for_second();
+    char *burst = read_available(read_fd);
+    wait_for_next_second();
     event_log("after", "\"n\":1");
-    char *after = drain(from);
-    restore(saved);
-    uint32_t written = count_of(flood, "\"n\":");
-    CU_ASSERT(written >= LINES_MOST / 2);
-    CU_ASSERT(written <= LINES_MOST);
+    char *after = read_available(read_fd);
+    restore_stdout(saved);
+    uint32_t written = count_matches(burst, "\"n\":");
+    CU_ASSERT(written >= LINES_PER_S_MAX / 2);
+    CU_ASSERT(written <= LINES_PER_S_MAX);
     CU_ASSERT_PTR_NOT_NULL(strstr(after, "\"event\":\"after\""));
-    CU_ASSERT_EQUAL(written + dropped_of(flood) + dropped_of(after),
-                    EVENTS * LINES_EACH);
-    g_free(flood);
+    CU_ASSERT_EQUAL(written + count_dropped(burst) + count_dropped(after),
+                    EVENT_KINDS * LINES_PER_KIND);
+    g_free(burst);
     g_free(after);
-    close(from);
+    close(read_fd);
 }
 
-/* Nobody reads: writing never waits, whole lines are dropped and counted. */
+/* The pipe is full: logging does not block, only whole lines are dropped, and
+ * they are counted. */
 static void
-test_full_pipe(void)
+test_full_pipe_never_blocks(void)
 {
     int saved = -1;
-    int from = divert(&saved, PIPE_BYTES);
-    wait_for_second();
+    int read_fd = redirect_stdout(&saved, PIPE_BYTES);
+    wait_for_next_second();
     int64_t start_us = g_get_monotonic_time();
-    for (int i = 0; i < FLOOD_LINES; i++) {
+    for (int i = 0; i < BURST_LINES; i++) {
         event_log("flood", "\"n\":%d", i);
     }
-    int64_t took_us = g_get_monotonic_time() - start_us;
-    char *kept = drain(from);
-    wait_for_second();
+    int64_t duration_us = g_get_monotonic_time() - start_us;
+    char *written = read_available(read_fd);
+    wait_for_next_second();
     event_log("after", "\"n\":1");
-    char *after = drain(from);
-    restore(saved);
-    CU_ASSERT(took_us < 1000000);
-    CU_ASSERT(strlen(kept) <= PIPE_BYTES);
-    CU_ASSERT_EQUAL(kept[strlen(kept) - 1], '\n');
-    CU_ASSERT_EQUAL(count_of(kept, "\"n\":") + dropped_of(kept) +
-                        dropped_of(after),
-                    FLOOD_LINES);
-    g_free(kept);
+    char *after = read_available(read_fd);
+    restore_stdout(saved);
+    CU_ASSERT(duration_us < 1000000);
+    CU_ASSERT(strlen(written) <= PIPE_BYTES);
+    CU_ASSERT_EQUAL(written[strlen(written) - 1], '\n');
+    CU_ASSERT_EQUAL(count_matches(written, "\"n\":") + count_dropped(written) +
+                        count_dropped(after),
+                    BURST_LINES);
+    g_free(written);
     g_free(after);
-    close(from);
+    close(read_fd);
 }
 
 int
@@ -154,7 +159,7 @@
 {
     static const struct suite_test tests[] = {
         {"lines are bounded", test_lines_are_bounded},
-        {"a full pipe", test_full_pipe},
+        {"full pipe never blocks", test_full_pipe_never_blocks},
     };
     return suite_main("event log", tests, sizeof(tests) / sizeof(tests[0]));
 }
--- a/tests/common/settings_test.c
+++ b/tests/common/settings_test.c
@@ -1,3 +1,8 @@
+/*
+ * Settings files: defaults are filled in, and every mistake of a file is
+ * reported in one go, so that an operator need not start the process again
+ * for each.
+ */
 #include <glib.h>
 #include <glib/gstdio.h>
 #include <string.h>
@@ -37,7 +42,7 @@
 }
 
 static void
-test_ten_mistakes_at_once(void)
+test_all_mistakes_at_once(void)
 {
     char *path =
         write_file("{\"name\": 7, \"address\": \"here\", \"http_port\": 70000,"
@@ -84,7 +89,7 @@
 {
     static const struct suite_test tests[] = {
         {"defaults", test_defaults},
-        {"ten mistakes at once", test_ten_mistakes_at_once},
+        {"all mistakes at once", test_all_mistakes_at_once},
         {"request auth", test_request_auth},
     };
     return suite_main("settings", tests, G_N_ELEMENTS(tests));
--- a/tests/common/supervisor_test.c
+++ b/tests/common/supervisor_test.c
@@ -1,3 +1,8 @@
+/*
+ * Parts of a process start in the order of their registration and stop in
+ * reverse; a restart also restarts the parts after it, which may use it, and a
+ * failed start stops what already runs.
+ */
 #include <glib.h>
 #include <string.h>
 
@@ -35,7 +40,7 @@
 }
 
 static void
-test_order(void)
+test_start_and_stop_order(void)
 {
     struct status status;
     status_clear(&status);
@@ -52,7 +57,7 @@
 }
 
 static void
-test_failure_stops_what_runs(void)
+test_failed_start_stops_running_parts(void)
 {
     struct status status;
     status_clear(&status);
@@ -71,8 +76,9 @@
 main(void)
 {
     static const struct suite_test tests[] = {
-        {"order", test_order},
-        {"failure stops what runs", test_failure_stops_what_runs},
+        {"start and stop order", test_start_and_stop_order},
+        {"failed start stops running parts",
+         test_failed_start_stops_running_parts},
     };
     return suite_main("supervisor", tests, G_N_ELEMENTS(tests));
 }
--- a/tests/store/config_store_test.c
+++ b/tests/store/config_store_test.c
@@ -1,3 +1,9 @@
+/*
+ * Changes of the configuration by racing operators while answers of the store
+ * get lost. An operator must never be told that a change failed that became
+ * active, nor the other way round, and pruning must not delete what the active
+ * configuration or a change under way needs.
+ */
 #include <inttypes.h>
 #include <string.h>
 
@@ -54,7 +60,8 @@
     return config;
 }
 
-/* One operator's change, from reading the base to its outcome. */
+/* One change by an operator: reads the active configuration, then publishes a
+ * new one. */
 struct change {
     struct store *store;
     bool done;
@@ -114,48 +121,50 @@
     }
 }
 
-struct chain {
+struct history_ids {
     bool done;
     GHashTable *ids;
     uint64_t generation;
 };
 
 static void
-on_chain(void *ctx, const struct config_history *history)
+on_history_read(void *ctx, const struct config_history *history)
 {
-    struct chain *chain = ctx;
+    struct history_ids *history_ids = ctx;
     CU_ASSERT_EQUAL(history->status.code, STATUS_OK);
     for (guint i = 0; i < history->heads->len; i++) {
         const struct config_head *head = g_ptr_array_index(history->heads, i);
-        chain->generation = MAX(chain->generation, head->generation);
-        g_hash_table_add(chain->ids, g_strdup(head->id));
+        history_ids->generation =
+            MAX(history_ids->generation, head->generation);
+        g_hash_table_add(history_ids->ids, g_strdup(head->id));
     }
-    chain->done = true;
+    history_ids->done = true;
 }
 
-static struct chain
-read_chain(struct store *store)
+static struct history_ids
+read_history_ids(struct store *store)
 {
-    struct chain chain = {
+    struct history_ids history_ids = {
         .ids = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
     };
     config_history_read(store, (struct config_history_callback){
-                                   .done = on_chain,
-                                   .ctx = &chain,
+                                   .done = on_history_read,
+                                   .ctx = &history_ids,
                                });
-    while (!chain.done) {
+    while (!history_ids.done) {
         g_main_context_iteration(NULL, TRUE);
     }
-    return chain;
+    return history_ids;
 }
 
-/* What each operator is told agrees with the chain of generations. */
+/* The outcome reported to each operator agrees with the history of
+ * generations. */
 static void
-test_outcomes_are_true(void)
+test_outcomes_match_history(void)
 {
     struct store *stores[OPERATORS];
     struct change changes[ROUNDS][OPERATORS];
-    unsigned undecided = 0;
+    unsigned n_unknown = 0;
     store_process_start(&process);
     store_process_faults(&process, "{\"lose_answers_percent\": 30,"
                                    " \"delay_ms\": 3, \"seed\": 5}");
@@ -171,19 +180,20 @@
         }
     }
     store_process_faults(&process, "{\"lose_answers_percent\": 0}");
-    struct chain chain = read_chain(stores[0]);
+    struct history_ids history_ids = read_history_ids(stores[0]);
     for (unsigned i = 0; i < ROUNDS * OPERATORS; i++) {
         const struct change *change = &changes[i / OPERATORS][i % OPERATORS];
-        bool in_chain = g_hash_table_contains(chain.ids, change->id);
-        undecided += change->status.code == STATUS_UNKNOWN;
+        bool in_history = g_hash_table_contains(history_ids.ids, change->id);
+        n_unknown += change->status.code == STATUS_UNKNOWN;
         if (change->status.code != STATUS_UNKNOWN) {
-            CU_ASSERT_EQUAL(change->status.code == STATUS_OK, in_chain);
+            CU_ASSERT_EQUAL(change->status.code == STATUS_OK, in_history);
         }
     }
-    CU_ASSERT_EQUAL(chain.generation, g_hash_table_size(chain.ids));
-    CU_ASSERT(chain.generation >= ROUNDS / 2);
-    CU_ASSERT(undecided < ROUNDS);
-    g_hash_table_unref(chain.ids);
+    CU_ASSERT_EQUAL(history_ids.generation,
+                    g_hash_table_size(history_ids.ids));
+    CU_ASSERT(history_ids.generation >= ROUNDS / 2);
+    CU_ASSERT(n_unknown < ROUNDS);
+    g_hash_table_unref(history_ids.ids);
     for (unsigned i = 0; i < OPERATORS; i++) {
         close_store(stores[i]);
     }
@@ -191,17 +201,17 @@
 }
 
 static void
-wait_stat(const char *member, int64_t wanted)
+wait_for_stat(const char *member, int64_t wanted)
 {
     while (store_process_stat(&process, member) < wanted) {
         g_main_context_iteration(NULL, FALSE);
     }
 }
 
-/* A head is written, the answer lost, and the next change is there before it
- * is read back. The earlier change was in force all the same. */
+/* The answer to the write of a head is lost, and another change replaces the
+ * head before it is read back. The first change was active nevertheless. */
 static void
-test_overtaken_after_lost_answer(void)
+test_replaced_after_lost_answer(void)
 {
     enum {
         WRITES_OF_CHANGE = 3,
@@ -217,8 +227,8 @@
     store_process_faults(&process, "{\"lose_answers_percent\": 100,"
                                    " \"delay_ms\": 300}");
     start_change(&first, store);
-    wait_stat("puts", puts + WRITES_OF_CHANGE);
-    wait_stat("gets", store_process_stat(&process, "gets") + 1);
+    wait_for_stat("puts", puts + WRITES_OF_CHANGE);
+    wait_for_stat("gets", store_process_stat(&process, "gets") + 1);
     store_process_faults(&process, "{\"lose_answers_percent\": 0,"
                                    " \"delay_ms\": 0}");
     start_change(&second, other);
@@ -249,7 +259,7 @@
     }
 }
 
-struct listing {
+struct key_list {
     bool done;
     size_t n_entries;
     bool has_late;
@@ -258,24 +268,24 @@
 static void
 on_listed(void *ctx, const struct store_result *result)
 {
-    struct listing *listing = ctx;
-    listing->done = true;
-    listing->n_entries = result->n_entries;
+    struct key_list *key_list = ctx;
+    key_list->done = true;
+    key_list->n_entries = result->n_entries;
     for (size_t i = 0; i < result->n_entries; i++) {
-        listing->has_late |= g_str_has_suffix(result->entries[i].key, "late");
+        key_list->has_late |= g_str_has_suffix(result->entries[i].key, "late");
     }
 }
 
-static struct listing
-list(struct store *store, const char *prefix)
+static struct key_list
+list_keys(struct store *store, const char *prefix)
 {
-    struct listing listing = {.done = false};
+    struct key_list key_list = {.done = false};
     store_get(store, prefix,
-              (struct store_callback){.done = on_listed, .ctx = &listing});
-    while (!listing.done) {
+              (struct store_callback){.done = on_listed, .ctx = &key_list});
+    while (!key_list.done) {
         g_main_context_iteration(NULL, TRUE);
     }
-    return listing;
+    return key_list;
 }
 
 static void
@@ -309,21 +319,21 @@
         finish_change(&change);
         CU_ASSERT_EQUAL(change.status.code, STATUS_OK);
     }
-    /* One part changes each time, two never do. */
-    CU_ASSERT_EQUAL(list(store, STORE_KEY_CONFIG_PARTS).n_entries,
+    /* Every change writes one new part; two parts never change. */
+    CU_ASSERT_EQUAL(list_keys(store, STORE_KEY_CONFIG_PARTS).n_entries,
                     n_changes + 2);
     write_late_part(store);
     prune(store, &change);
-    struct listing parts = list(store, STORE_KEY_CONFIG_PARTS);
+    struct key_list parts = list_keys(store, STORE_KEY_CONFIG_PARTS);
     CU_ASSERT_EQUAL(parts.n_entries, CONFIG_HISTORY_LENGTH + 2 + 1);
     CU_ASSERT(parts.has_late);
-    CU_ASSERT_EQUAL(list(store, STORE_KEY_CONFIG_HISTORY).n_entries,
+    CU_ASSERT_EQUAL(list_keys(store, STORE_KEY_CONFIG_HISTORY).n_entries,
                     CONFIG_HISTORY_LENGTH);
     start_change(&change, store);
     finish_change(&change);
     CU_ASSERT_EQUAL(change.generation, n_changes + 1);
     prune(store, &change);
-    CU_ASSERT_FALSE(list(store, STORE_KEY_CONFIG_PARTS).has_late);
+    CU_ASSERT_FALSE(list_keys(store, STORE_KEY_CONFIG_PARTS).has_late);
     close_store(store);
     store_process_stop(&process);
 }
@@ -332,8 +342,8 @@
 main(void)
 {
     static const struct suite_test tests[] = {
-        {"outcomes are true", test_outcomes_are_true},
-        {"overtaken after a lost answer", test_overtaken_after_lost_answer},
+        {"outcomes match history", test_outcomes_match_history},
+        {"replaced after a lost answer", test_replaced_after_lost_answer},
         {"prune", test_prune},
     };
     return suite_main("config store", tests, G_N_ELEMENTS(tests));
--- a/tests/store/config_test.c
+++ b/tests/store/config_test.c
@@ -1,3 +1,8 @@
+/*
+ * Configuration documents: the shipped examples are valid and survive being
+ * written and read again, every mistake is reported at once with its place,
+ * and keys are found and checked.
+ */
 #include "../suite.h"
 #include "common/config.h"
 #include "common/json_read.h"
@@ -59,7 +64,7 @@
 }
 
 static void
-test_every_finding_at_once(void)
+test_all_findings_at_once(void)
 {
     struct findings *findings = findings_create();
     CU_ASSERT_PTR_NULL(parse(
@@ -167,7 +172,7 @@
 {
     static const struct suite_test tests[] = {
         {"examples", test_examples},
-        {"every finding at once", test_every_finding_at_once},
+        {"all findings at once", test_all_findings_at_once},
         {"keys", test_keys},
         {"find key", test_find_key},
     };
--- a/tests/store/feed_test.c
+++ b/tests/store/feed_test.c
@@ -1,3 +1,9 @@
+/*
+ * The configuration that a gateway follows: it gets new generations although
+ * its watch of the store hangs or the store is out of reach, and never goes
+ * back to an older one or takes an invalid one, as a damaged or reset store or
+ * a peer could offer.
+ */
 #include <string.h>
 
 #include "../suite.h"
@@ -10,7 +16,8 @@
 enum {
     TIMEOUT_MS = 500,
     POLL_MS = 100,
-    /* Longer than the test runs: a watch alone would never recover. */
+    /* Longer than the test runs, so that a watch alone never notices that its
+     * call hangs. */
     WATCH_WAIT_MS = 600000,
 };
 
@@ -19,7 +26,7 @@
 static struct counters *counters;
 
 static void
-open_all(void)
+set_up(void)
 {
     store_process_start(&process);
     counters = counters_create();
@@ -32,7 +39,7 @@
 }
 
 static void
-close_all(void)
+tear_down(void)
 {
     store_destroy(store);
     while (g_main_context_iteration(NULL, FALSE)) {
@@ -41,47 +48,47 @@
     store_process_stop(&process);
 }
 
-/* Every generation that came into force, in order. */
-struct seen {
+/* The generations that became active, in order. */
+struct observed {
     uint64_t generation;
     unsigned changes;
-    bool fell;
+    bool decreased;
 };
 
 static void
 on_changed(void *ctx, const struct config *config)
 {
-    struct seen *seen = ctx;
-    seen->fell |= config->generation <= seen->generation;
-    seen->generation = config->generation;
-    seen->changes++;
+    struct observed *observed = ctx;
+    observed->decreased |= config->generation <= observed->generation;
+    observed->generation = config->generation;
+    observed->changes++;
 }
 
 static struct config_feed *
-open_feed(struct seen *seen)
+open_feed(struct observed *observed)
 {
-    *seen = (struct seen){.generation = 0};
+    *observed = (struct observed){.generation = 0};
     return config_feed_create(&(struct config_feed_options){
         .store = store,
         .counters = counters,
         .clock = ms_clock_system(),
         .poll_ms = POLL_MS,
-        .listener = {.changed = on_changed, .ctx = seen},
+        .listener = {.changed = on_changed, .ctx = observed},
     });
 }
 
 static void
-wait_generation(const struct seen *seen, uint64_t generation)
+wait_for_generation(const struct observed *observed, uint64_t generation)
 {
-    while (seen->generation < generation) {
+    while (observed->generation < generation) {
         g_main_context_iteration(NULL, TRUE);
     }
-    CU_ASSERT_EQUAL(seen->generation, generation);
-    CU_ASSERT_FALSE(seen->fell);
+    CU_ASSERT_EQUAL(observed->generation, generation);
+    CU_ASSERT_FALSE(observed->decreased);
 }
 
 static void
-wait_count(const char *labels, int64_t wanted)
+wait_for_rejected(const char *labels, int64_t wanted)
 {
     const int64_t *count =
         counters_slot(counters, "egret_config_rejected_total", labels);
@@ -159,162 +166,165 @@
     CU_ASSERT_EQUAL(publication.status.code, STATUS_OK);
 }
 
-/* Writes a head by hand, as a damaged or reset store would show it. */
-struct raw_write {
+/* Writes a head directly, as a damaged or reset store could hold it. */
+struct head_write {
     const char *text;
     bool done;
 };
 
 static void
-on_raw_written(void *ctx, const struct store_result *result)
+on_head_written(void *ctx, const struct store_result *result)
 {
-    struct raw_write *raw = ctx;
+    struct head_write *head_write = ctx;
     CU_ASSERT_EQUAL(result->status.code, STATUS_OK);
-    raw->done = true;
+    head_write->done = true;
 }
 
 static void
-on_raw_read(void *ctx, const struct store_result *result)
+on_head_read(void *ctx, const struct store_result *result)
 {
-    struct raw_write *raw = ctx;
-    store_cas(store, STORE_KEY_CONFIG_HEAD, raw->text, strlen(raw->text),
-              result->entries[0].version,
-              (struct store_callback){.done = on_raw_written, .ctx = raw});
+    struct head_write *head_write = ctx;
+    store_cas(
+        store, STORE_KEY_CONFIG_HEAD, head_write->text,
+        strlen(head_write->text), result->entries[0].version,
+        (struct store_callback){.done = on_head_written, .ctx = head_write});
 }
 
 static void
 write_head(const char *text)
 {
-    struct raw_write raw = {.text = text};
-    store_get(store, STORE_KEY_CONFIG_HEAD,
-              (struct store_callback){.done = on_raw_read, .ctx = &raw});
-    while (!raw.done) {
+    struct head_write head_write = {.text = text};
+    store_get(
+        store, STORE_KEY_CONFIG_HEAD,
+        (struct store_callback){.done = on_head_read, .ctx = &head_write});
+    while (!head_write.done) {
         g_main_context_iteration(NULL, TRUE);
     }
 }
 
 static void
-test_follows(void)
+test_follows_store(void)
 {
-    struct seen seen;
-    open_all();
-    struct config_feed *feed = open_feed(&seen);
+    struct observed observed;
+    set_up();
+    struct config_feed *feed = open_feed(&observed);
     CU_ASSERT_PTR_NULL(config_feed_current(feed));
     for (unsigned i = 1; i <= 5; i++) {
         publish(i);
-        wait_generation(&seen, i);
+        wait_for_generation(&observed, i);
         const struct config *config = config_feed_current(feed);
         CU_ASSERT_EQUAL(config_find_team(config, "t")->max_running, i);
     }
-    CU_ASSERT_EQUAL(seen.changes, 5);
+    CU_ASSERT_EQUAL(observed.changes, 5);
     config_feed_destroy(feed);
-    close_all();
+    tear_down();
 }
 
 static void
 test_silent_watch(void)
 {
-    struct seen seen;
-    open_all();
+    struct observed observed;
+    set_up();
     publish(1);
-    struct config_feed *feed = open_feed(&seen);
-    wait_generation(&seen, 1);
+    struct config_feed *feed = open_feed(&observed);
+    wait_for_generation(&observed, 1);
     while (store_process_stat(&process, "watches") == 0) {
         g_main_context_iteration(NULL, TRUE);
     }
     store_process_faults(&process, "{\"silence_watches\": true}");
     publish(2);
-    wait_generation(&seen, 2);
+    wait_for_generation(&observed, 2);
     config_feed_destroy(feed);
-    close_all();
+    tear_down();
 }
 
 static void
-test_never_falls(void)
+test_generation_never_decreases(void)
 {
-    struct seen seen;
-    open_all();
+    struct observed observed;
+    set_up();
     publish(1);
     publish(2);
-    struct config_feed *feed = open_feed(&seen);
-    wait_generation(&seen, 2);
+    struct config_feed *feed = open_feed(&observed);
+    wait_for_generation(&observed, 2);
     write_head("{\"generation\": 1, \"id\": \"other\", \"parts\": {}}");
-    wait_count("reason=\"older\"", 1);
+    wait_for_rejected("reason=\"older\"", 1);
     write_head("{\"generation\": 2, \"id\": \"other\", \"parts\": {}}");
-    wait_count("reason=\"same-number\"", 1);
+    wait_for_rejected("reason=\"same-number\"", 1);
     write_head("{\"generation\": 3");
-    wait_count("reason=\"malformed\"", 1);
+    wait_for_rejected("reason=\"malformed\"", 1);
     write_head("{\"generation\": 3, \"id\": \"x\", \"parts\":"
                " {\"base\": \"base/0123456789abcdef\"}}");
-    wait_count("reason=\"malformed\"", 3);
+    wait_for_rejected("reason=\"malformed\"", 3);
     CU_ASSERT_EQUAL(config_feed_generation(feed), 2);
-    CU_ASSERT_EQUAL(seen.changes, 1);
+    CU_ASSERT_EQUAL(observed.changes, 1);
     config_feed_destroy(feed);
-    close_all();
+    tear_down();
 }
 
 static void
-test_peers(void)
+test_config_from_peer(void)
 {
-    struct seen seen;
-    struct seen peer_seen;
+    struct observed observed;
+    struct observed peer_observed;
     struct message message;
     struct message old;
-    open_all();
+    set_up();
     publish(1);
-    struct config_feed *feed = open_feed(&seen);
+    struct config_feed *feed = open_feed(&observed);
     CU_ASSERT_FALSE(config_feed_make_message(feed, 0, &message));
-    wait_generation(&seen, 1);
+    wait_for_generation(&observed, 1);
     CU_ASSERT(config_feed_make_message(feed, 0, &old));
     publish(2);
-    wait_generation(&seen, 2);
+    wait_for_generation(&observed, 2);
     CU_ASSERT(config_feed_make_message(feed, 0, &message));
-    /* A gateway that starts while the store is silent hears from a peer. */
+    /* A gateway that starts while the store does not answer gets the
+     * configuration from a peer. */
     store_process_faults(&process, "{\"drop\": true}");
-    struct config_feed *peer = open_feed(&peer_seen);
+    struct config_feed *peer = open_feed(&peer_observed);
     GPtrArray *texts = message.as.config.part_texts;
-    char *whole = g_ptr_array_index(texts, 0);
+    char *valid_text = g_ptr_array_index(texts, 0);
     g_ptr_array_index(texts, 0) = g_strdup(
         "{\"service_unit\": \"slot_time\", \"pools\": [], \"queues\": []}");
     config_feed_offer(peer, &message.as.config);
     CU_ASSERT_EQUAL(config_feed_generation(peer), 0);
     g_free(g_ptr_array_index(texts, 0));
-    g_ptr_array_index(texts, 0) = whole;
+    g_ptr_array_index(texts, 0) = valid_text;
     config_feed_offer(peer, &message.as.config);
     CU_ASSERT_EQUAL(config_feed_generation(peer), 2);
     config_feed_offer(peer, &old.as.config);
     CU_ASSERT_EQUAL(config_feed_generation(peer), 2);
-    CU_ASSERT_EQUAL(peer_seen.changes, 1);
+    CU_ASSERT_EQUAL(peer_observed.changes, 1);
     message_clear(&message);
     message_clear(&old);
     config_feed_destroy(peer);
     config_feed_destroy(feed);
-    close_all();
+    tear_down();
 }
 
-/* A peer is sent the parts that it lacks and no others. */
+/* A peer is sent only the parts that it lacks. */
 static void
-test_peers_by_parts(void)
+test_parts_from_peer(void)
 {
-    struct seen seen;
-    struct seen peer_seen;
+    struct observed observed;
+    struct observed peer_observed;
     struct message message;
     struct message first;
-    open_all();
+    set_up();
     publish(1);
-    struct config_feed *feed = open_feed(&seen);
-    wait_generation(&seen, 1);
+    struct config_feed *feed = open_feed(&observed);
+    wait_for_generation(&observed, 1);
     CU_ASSERT(config_feed_make_message(feed, 0, &first));
     publish(2);
-    wait_generation(&seen, 2);
+    wait_for_generation(&observed, 2);
     CU_ASSERT(config_feed_make_message(feed, 1, &message));
     CU_ASSERT_EQUAL(message.as.config.part_names->len, 1);
     CU_ASSERT(first.as.config.part_names->len > 1);
     store_process_faults(&process, "{\"drop\": true}");
-    struct config_feed *peer = open_feed(&peer_seen);
+    struct config_feed *peer = open_feed(&peer_observed);
     config_feed_offer(peer, &message.as.config);
     CU_ASSERT_EQUAL(config_feed_generation(peer), 0);
-    wait_count("reason=\"incomplete\"", 1);
+    wait_for_rejected("reason=\"incomplete\"", 1);
     CU_ASSERT_EQUAL(*counters_slot(counters, "egret_config_rejected_total",
                                    "reason=\"malformed\""),
                     0);
@@ -329,18 +339,18 @@
     message_clear(&first);
     config_feed_destroy(peer);
     config_feed_destroy(feed);
-    close_all();
+    tear_down();
 }
 
 int
 main(void)
 {
     static const struct suite_test tests[] = {
-        {"follows", test_follows},
+        {"follows the store", test_follows_store},
         {"silent watch", test_silent_watch},
-        {"never falls", test_never_falls},
-        {"peers", test_peers},
-        {"peers by parts", test_peers_by_parts},
+        {"generation never decreases", test_generation_never_decreases},
+        {"configuration from a peer", test_config_from_peer},
+        {"parts from a peer", test_parts_from_peer},
     };
     return suite_main("config feed", tests, G_N_ELEMENTS(tests));
 }
--- a/tests/store/fuzz_test.c
+++ b/tests/store/fuzz_test.c
@@ -1,3 +1,8 @@
+/*
+ * Randomly edited configurations, heads and settings: a parser either accepts
+ * a document or reports findings, never both or neither, without crashing or
+ * GLib warnings.
+ */
 #include <glib/gstdio.h>
 #include <stdbool.h>
 #include <string.h>
@@ -11,8 +16,8 @@
 enum {
     ROUNDS = 4000,
     SETTINGS_ROUNDS = 1500,
-    MAX_MUTATIONS = 6,
-    MAX_SLICE_BYTES = 24,
+    MUTATIONS_MAX = 6,
+    PIECE_MAX_BYTES = 24,
 };
 
 static const char *const fragments[] = {
@@ -32,47 +37,49 @@
     "\"name\"",
 };
 
-/* One edit: overwrite a byte, drop a slice, repeat one, insert a fragment. */
+/* One edit: overwrite a byte, delete a piece, repeat one, or insert a
+ * fragment. */
 static void
-mutate(GString *text, struct random *random)
+mutate_once(GString *text, struct random *random)
 {
-    uint32_t place = random_below(random, (uint32_t)text->len);
-    uint32_t size = random_below(random, MAX_SLICE_BYTES);
-    size = MIN(size, (uint32_t)text->len - place);
+    uint32_t offset = random_below(random, (uint32_t)text->len);
+    uint32_t size = random_below(random, PIECE_MAX_BYTES);
+    size = MIN(size, (uint32_t)text->len - offset);
     const char *fragment =
         fragments[random_below(random, G_N_ELEMENTS(fragments))];
-    char *slice = g_strndup(text->str + place, size);
+    char *piece = g_strndup(text->str + offset, size);
     switch (random_below(random, 4)) {
     case 0:
-        text->str[place] = (char)random_below(random, 256);
+        text->str[offset] = (char)random_below(random, 256);
         break;
     case 1:
-        g_string_erase(text, place, size);
+        g_string_erase(text, offset, size);
         break;
     case 2:
-        g_string_insert(text, place, slice);
+        g_string_insert(text, offset, piece);
         break;
     default:
-        g_string_insert(text, place, fragment);
+        g_string_insert(text, offset, fragment);
         break;
     }
-    g_free(slice);
+    g_free(piece);
 }
 
 static GString *
-mutated(const char *original, struct random *random)
+mutate_text(const char *original, struct random *random)
 {
     GString *text = g_string_new(original);
-    uint32_t n_mutations = 1 + random_below(random, MAX_MUTATIONS);
+    uint32_t n_mutations = 1 + random_below(random, MUTATIONS_MAX);
     for (uint32_t i = 0; i < n_mutations && text->len > 0; i++) {
-        mutate(text, random);
+        mutate_once(text, random);
     }
     return text;
 }
 
-/* What is accepted has to survive being written, split and joined. */
+/* An accepted configuration is the same after being split into parts and
+ * joined again. */
 static void
-check_accepted(const struct config *config, struct findings *findings)
+check_round_trip(const struct config *config, struct findings *findings)
 {
     GTree *texts = config_split(config);
     struct config_head head = {
@@ -102,7 +109,7 @@
         root == NULL ? NULL : config_parse(root, "fuzz", findings);
     CU_ASSERT_EQUAL(config == NULL, findings_count(findings) > 0);
     if (config != NULL) {
-        check_accepted(config, findings);
+        check_round_trip(config, findings);
     }
     bool accepted = config != NULL;
     config_destroy(config);
@@ -120,11 +127,12 @@
     unsigned accepted = 0;
     for (unsigned seed = 0; seed < ROUNDS; seed++) {
         struct random random = random_seeded(seed);
-        GString *text = mutated(original, &random);
+        GString *text = mutate_text(original, &random);
         accepted += try_config(text);
         g_string_free(text, TRUE);
     }
-    /* Both sides have to be met, or the edits are too mild or too wild. */
+    /* Some documents have to be accepted and some rejected, else the edits
+     * change too much or too little. */
     CU_ASSERT(accepted > 0 && accepted < ROUNDS);
     g_free(original);
     g_free(path);
@@ -141,7 +149,7 @@
     unsigned accepted = 0;
     for (unsigned seed = 0; seed < ROUNDS; seed++) {
         struct random random = random_seeded(seed);
-        GString *text = mutated(original, &random);
+        GString *text = mutate_text(original, &random);
         struct findings *findings = findings_create();
         struct config_head *head =
             config_head_parse(text->str, (int64_t)text->len, findings);
@@ -177,7 +185,7 @@
     g_close(fd, NULL);
     for (unsigned seed = 0; seed < SETTINGS_ROUNDS; seed++) {
         struct random random = random_seeded(seed);
-        GString *text = mutated(original, &random);
+        GString *text = mutate_text(original, &random);
         struct findings *findings = findings_create();
         CU_ASSERT(g_file_set_contents_full(path, text->str, (gssize)text->len,
                                            G_FILE_SET_CONTENTS_NONE, 0600,
--- a/tests/store/store_process.c
+++ b/tests/store/store_process.c
@@ -33,8 +33,8 @@
 }
 
 static GBytes *
-exchange(const struct store_process *process, const char *method,
-         const char *path, const char *json)
+send_request(const struct store_process *process, const char *method,
+             const char *path, const char *json)
 {
     SoupSession *session = soup_session_new();
     char *url = g_strconcat(process->url, path, NULL);
@@ -57,13 +57,13 @@
 void
 store_process_faults(const struct store_process *process, const char *json)
 {
-    g_bytes_unref(exchange(process, "PUT", "/standin/faults", json));
+    g_bytes_unref(send_request(process, "PUT", "/standin/faults", json));
 }
 
 int64_t
 store_process_stat(const struct store_process *process, const char *member)
 {
-    GBytes *body = exchange(process, "GET", "/standin/stats", NULL);
+    GBytes *body = send_request(process, "GET", "/standin/stats", NULL);
     gsize size = 0;
     const char *bytes = g_bytes_get_data(body, &size);
     char *text = g_strndup(bytes, size);
@@ -81,7 +81,7 @@
                   const char *value)
 {
     char *path = g_strconcat("/v1/kv/", key, NULL);
-    g_bytes_unref(exchange(process, "PUT", path, value));
+    g_bytes_unref(send_request(process, "PUT", path, value));
     g_free(path);
 }
 
@@ -89,7 +89,7 @@
 store_process_get(const struct store_process *process, const char *key)
 {
     char *path = g_strconcat("/v1/kv/", key, NULL);
-    GBytes *body = exchange(process, "GET", path, NULL);
+    GBytes *body = send_request(process, "GET", path, NULL);
     gsize size = 0;
     const char *bytes = g_bytes_get_data(body, &size);
     char *text = g_strndup(bytes, size);
--- a/tests/store/store_process.h
+++ b/tests/store/store_process.h
@@ -1,4 +1,4 @@
-/* A stand-in store as a child process of a test. */
+/* The stand-in store as a child process of a test. */
 #ifndef TESTS_STORE_STORE_PROCESS_H
 #define TESTS_STORE_STORE_PROCESS_H
 
@@ -14,11 +14,11 @@
 void
 store_process_start(struct store_process *process);
 
-/** store_process_stop() - end it and wait for it. */
+/** store_process_stop() - kill the process and wait for its exit. */
 void
 store_process_stop(struct store_process *process);
 
-/** store_process_faults() - set fault switches, JSON text. */
+/** store_process_faults() - set the faults of the store, as JSON text. */
 void
 store_process_faults(const struct store_process *process, const char *json);
 
@@ -27,11 +27,11 @@
 store_process_put(const struct store_process *process, const char *key,
                   const char *value);
 
-/** store_process_get() - value of a key as text. */
+/** store_process_get() - value of a key; free with g_free(). */
 char *
 store_process_get(const struct store_process *process, const char *key);
 
-/** store_process_stat() - one number of the statistics. */
+/** store_process_stat() - member @member of the statistics. */
 int64_t
 store_process_stat(const struct store_process *process, const char *member);
 
--- a/tests/store/store_test.c
+++ b/tests/store/store_test.c
@@ -1,3 +1,8 @@
+/*
+ * The client of the key-value store: a compare-and-swap write is reported as
+ * done, refused or unknown as it happened, even if its answer is lost, and a
+ * watch whose call hangs recovers.
+ */
 #include <inttypes.h>
 #include <string.h>
 
@@ -34,7 +39,7 @@
     }
 }
 
-/* Last result seen, and how many there were. */
+/* The last result of a call or watch, and the number of results. */
 struct outcome {
     unsigned calls;
     struct status status;
@@ -43,7 +48,7 @@
 };
 
 static void
-take_result(void *ctx, const struct store_result *result)
+capture_result(void *ctx, const struct store_result *result)
 {
     struct outcome *outcome = ctx;
     outcome->calls++;
@@ -58,10 +63,10 @@
 }
 
 static struct store_callback
-into(struct outcome *outcome)
+capture_in(struct outcome *outcome)
 {
     *outcome = (struct outcome){.calls = 0};
-    return (struct store_callback){.done = take_result, .ctx = outcome};
+    return (struct store_callback){.done = capture_result, .ctx = outcome};
 }
 
 static void
@@ -76,7 +81,7 @@
 cas(struct store *store, const char *key, const char *value, uint64_t version)
 {
     struct outcome outcome;
-    store_cas(store, key, value, strlen(value), version, into(&outcome));
+    store_cas(store, key, value, strlen(value), version, capture_in(&outcome));
     wait_calls(&outcome, 1);
     return outcome;
 }
@@ -85,7 +90,7 @@
 get(struct store *store, const char *key)
 {
     struct outcome outcome;
-    store_get(store, key, into(&outcome));
+    store_get(store, key, capture_in(&outcome));
     wait_calls(&outcome, 1);
     return outcome;
 }
@@ -105,10 +110,10 @@
     struct outcome second = cas(store, "t/a", "2", first.version);
     CU_ASSERT(second.version > first.version);
     struct outcome deleted;
-    store_delete(store, "t/a", first.version, into(&deleted));
+    store_delete(store, "t/a", first.version, capture_in(&deleted));
     wait_calls(&deleted, 1);
     CU_ASSERT_EQUAL(deleted.status.code, STATUS_CONFLICT);
-    store_delete(store, "t/a", second.version, into(&deleted));
+    store_delete(store, "t/a", second.version, capture_in(&deleted));
     wait_calls(&deleted, 1);
     CU_ASSERT_EQUAL(deleted.status.code, STATUS_OK);
     CU_ASSERT_EQUAL(get(store, "t/").status.code, STATUS_OK);
@@ -116,7 +121,8 @@
     store_process_stop(&process);
 }
 
-/* Every write is reported as done and is done once, half the answers lost. */
+/* With half of the answers lost, every write is done once and reported as
+ * done. */
 static void
 test_lost_answers(void)
 {
@@ -165,13 +171,14 @@
     store_process_start(&process);
     struct store *store = open_store();
     struct outcome seen;
-    struct store_watch *watch = store_watch_create(store, "t/a", into(&seen));
+    struct store_watch *watch =
+        store_watch_create(store, "t/a", capture_in(&seen));
     wait_calls(&seen, 1);
     CU_ASSERT_EQUAL(seen.status.code, STATUS_NOT_FOUND);
     struct outcome written = cas(store, "t/a", "1", 0);
     wait_calls(&seen, 2);
     CU_ASSERT_STRING_EQUAL(seen.value, "1");
-    /* The waiting call goes silent for good; new ones work. */
+    /* The pending watch call is never answered; new calls work. */
     store_process_faults(&process, "{\"silence_watches\": true}");
     store_process_faults(&process, "{\"silence_watches\": false}");
     cas(store, "t/a", "2", written.version);
@@ -185,7 +192,8 @@
 
 /*
  * A write takes effect, its answer is lost, and another writer replaces the
- * value before it is read back: a conflict would deny that it took effect.
+ * value before it is read back. Reporting a conflict would wrongly say that
+ * the write did not take effect.
  */
 static enum status_code
 overwrite_before_read_back(struct store *store, struct store *other)
@@ -195,7 +203,7 @@
     int64_t gets = store_process_stat(&process, "gets");
     store_process_faults(&process, "{\"lose_answers_percent\": 100,"
                                    " \"delay_ms\": 200}");
-    store_cas(store, "t/b", "mine", 4, present.version, into(&mine));
+    store_cas(store, "t/b", "mine", 4, present.version, capture_in(&mine));
     while (store_process_stat(&process, "gets") == gets && mine.calls == 0) {
         g_main_context_iteration(NULL, FALSE);
     }
@@ -214,7 +222,8 @@
     struct store *store = open_store();
     struct store *other = open_store();
     enum status_code code = STATUS_OK;
-    /* On a busy machine the read back may come before the other write. */
+    /* On a busy machine the value may be read back before the other write;
+     * then try again. */
     for (unsigned i = 0; i < ROUNDS && code == STATUS_OK; i++) {
         code = overwrite_before_read_back(store, other);
     }
@@ -224,7 +233,7 @@
     store_process_stop(&process);
 }
 
-/* One of WRITERS that all write the same version. */
+/* Of several writers that expect the same version exactly one succeeds. */
 static void
 test_racing_writers(void)
 {
@@ -238,28 +247,28 @@
         stores[i] = open_store();
     }
     for (unsigned round = 0; round < ROUNDS; round++) {
-        unsigned winners = 0;
-        unsigned undecided = 0;
+        unsigned n_written = 0;
+        unsigned n_unknown = 0;
         for (unsigned i = 0; i < WRITERS; i++) {
             char value[32];
             g_snprintf(value, sizeof(value), "%u of %u", i, round);
             store_cas(stores[i], "t/race", value, strlen(value), version,
-                      into(&outcomes[i]));
+                      capture_in(&outcomes[i]));
         }
         for (unsigned i = 0; i < WRITERS; i++) {
             wait_calls(&outcomes[i], 1);
-            winners += outcomes[i].status.code == STATUS_OK;
-            undecided += outcomes[i].status.code == STATUS_UNKNOWN;
+            n_written += outcomes[i].status.code == STATUS_OK;
+            n_unknown += outcomes[i].status.code == STATUS_UNKNOWN;
         }
-        struct outcome stands = get(stores[0], "t/race");
+        struct outcome current = get(stores[0], "t/race");
         for (unsigned i = 0; i < WRITERS; i++) {
             if (outcomes[i].status.code == STATUS_OK) {
-                CU_ASSERT_STRING_EQUAL(outcomes[i].value, stands.value);
+                CU_ASSERT_STRING_EQUAL(outcomes[i].value, current.value);
             }
         }
-        CU_ASSERT_EQUAL(winners, 1);
-        CU_ASSERT(winners + undecided < WRITERS);
-        version = stands.version;
+        CU_ASSERT_EQUAL(n_written, 1);
+        CU_ASSERT(n_written + n_unknown < WRITERS);
+        version = current.version;
     }
     for (unsigned i = 0; i < WRITERS; i++) {
         close_store(stores[i]);
@@ -273,7 +282,7 @@
     static const struct suite_test tests[] = {
         {"compare and swap", test_cas},
         {"lost answers", test_lost_answers},
-        {"lost, then overwritten", test_lost_then_overwritten},
+        {"answer lost, then overwritten", test_lost_then_overwritten},
         {"outage", test_outage},
         {"silent watch", test_silent_watch},
         {"racing writers", test_racing_writers},
