--- a/standins/backend.c
+++ b/standins/backend.c
@@ -1,4 +1,4 @@
-/* standin-backend: every backend server of a small fleet in one process. */
+/* standin-backend: all backend servers of a small fleet in one process. */
 #include "backend.h"
 
 #include <argp.h>
@@ -28,16 +28,18 @@
 };
 
 static const struct argp_option argp_options[] = {
-    {"layout", OPTION_LAYOUT, "POOL:COUNT,...", 0, "hosts of each pool"},
+    {"layout", OPTION_LAYOUT, "POOL:COUNT,...", 0, "hosts per pool"},
     {"dcs", OPTION_DCS, "NAME,...", 0, "data centres"},
-    {"rack-size", OPTION_RACK_SIZE, "N", 0, "hosts of a rack (4)"},
-    {"slots", OPTION_SLOTS, "N", 0, "slots of a host (8)"},
-    {"connections", OPTION_CONNECTIONS, "N", 0, "connections of a host (64)"},
-    {"port-base", OPTION_PORT_BASE, "PORT", 0, "first port (kernel's choice)"},
-    {"admin-port", OPTION_ADMIN_PORT, "PORT", 0, "port for tests"},
-    {"hosts-out", OPTION_HOSTS_OUT, "FILE", 0, "write the host list here"},
+    {"rack-size", OPTION_RACK_SIZE, "N", 0, "hosts per rack (4)"},
+    {"slots", OPTION_SLOTS, "N", 0, "slots per host (8)"},
+    {"connections", OPTION_CONNECTIONS, "N", 0, "connections per host (64)"},
+    {"port-base", OPTION_PORT_BASE, "PORT", 0,
+     "first port (assigned by the kernel)"},
+    {"admin-port", OPTION_ADMIN_PORT, "PORT", 0,
+     "port of the admin interface (assigned by the kernel)"},
+    {"hosts-out", OPTION_HOSTS_OUT, "FILE", 0, "write the host list to FILE"},
     {"port-out", OPTION_PORT_OUT, "FILE", 0,
-     "write the admin port here once everything listens"},
+     "write the admin port to FILE once all ports listen"},
     {0},
 };
 
@@ -80,7 +82,7 @@
 }
 
 static gboolean
-on_stop(gpointer data)
+on_signal(gpointer data)
 {
     g_main_loop_quit(data);
     return G_SOURCE_CONTINUE;
@@ -93,10 +95,10 @@
     backend->hosts = g_ptr_array_new();
     backend->runs = g_ptr_array_new();
     backend->tasks = g_hash_table_new(g_str_hash, g_str_equal);
-    backend->teams = g_hash_table_new(g_str_hash, g_str_equal);
-    backend->dcs = g_hash_table_new(g_str_hash, g_str_equal);
-    backend->queues = g_hash_table_new(g_str_hash, g_str_equal);
-    backend->host_tallies = g_hash_table_new(g_str_hash, g_str_equal);
+    backend->team_counts = g_hash_table_new(g_str_hash, g_str_equal);
+    backend->dc_counts = g_hash_table_new(g_str_hash, g_str_equal);
+    backend->queue_counts = g_hash_table_new(g_str_hash, g_str_equal);
+    backend->host_counts = g_hash_table_new(g_str_hash, g_str_equal);
     backend_admin_serve(backend);
 }
 
@@ -124,7 +126,7 @@
 {
     static const struct argp argp = {
         argp_options, parse_option, NULL,
-        "Plays the backend servers of a fleet on 127.0.0.1."};
+        "Emulates the backend servers of a fleet on 127.0.0.1."};
     struct options options = {
         .layout = {.pools = "work:2",
                    .dcs = "split-1",
@@ -141,16 +143,17 @@
     }
     if (!soup_server_listen_local(backend.admin, options.admin_port,
                                   SOUP_SERVER_LISTEN_IPV4_ONLY, &error)) {
-        fprintf(stderr, "admin port: %s\n", error->message);
+        fprintf(stderr, "cannot listen on the admin port: %s\n",
+                error->message);
         return EXIT_FAILURE;
     }
     if (!write_files(&backend, &options)) {
-        fprintf(stderr, "can't write the output files\n");
+        fprintf(stderr, "cannot write the host list or the admin port\n");
         return EXIT_FAILURE;
     }
     GMainLoop *loop = g_main_loop_new(NULL, FALSE);
-    g_unix_signal_add(SIGTERM, on_stop, loop);
-    g_unix_signal_add(SIGINT, on_stop, loop);
+    g_unix_signal_add(SIGTERM, on_signal, loop);
+    g_unix_signal_add(SIGINT, on_signal, loop);
     g_main_loop_run(loop);
     return EXIT_SUCCESS;
 }
--- a/standins/backend.h
+++ b/standins/backend.h
@@ -1,4 +1,4 @@
-/* One process that plays every backend server of a fleet. */
+/* Emulates all backend servers of a fleet in one process. */
 #ifndef STANDINS_BACKEND_H
 #define STANDINS_BACKEND_H
 
@@ -8,15 +8,15 @@
 #include <stdint.h>
 
 /**
- * struct backend_mode - faults of one host, set at run time
- * @fail: every task it starts fails
- * @leaving: refuses new tasks as not run
- * @full: refuses new tasks as full
- * @hang: starts tasks and never answers
+ * struct backend_faults - injected faults of one host, set at run time
+ * @fail: every task that it runs fails
+ * @leaving: refuses new tasks with the reason "leaving"
+ * @full: refuses new tasks with the reason "full"
+ * @hang: starts tasks that end only when their lease expires
  * @down: refuses connections
- * @extra_ms: added to every run
+ * @extra_ms: added to the run time of every task
  */
-struct backend_mode {
+struct backend_faults {
     bool fail;
     bool leaving;
     bool full;
@@ -27,11 +27,11 @@
 
 /**
  * struct backend_host - one backend server
- * @open: sockets of connections now open
- * @slots, @connections: its bounds
- * @running, @running_high: tasks now and at most
- * @open_high: connections at most
- * @refused_connections: connections closed for being over the bound
+ * @open_sockets: sockets of the open connections
+ * @slots, @connections: limits on concurrent tasks and open connections
+ * @running, @running_peak: running tasks: now, and the highest number so far
+ * @open_peak: highest number of open connections so far
+ * @refused_connections: connections closed because @connections was reached
  */
 struct backend_host {
     struct backend *backend;
@@ -42,12 +42,12 @@
     uint16_t port;
     uint32_t slots;
     uint32_t connections;
-    struct backend_mode mode;
+    struct backend_faults faults;
     SoupServer *server;
-    GHashTable *open;
+    GHashTable *open_sockets;
     uint32_t running;
-    uint32_t running_high;
-    uint32_t open_high;
+    uint32_t running_peak;
+    uint32_t open_peak;
     uint64_t refused_connections;
 };
 
@@ -56,11 +56,11 @@
     RUN_DONE,
     RUN_FAILED,
     RUN_STOPPED,
-    RUN_LEASE_ENDED,
+    RUN_LEASE_EXPIRED,
 };
 
 /**
- * struct run - one task that ran, or runs
+ * struct run - record of one task that runs or has run
  * @start_ms, @end_ms: monotonic time; @end_ms is 0 while it runs
  */
 struct run {
@@ -74,41 +74,45 @@
     enum run_state state;
 };
 
-/** struct tally - starts counted under one name */
-struct tally {
+/** struct run_counts - runs counted per team, queue, data centre or host */
+struct run_counts {
     uint32_t running;
-    uint32_t running_high;
+    uint32_t running_peak;
     uint64_t started;
     uint64_t ended;
     int64_t last_start_ms;
 };
 
 /**
- * struct backend - the process
+ * struct backend - state of the process
  * @hosts: struct backend_host
  * @runs: struct run, in order of start
- * @tasks: struct backend_task by id; NULL for ids that never start
- * @teams, @dcs, @queues, @host_tallies: struct tally by name
+ * @tasks: struct backend_task by id; NULL for ids cancelled before their start
+ * @team_counts, @dc_counts, @queue_counts, @host_counts: struct run_counts by
+ *                                                        name
+ * @duplicates: requests whose task id had been used before
+ * @refused: requests refused for any reason
+ * @lease_expiries: tasks ended because their lease expired
  */
 struct backend {
     SoupServer *admin;
     GPtrArray *hosts;
     GPtrArray *runs;
     GHashTable *tasks;
-    GHashTable *teams;
-    GHashTable *dcs;
-    GHashTable *queues;
-    GHashTable *host_tallies;
+    GHashTable *team_counts;
+    GHashTable *dc_counts;
+    GHashTable *queue_counts;
+    GHashTable *host_counts;
     uint64_t duplicates;
     uint64_t refused;
-    uint64_t lease_ends;
+    uint64_t lease_expiries;
 };
 
-/** backend_now_ms() - the kernel's monotonic clock. */
+/** backend_now_ms() - monotonic time. */
 int64_t
 backend_now_ms(void);
 
-/** struct backend_layout - hosts to make, from the command line */
+/** struct backend_layout - hosts to create, from the command line */
 struct backend_layout {
     const char *pools;
     const char *dcs;
@@ -118,24 +122,26 @@
     uint16_t port_base;
 };
 
-/** backend_layout_make() - make hosts; false with a message on stderr. */
+/** backend_layout_make() - create the hosts and listen on their ports; on
+ * failure print an error to stderr and return false. */
 bool
 backend_layout_make(struct backend *backend,
                     const struct backend_layout *layout);
 
-/** backend_hosts_json() - the platform's host list for these hosts. */
+/** backend_hosts_json() - host list in the format of the platform. */
 char *
 backend_hosts_json(const struct backend *backend);
 
-/** backend_host_listen() - start accepting; false when the port is taken. */
+/** backend_host_listen() - start accepting connections; false when the port
+ * is in use. */
 bool
 backend_host_listen(struct backend_host *host);
 
-/** backend_host_close() - stop accepting and cut every connection. */
+/** backend_host_close() - stop accepting and close every connection. */
 void
 backend_host_close(struct backend_host *host);
 
-/** backend_run_start() - record a start. */
+/** backend_run_start() - record the start of a task. */
 struct run *
 backend_run_start(struct backend *backend, struct backend_host *host,
                   const char *task, const char *team, const char *queue,
@@ -146,19 +152,20 @@
 backend_run_end(struct backend *backend, struct run *run,
                 enum run_state state);
 
-/** backend_highs_restart() - count highest numbers anew from now on. */
+/** backend_peaks_reset() - set every peak to its current value. */
 void
-backend_highs_restart(struct backend *backend);
+backend_peaks_reset(struct backend *backend);
 
-/** backend_tasks_serve() - handle the gateway's requests to @host. */
+/** backend_tasks_serve() - handle task requests of the gateways to @host. */
 void
 backend_tasks_serve(struct backend_host *host);
 
-/** backend_admin_serve() - handle the tests' requests. */
+/** backend_admin_serve() - handle requests to the admin interface. */
 void
 backend_admin_serve(struct backend *backend);
 
-/** backend_runs_json(), backend_summary_json() - records as text. */
+/** backend_runs_json(), backend_summary_json() - records of all runs, and
+ * counts by team, queue, data centre and host, as JSON. */
 char *
 backend_runs_json(const struct backend *backend);
 char *
--- a/standins/backend_host.c
+++ b/standins/backend_host.c
@@ -7,18 +7,18 @@
 
 enum {
     BACKLOG_CONNECTIONS = 512,
-    /* POLLRDHUP, which GIO has no name for. */
+    /* POLLRDHUP; GIOCondition has no name for it. */
     PEER_CLOSED = 0x2000,
 };
 
 static void
-forget_socket(gpointer data, GObject *socket)
+remove_socket(gpointer data, GObject *socket)
 {
     struct backend_host *host = data;
-    g_hash_table_remove(host->open, socket);
+    g_hash_table_remove(host->open_sockets, socket);
 }
 
-/* The library keeps a connection whose client closed it while it was idle. */
+/* libsoup does not notice that a client has closed an idle connection. */
 static gboolean
 on_hang_up(gint fd, GIOCondition condition, gpointer data)
 {
@@ -30,7 +30,7 @@
 static void
 watch_hang_up(struct backend_host *host, GSocket *socket)
 {
-    g_object_weak_ref(G_OBJECT(socket), forget_socket, host);
+    g_object_weak_ref(G_OBJECT(socket), remove_socket, host);
     g_unix_fd_add_full(G_PRIORITY_LOW, g_socket_get_fd(socket),
                        (GIOCondition)PEER_CLOSED, on_hang_up,
                        g_object_ref(socket), g_object_unref);
@@ -42,7 +42,7 @@
     if (!g_socket_is_closed(socket)) {
         return FALSE;
     }
-    g_object_weak_unref(socket, forget_socket, data);
+    g_object_weak_unref(socket, remove_socket, data);
     return TRUE;
 }
 
@@ -52,18 +52,18 @@
 {
     struct backend_host *host = data;
     GSocket *socket = soup_server_message_get_socket(message);
-    if (socket == NULL || g_hash_table_contains(host->open, socket)) {
+    if (socket == NULL || g_hash_table_contains(host->open_sockets, socket)) {
         return;
     }
-    g_hash_table_foreach_remove(host->open, is_closed, host);
-    uint32_t open = g_hash_table_size(host->open);
-    if (open >= host->connections) {
+    g_hash_table_foreach_remove(host->open_sockets, is_closed, host);
+    uint32_t open_sockets = g_hash_table_size(host->open_sockets);
+    if (open_sockets >= host->connections) {
         host->refused_connections++;
         g_socket_shutdown(socket, TRUE, TRUE, NULL);
         return;
     }
-    host->open_high = MAX(host->open_high, open + 1);
-    g_hash_table_add(host->open, socket);
+    host->open_peak = MAX(host->open_peak, open_sockets + 1);
+    g_hash_table_add(host->open_sockets, socket);
     watch_hang_up(host, socket);
 }
 
@@ -124,11 +124,11 @@
 backend_host_close(struct backend_host *host)
 {
     soup_server_disconnect(host->server);
-    GList *open = g_hash_table_get_keys(host->open);
-    for (GList *link = open; link != NULL; link = link->next) {
+    GList *open_sockets = g_hash_table_get_keys(host->open_sockets);
+    for (GList *link = open_sockets; link != NULL; link = link->next) {
         g_socket_shutdown(link->data, TRUE, TRUE, NULL);
     }
-    g_list_free(open);
+    g_list_free(open_sockets);
 }
 
 static void
@@ -144,7 +144,7 @@
     host->pool = g_strdup(pool);
     host->slots = layout->slots;
     host->connections = layout->connections;
-    host->open = g_hash_table_new(NULL, NULL);
+    host->open_sockets = g_hash_table_new(NULL, NULL);
     if (layout->port_base != 0) {
         host->port = (uint16_t)(layout->port_base + backend->hosts->len);
     }
@@ -159,7 +159,8 @@
     uint32_t n_dcs = g_strv_length(dcs);
     bool valid = parts[0] != NULL && parts[1] != NULL;
     uint64_t count = valid ? g_ascii_strtoull(parts[1], NULL, 10) : 0;
-    /* Start where there are fewest hosts, so that odd pools even out. */
+    /* Start at the data centre with the fewest hosts: pool sizes that aren't
+     * a multiple of the number of data centres still spread evenly. */
     uint32_t first = 0;
     for (uint32_t i = 1; i < n_dcs; i++) {
         first = dc_sizes[i] < dc_sizes[first] ? i : first;
@@ -184,8 +185,9 @@
         made = make_pool(backend, layout, dcs, dc_sizes, *pool);
     }
     if (!made) {
-        fprintf(stderr, "bad layout: %s over %s\n", layout->pools,
-                layout->dcs);
+        fprintf(stderr,
+                "invalid layout: pools \"%s\" in data centres \"%s\"\n",
+                layout->pools, layout->dcs);
     }
     for (guint i = 0; made && i < backend->hosts->len; i++) {
         made = backend_host_listen(g_ptr_array_index(backend->hosts, i));
@@ -211,8 +213,8 @@
             "\"%s\"}}, \"Checks\": [{\"Status\": \"%s\"}]}",
             i == 0 ? "" : ",", host->name, host->dc, host->rack, host->port,
             host->slots, host->connections,
-            host->mode.leaving ? "leaving" : "live", host->pool,
-            host->mode.down ? "critical" : "passing");
+            host->faults.leaving ? "leaving" : "live", host->pool,
+            host->faults.down ? "critical" : "passing");
     }
     g_string_append(text, "\n]\n");
     return g_string_free(text, FALSE);
--- a/standins/backend_runs.c
+++ b/standins/backend_runs.c
@@ -10,33 +10,33 @@
     return g_get_monotonic_time() / 1000;
 }
 
-static struct tally *
-find_tally(GHashTable *tallies, const char *name)
+static struct run_counts *
+find_counts(GHashTable *counts, const char *name)
 {
-    struct tally *tally = g_hash_table_lookup(tallies, name);
-    if (tally == NULL) {
-        tally = g_new0(struct tally, 1);
-        g_hash_table_insert(tallies, g_strdup(name), tally);
+    struct run_counts *entry = g_hash_table_lookup(counts, name);
+    if (entry == NULL) {
+        entry = g_new0(struct run_counts, 1);
+        g_hash_table_insert(counts, g_strdup(name), entry);
     }
-    return tally;
+    return entry;
 }
 
 static void
-tally_start(GHashTable *tallies, const char *name, int64_t now_ms)
+count_start(GHashTable *counts, const char *name, int64_t now_ms)
 {
-    struct tally *tally = find_tally(tallies, name);
-    tally->started++;
-    tally->running++;
-    tally->running_high = MAX(tally->running_high, tally->running);
-    tally->last_start_ms = now_ms;
+    struct run_counts *entry = find_counts(counts, name);
+    entry->started++;
+    entry->running++;
+    entry->running_peak = MAX(entry->running_peak, entry->running);
+    entry->last_start_ms = now_ms;
 }
 
 static void
-tally_end(GHashTable *tallies, const char *name)
+count_end(GHashTable *counts, const char *name)
 {
-    struct tally *tally = find_tally(tallies, name);
-    tally->ended++;
-    tally->running--;
+    struct run_counts *entry = find_counts(counts, name);
+    entry->ended++;
+    entry->running--;
 }
 
 struct run *
@@ -56,11 +56,11 @@
     };
     g_ptr_array_add(backend->runs, run);
     host->running++;
-    host->running_high = MAX(host->running_high, host->running);
-    tally_start(backend->teams, team, run->start_ms);
-    tally_start(backend->queues, queue, run->start_ms);
-    tally_start(backend->dcs, host->dc, run->start_ms);
-    tally_start(backend->host_tallies, host->name, run->start_ms);
+    host->running_peak = MAX(host->running_peak, host->running);
+    count_start(backend->team_counts, team, run->start_ms);
+    count_start(backend->queue_counts, queue, run->start_ms);
+    count_start(backend->dc_counts, host->dc, run->start_ms);
+    count_start(backend->host_counts, host->name, run->start_ms);
     return run;
 }
 
@@ -70,35 +70,35 @@
     run->state = state;
     run->end_ms = backend_now_ms();
     run->host->running--;
-    tally_end(backend->teams, run->team);
-    tally_end(backend->queues, run->queue);
-    tally_end(backend->dcs, run->host->dc);
-    tally_end(backend->host_tallies, run->host->name);
+    count_end(backend->team_counts, run->team);
+    count_end(backend->queue_counts, run->queue);
+    count_end(backend->dc_counts, run->host->dc);
+    count_end(backend->host_counts, run->host->name);
 }
 
 static void
-restart_tallies(GHashTable *tallies)
+reset_peaks(GHashTable *counts)
 {
     GHashTableIter iter;
     gpointer value = NULL;
-    g_hash_table_iter_init(&iter, tallies);
+    g_hash_table_iter_init(&iter, counts);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        struct tally *tally = value;
-        tally->running_high = tally->running;
+        struct run_counts *entry = value;
+        entry->running_peak = entry->running;
     }
 }
 
 void
-backend_highs_restart(struct backend *backend)
+backend_peaks_reset(struct backend *backend)
 {
-    restart_tallies(backend->teams);
-    restart_tallies(backend->queues);
-    restart_tallies(backend->dcs);
-    restart_tallies(backend->host_tallies);
+    reset_peaks(backend->team_counts);
+    reset_peaks(backend->queue_counts);
+    reset_peaks(backend->dc_counts);
+    reset_peaks(backend->host_counts);
     for (guint i = 0; i < backend->hosts->len; i++) {
         struct backend_host *host = g_ptr_array_index(backend->hosts, i);
-        host->running_high = host->running;
-        host->open_high = g_hash_table_size(host->open);
+        host->running_peak = host->running;
+        host->open_peak = g_hash_table_size(host->open_sockets);
     }
 }
 
@@ -123,23 +123,23 @@
 }
 
 static void
-append_tallies(GString *text, const char *name, GHashTable *tallies)
+append_counts(GString *text, const char *name, GHashTable *counts)
 {
     GHashTableIter iter;
     gpointer key = NULL;
     gpointer value = NULL;
     const char *comma = "";
     g_string_append_printf(text, ",\n\"%s\": {", name);
-    g_hash_table_iter_init(&iter, tallies);
+    g_hash_table_iter_init(&iter, counts);
     while (g_hash_table_iter_next(&iter, &key, &value)) {
-        const struct tally *tally = value;
+        const struct run_counts *entry = value;
         g_string_append_printf(
             text,
             "%s\n\"%s\": {\"running\": %u, \"running_high\": %u, "
             "\"started\": %" G_GUINT64_FORMAT ", \"ended\": %" G_GUINT64_FORMAT
             ", \"last_start_ms\": %" G_GINT64_FORMAT "}",
-            comma, (const char *)key, tally->running, tally->running_high,
-            tally->started, tally->ended, tally->last_start_ms);
+            comma, (const char *)key, entry->running, entry->running_peak,
+            entry->started, entry->ended, entry->last_start_ms);
         comma = ",";
     }
     g_string_append(text, "}");
@@ -148,13 +148,13 @@
 char *
 backend_summary_json(const struct backend *backend)
 {
-    uint32_t running_high = 0;
-    uint32_t open_high = 0;
+    uint32_t running_peak = 0;
+    uint32_t open_peak = 0;
     uint64_t refused_connections = 0;
     for (guint i = 0; i < backend->hosts->len; i++) {
         const struct backend_host *host = g_ptr_array_index(backend->hosts, i);
-        running_high = MAX(running_high, host->running_high);
-        open_high = MAX(open_high, host->open_high);
+        running_peak = MAX(running_peak, host->running_peak);
+        open_peak = MAX(open_peak, host->open_peak);
         refused_connections += host->refused_connections;
     }
     GString *text = g_string_new(NULL);
@@ -166,11 +166,11 @@
         ", \"host_connections_high\": %u"
         ", \"refused_connections\": %" G_GUINT64_FORMAT,
         backend_now_ms(), backend->duplicates, backend->refused,
-        backend->lease_ends, running_high, open_high, refused_connections);
-    append_tallies(text, "teams", backend->teams);
-    append_tallies(text, "queues", backend->queues);
-    append_tallies(text, "dcs", backend->dcs);
-    append_tallies(text, "hosts", backend->host_tallies);
+        backend->lease_expiries, running_peak, open_peak, refused_connections);
+    append_counts(text, "teams", backend->team_counts);
+    append_counts(text, "queues", backend->queue_counts);
+    append_counts(text, "dcs", backend->dc_counts);
+    append_counts(text, "hosts", backend->host_counts);
     g_string_append(text, "}\n");
     return g_string_free(text, FALSE);
 }
--- a/standins/backend_tasks.c
+++ b/standins/backend_tasks.c
@@ -1,28 +1,28 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#include "answer.h"
+#include "task_spec.h"
 #include "backend.h"
 
 enum {
-    DEFAULT_LEASE_MS = 60000
+    LEASE_DEFAULT_MS = 60000
 };
 
 #define TASKS_PATH "/v1/tasks/"
 
 /**
- * struct backend_task - a task that runs or ran
- * @run: its record
- * @message: the request that waits for its answer, or NULL
- * @end_timer, @lease_timer: main loop sources, 0 when not set
+ * struct backend_task - a task that runs or has run
+ * @run: record of the run
+ * @message: request that waits for its response, or NULL
+ * @run_timer, @lease_timer: main loop sources, 0 when not set
  */
 struct backend_task {
     struct backend *backend;
     struct run *run;
     SoupServerMessage *message;
-    struct answer_order order;
-    GBytes *answer;
-    guint end_timer;
+    struct task_spec spec;
+    GBytes *response;
+    guint run_timer;
     guint lease_timer;
 };
 
@@ -37,8 +37,8 @@
 }
 
 static void
-answer_text(SoupServerMessage *message, const struct backend_host *host,
-            guint status, const char *text)
+respond(SoupServerMessage *message, const struct backend_host *host,
+        guint status, const char *text)
 {
     set_running_header(message, host);
     soup_server_message_set_status(message, status, NULL);
@@ -55,7 +55,7 @@
     soup_message_headers_replace(headers, "Egret-Outcome", outcome);
     soup_message_headers_replace(headers, "Egret-Reason", reason);
     host->backend->refused++;
-    answer_text(message, host, status, reason);
+    respond(message, host, status, reason);
 }
 
 static void
@@ -73,16 +73,16 @@
 }
 
 static void
-cut_connection(SoupServerMessage *message)
+close_connection(SoupServerMessage *message)
 {
     close_stream(soup_server_message_steal_connection(message), false);
 }
 
 static void
-answer_half(SoupServerMessage *message, const struct backend_task *task)
+send_half_response(SoupServerMessage *message, const struct backend_task *task)
 {
     gsize size_bytes = 0;
-    const char *data = g_bytes_get_data(task->answer, &size_bytes);
+    const char *data = g_bytes_get_data(task->response, &size_bytes);
     GIOStream *stream = soup_server_message_steal_connection(message);
     GOutputStream *out = g_io_stream_get_output_stream(stream);
     char *head = g_strdup_printf("HTTP/1.1 200 OK\r\n"
@@ -92,11 +92,12 @@
     g_output_stream_write_all(out, head, strlen(head), NULL, NULL, NULL);
     g_output_stream_write_all(out, data, size_bytes / 2, NULL, NULL, NULL);
     g_free(head);
-    close_stream(stream, task->order.cut == ANSWER_CUT_MID_ANSWER);
+    close_stream(stream,
+                 task->spec.disconnect == DISCONNECT_RESET_MID_RESPONSE);
 }
 
 static void
-drop_message(struct backend_task *task)
+release_message(struct backend_task *task)
 {
     if (task->message != NULL) {
         g_signal_handlers_disconnect_by_data(task->message, task);
@@ -105,31 +106,31 @@
 }
 
 static void
-send_answer(struct backend_task *task, enum run_state state)
+send_response(struct backend_task *task, enum run_state state)
 {
     SoupServerMessage *message = task->message;
     if (message == NULL) {
         return;
     }
     g_object_ref(message);
-    drop_message(task);
-    if (state == RUN_DONE && task->order.cut >= ANSWER_CUT_MID_ANSWER) {
-        answer_half(message, task);
+    release_message(task);
+    if (state == RUN_DONE &&
+        task->spec.disconnect >= DISCONNECT_RESET_MID_RESPONSE) {
+        send_half_response(message, task);
         g_object_unref(message);
         return;
     }
     set_running_header(message, task->run->host);
     if (state == RUN_DONE) {
         gsize size_bytes = 0;
-        const char *data = g_bytes_get_data(task->answer, &size_bytes);
+        const char *data = g_bytes_get_data(task->response, &size_bytes);
         soup_server_message_set_status(message, SOUP_STATUS_OK, NULL);
         soup_server_message_set_response(message, "text/plain",
                                          SOUP_MEMORY_COPY, data, size_bytes);
     }
     else {
-        answer_text(message, task->run->host,
-                    SOUP_STATUS_INTERNAL_SERVER_ERROR,
-                    state == RUN_STOPPED ? "stopped" : "failed");
+        respond(message, task->run->host, SOUP_STATUS_INTERNAL_SERVER_ERROR,
+                state == RUN_STOPPED ? "stopped" : "failed");
     }
     soup_server_message_unpause(message);
     g_object_unref(message);
@@ -141,30 +142,30 @@
     if (task->run->state != RUN_RUNNING) {
         return;
     }
-    g_clear_handle_id(&task->end_timer, g_source_remove);
+    g_clear_handle_id(&task->run_timer, g_source_remove);
     g_clear_handle_id(&task->lease_timer, g_source_remove);
     backend_run_end(task->backend, task->run, state);
-    send_answer(task, state);
-    g_clear_pointer(&task->answer, g_bytes_unref);
+    send_response(task, state);
+    g_clear_pointer(&task->response, g_bytes_unref);
 }
 
 static gboolean
-on_run_over(gpointer data)
+on_run_finished(gpointer data)
 {
     struct backend_task *task = data;
-    bool failed = task->order.fail || task->run->host->mode.fail;
-    task->end_timer = 0;
+    bool failed = task->spec.fail || task->run->host->faults.fail;
+    task->run_timer = 0;
     end_task(task, failed ? RUN_FAILED : RUN_DONE);
     return G_SOURCE_REMOVE;
 }
 
 static gboolean
-on_lease_over(gpointer data)
+on_lease_expired(gpointer data)
 {
     struct backend_task *task = data;
     task->lease_timer = 0;
-    task->backend->lease_ends++;
-    end_task(task, RUN_LEASE_ENDED);
+    task->backend->lease_expiries++;
+    end_task(task, RUN_LEASE_EXPIRED);
     return G_SOURCE_REMOVE;
 }
 
@@ -172,15 +173,15 @@
 on_finished(SoupServerMessage *message, gpointer data)
 {
     struct backend_task *task = data;
-    drop_message(task);
+    release_message(task);
 }
 
 static int64_t
-lease_of(SoupMessageHeaders *headers)
+lease_ms_of(SoupMessageHeaders *headers)
 {
     const char *text = soup_message_headers_get_one(headers, "Egret-Lease-Ms");
     int64_t lease_ms = text == NULL ? 0 : g_ascii_strtoll(text, NULL, 10);
-    return lease_ms > 0 ? lease_ms : DEFAULT_LEASE_MS;
+    return lease_ms > 0 ? lease_ms : LEASE_DEFAULT_MS;
 }
 
 static const char *
@@ -192,7 +193,7 @@
 
 static void
 start_task(struct backend_host *host, SoupServerMessage *message,
-           const char *id, struct answer_order *order)
+           const char *id, struct task_spec *spec)
 {
     struct backend *backend = host->backend;
     SoupMessageHeaders *headers =
@@ -200,30 +201,31 @@
     SoupMessageBody *body = soup_server_message_get_request_body(message);
     struct backend_task *task = g_new0(struct backend_task, 1);
     task->backend = backend;
-    task->order = *order;
-    task->answer = answer_build(order, body->data, (size_t)body->length);
+    task->spec = *spec;
+    task->response =
+        task_spec_response(spec, body->data, (size_t)body->length);
     task->run = backend_run_start(backend, host, id,
                                   header_or_dash(headers, "Egret-Team"),
                                   header_or_dash(headers, "Egret-Queue"),
-                                  order->tag == NULL ? "-" : order->tag);
+                                  spec->tag == NULL ? "-" : spec->tag);
     g_hash_table_insert(backend->tasks, g_strdup(id), task);
-    if (order->cut == ANSWER_CUT_AFTER_READ) {
-        cut_connection(message);
+    if (spec->disconnect == DISCONNECT_AFTER_READ) {
+        close_connection(message);
     }
     else {
         task->message = g_object_ref(message);
         g_signal_connect(message, "finished", G_CALLBACK(on_finished), task);
         soup_server_message_pause(message);
     }
-    int64_t run_ms = order->run_ms + host->mode.extra_ms;
-    if (run_ms == 0 && !host->mode.hang) {
-        on_run_over(task);
+    int64_t run_ms = spec->run_ms + host->faults.extra_ms;
+    if (run_ms == 0 && !host->faults.hang) {
+        on_run_finished(task);
         return;
     }
     task->lease_timer =
-        g_timeout_add((guint)lease_of(headers), on_lease_over, task);
-    if (!host->mode.hang) {
-        task->end_timer = g_timeout_add((guint)run_ms, on_run_over, task);
+        g_timeout_add((guint)lease_ms_of(headers), on_lease_expired, task);
+    if (!host->faults.hang) {
+        task->run_timer = g_timeout_add((guint)run_ms, on_run_finished, task);
     }
 }
 
@@ -237,25 +239,25 @@
         refuse(message, host, SOUP_STATUS_CONFLICT, "duplicate", "duplicate");
         return;
     }
-    if (host->mode.leaving) {
+    if (host->faults.leaving) {
         refuse(message, host, SOUP_STATUS_SERVICE_UNAVAILABLE, "not-run",
                "leaving");
         return;
     }
-    if (host->mode.full || host->running >= host->slots) {
+    if (host->faults.full || host->running >= host->slots) {
         refuse(message, host, SOUP_STATUS_SERVICE_UNAVAILABLE, "not-run",
                "full");
         return;
     }
     SoupMessageBody *body = soup_server_message_get_request_body(message);
-    struct answer_order order;
-    answer_order_parse(&order, body->data, (size_t)body->length);
-    if (order.cut == ANSWER_CUT_BEFORE) {
-        answer_order_clear(&order);
-        cut_connection(message);
+    struct task_spec spec;
+    task_spec_parse(&spec, body->data, (size_t)body->length);
+    if (spec.disconnect == DISCONNECT_BEFORE_RUN) {
+        task_spec_clear(&spec);
+        close_connection(message);
         return;
     }
-    start_task(host, message, id, &order);
+    start_task(host, message, id, &spec);
 }
 
 static void
@@ -266,7 +268,7 @@
     const char *state = "ended";
     struct backend_task *task = g_hash_table_lookup(tasks, id);
     if (!g_hash_table_contains(tasks, id)) {
-        /* Remembered, so that a start that comes late is refused. */
+        /* Record the id, so that a delayed start request is refused. */
         g_hash_table_insert(tasks, g_strdup(id), NULL);
         state = "never-started";
     }
@@ -278,7 +280,7 @@
         state = "stopped";
     }
     char *text = g_strdup_printf("{\"state\": \"%s\"}", state);
-    answer_text(message, host, SOUP_STATUS_OK, text);
+    respond(message, host, SOUP_STATUS_OK, text);
     g_free(text);
 }
 
@@ -293,7 +295,7 @@
         state = task->run->state == RUN_RUNNING ? "running" : "ended";
     }
     char *text = g_strdup_printf("{\"state\": \"%s\"}", state);
-    answer_text(message, host, SOUP_STATUS_OK, text);
+    respond(message, host, SOUP_STATUS_OK, text);
     g_free(text);
 }
 
--- a/standins/load_callers.c
+++ b/standins/load_callers.c
@@ -1,6 +1,6 @@
 #include <string.h>
 
-#include "answer.h"
+#include "task_spec.h"
 #include "common/random.h"
 #include "load.h"
 #include "load_http.h"
@@ -37,13 +37,13 @@
 static bool
 answer_is_whole(const struct load_request *request, GBytes *answer)
 {
-    struct answer_order order;
+    struct task_spec order;
     size_t size_bytes = strlen(request->body);
-    answer_order_parse(&order, request->body, size_bytes);
-    GBytes *wanted = answer_build(&order, request->body, size_bytes);
+    task_spec_parse(&order, request->body, size_bytes);
+    GBytes *wanted = task_spec_response(&order, request->body, size_bytes);
     bool whole = g_bytes_equal(wanted, answer);
     g_bytes_unref(wanted);
-    answer_order_clear(&order);
+    task_spec_clear(&order);
     return whole;
 }
 
--- a/standins/ports_main.c
+++ b/standins/ports_main.c
@@ -1,4 +1,4 @@
-/* Prints free ports, one a line, for scripts. */
+/* standin-ports: prints free ports for scripts, one per line. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
