--- a/egretctl/gateways.h
+++ b/egretctl/gateways.h
@@ -22,9 +22,8 @@
 };
 
 /** gateways_fetch() - gateways in the members record, sorted by name; NULL
- * with
- * @status set if the record can't be read. Without a record the array is
- * empty. */
+ * with an error in @status if the record can't be read. Without a record the
+ * array is empty. */
 GPtrArray *
 gateways_fetch(struct ctl *ctl, struct status *status);
 
--- a/tests/fleet/fleet_sim.c
+++ b/tests/fleet/fleet_sim.c
@@ -614,9 +614,8 @@
     }
 }
 
-/* The actions of @plan that change one record: with FLEET_WRITE_HOST host
- * shard
- * @slot, with FLEET_ADMIT the disruption record of pool @slot. */
+/* The actions of @plan that change one record: host shard @slot for
+ * FLEET_WRITE_HOST, the disruption record of pool @slot for FLEET_ADMIT. */
 static GPtrArray *
 actions_for_record(struct fleet_sim *sim, const struct fleet_plan *plan,
                    enum fleet_action_kind kind, size_t slot)
--- a/tests/fleet/planner_policy_test.c
+++ b/tests/fleet/planner_policy_test.c
@@ -346,8 +346,8 @@
     run_steps(sim, 600);
     CU_ASSERT_EQUAL(count_state(sim, NULL, HOST_SERVING), sim->n_hosts);
     CU_ASSERT_EQUAL(sim->reboots, sim->n_hosts);
-    /* A host that fails again right after its return stays out for the repair
-     * time. */
+    /* A host whose tasks fail again right after its return is out of service
+     * for suspect_hold_ms before its next reboot. */
     sim->hosts[0].fails_all_tasks = true;
     while (count_state(sim, NULL, HOST_RETURNING) == 0) {
         fleet_sim_step(sim);
