--- a/standins/load.c
+++ b/standins/load.c
@@ -1,4 +1,5 @@
-/* standin-load: callers for the demo, the process tests and the bench. */
+/* standin-load: load generator for the demo, the process tests and the
+ * benchmarks. */
 #include "load.h"
 
 #include <argp.h>
@@ -18,10 +19,10 @@
 
 static const struct argp_option argp_options[] = {
     {"targets", 't', "IP:PORT,...", 0, "gateways"},
-    {"plan", 'p', "FILE", 0, "what each team sends"},
-    {"config", 'c', "FILE", 0, "configuration, for shares and limits"},
-    {"backend", 'b', "IP:PORT", 0, "admin port of the backend stand-in"},
-    {"out", 'o', "FILE", 0, "write results as JSON here"},
+    {"plan", 'p', "FILE", 0, "load plan: what each team sends"},
+    {"config", 'c', "FILE", 0, "configuration to read shares and limits from"},
+    {"backend", 'b', "IP:PORT", 0, "admin address of standin-backend"},
+    {"out", 'o', "FILE", 0, "write the results to FILE as JSON"},
     {0},
 };
 
@@ -55,7 +56,7 @@
 prepare(struct load *load, const struct options *options)
 {
     if (options->targets == NULL || options->plan == NULL) {
-        fprintf(stderr, "--targets and --plan are needed\n");
+        fprintf(stderr, "--targets and --plan are required\n");
         return false;
     }
     load->targets = g_strsplit(options->targets, ",", -1);
@@ -73,26 +74,26 @@
 {
     static const struct argp argp = {
         argp_options, parse_option, NULL,
-        "Sends the work of several teams and checks what became of it."};
+        "Sends requests of several teams and checks their outcomes."};
     struct options options = {0};
     struct load load = {0};
-    struct load_verdict verdict = {0};
+    struct load_checks checks = {0};
     argp_parse(&argp, argc, argv, 0, NULL, &options);
     if (!prepare(&load, &options)) {
         return EXIT_FAILURE;
     }
     load_run(&load);
     if (options.backend != NULL) {
-        verdict = load_check(&load, options.backend);
+        checks = load_check(&load, options.backend);
     }
     load_print_table(&load);
     if (options.out != NULL &&
-        !load_write_results(&load, &verdict, options.out)) {
-        fprintf(stderr, "can't write %s\n", options.out);
+        !load_write_results(&load, &checks, options.out)) {
+        fprintf(stderr, "cannot write %s\n", options.out);
         return EXIT_FAILURE;
     }
     printf("invariants: %" PRIu64 " checked, %" PRIu64 " violated\n",
-           verdict.checked, verdict.violated);
-    bool good = verdict.violated == 0 && verdict.checked > 0;
-    return good || options.backend == NULL ? EXIT_SUCCESS : EXIT_FAILURE;
+           checks.checked, checks.violated);
+    bool ok = checks.violated == 0 && checks.checked > 0;
+    return ok || options.backend == NULL ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/standins/load_callers.c
+++ b/standins/load_callers.c
@@ -8,10 +8,10 @@
 enum {
     TICK_MS = 1,
     PERMILLE = 1000,
-    SETTLE_MS = 300,
+    LATE_START_WAIT_MS = 300,
 };
 
-/** struct load_call - a request that waits for its answer */
+/** struct load_call - a request that waits for its response */
 struct load_call {
     struct load_request *request;
     bool closed_loop;
@@ -35,16 +35,16 @@
 }
 
 static bool
-answer_is_whole(const struct load_request *request, GBytes *answer)
+response_is_valid(const struct load_request *request, GBytes *response)
 {
-    struct task_spec order;
+    struct task_spec spec;
     size_t size_bytes = strlen(request->body);
-    task_spec_parse(&order, request->body, size_bytes);
-    GBytes *wanted = task_spec_response(&order, request->body, size_bytes);
-    bool whole = g_bytes_equal(wanted, answer);
-    g_bytes_unref(wanted);
-    task_spec_clear(&order);
-    return whole;
+    task_spec_parse(&spec, request->body, size_bytes);
+    GBytes *expected = task_spec_response(&spec, request->body, size_bytes);
+    bool valid = g_bytes_equal(expected, response);
+    g_bytes_unref(expected);
+    task_spec_clear(&spec);
+    return valid;
 }
 
 static enum load_outcome
@@ -60,18 +60,19 @@
 }
 
 static void
-record_answer(struct load_call *call, const struct load_http_answer *answer)
+record_response(struct load_call *call,
+                const struct load_http_response *response)
 {
     struct load_request *request = call->request;
     request->end_ms = load_now_ms();
     request->latency_us = g_get_monotonic_time() - call->sent_us;
-    if (answer->error != NULL) {
+    if (response->error != NULL) {
         request->outcome = LOAD_LOST;
-        request->reason = g_strdup(answer->error);
+        request->reason = g_strdup(response->error);
         return;
     }
-    SoupMessageHeaders *headers = answer->headers;
-    request->status = answer->status;
+    SoupMessageHeaders *headers = response->headers;
+    request->status = response->status;
     request->outcome = outcome_by_name(
         soup_message_headers_get_one(headers, "Egret-Outcome"));
     request->reason =
@@ -81,8 +82,8 @@
         request->outcome = LOAD_DONE;
     }
     if (request->outcome == LOAD_DONE) {
-        request->whole = request->status >= SOUP_STATUS_BAD_REQUEST ||
-                         answer_is_whole(request, answer->body);
+        request->response_valid = request->status >= SOUP_STATUS_BAD_REQUEST ||
+                                  response_is_valid(request, response->body);
     }
 }
 
@@ -94,12 +95,12 @@
 }
 
 static void
-on_answer(void *ctx, const struct load_http_answer *answer)
+on_response(void *ctx, const struct load_http_response *response)
 {
     struct load_call *call = ctx;
     struct load_team *team = call->request->team;
     struct load *load = team->load;
-    record_answer(call, answer);
+    record_response(call, response);
     bool closed_loop = call->closed_loop;
     bool refused = call->request->outcome != LOAD_DONE;
     g_free(call);
@@ -127,7 +128,7 @@
 }
 
 static struct load_request *
-make_request(struct load_team *team)
+create_request(struct load_team *team)
 {
     struct load *load = team->load;
     struct random random =
@@ -145,7 +146,7 @@
 }
 
 static char *
-make_headers(const struct load_request *request)
+format_headers(const struct load_request *request)
 {
     GString *text = g_string_new(NULL);
     const struct load_team *team = request->team;
@@ -156,7 +157,7 @@
         g_string_append_printf(text, "Authorization: Bearer %s\r\n",
                                team->key);
     }
-    if (team->ids) {
+    if (team->send_ids) {
         g_string_append_printf(text,
                                "Egret-Request-Id: %s\r\n"
                                "Egret-First-Attempt: true\r\n",
@@ -169,7 +170,7 @@
 }
 
 static char *
-make_path(const struct load_team *team)
+format_path(const struct load_team *team)
 {
     if (team->load->direct) {
         return g_strdup_printf("/v1/tasks/load%s-%u", team->load->run_id,
@@ -187,22 +188,23 @@
         return;
     }
     struct load_call *call = g_new0(struct load_call, 1);
-    call->request = make_request(team);
+    call->request = create_request(team);
     call->closed_loop = closed_loop;
     call->sent_us = g_get_monotonic_time();
-    char *path = make_path(team);
-    char *headers = make_headers(call->request);
+    char *path = format_path(team);
+    char *headers = format_headers(call->request);
     load->pending++;
     team->sent++;
-    load_http_post(load->http, &(struct load_http_request){
-                                   .target = pick_target(team),
-                                   .path = path,
-                                   .headers = headers,
-                                   .body = call->request->body,
-                                   .reuse = call->request->idempotent,
-                                   .done = on_answer,
-                                   .ctx = call,
-                               });
+    load_http_post(load->http,
+                   &(struct load_http_request){
+                       .target = pick_target(team),
+                       .path = path,
+                       .headers = headers,
+                       .body = call->request->body,
+                       .reuse_connection = call->request->idempotent,
+                       .done = on_response,
+                       .ctx = call,
+                   });
     g_free(headers);
     g_free(path);
 }
@@ -222,9 +224,9 @@
     load->end_ms = now_ms;
     for (guint i = 0; i < load->teams->len; i++) {
         struct load_team *team = g_ptr_array_index(load->teams, i);
-        team->owed += team->rate_per_s * elapsed_s;
-        while (team->owed >= 1.0) {
-            team->owed -= 1.0;
+        team->due_requests += team->rate_per_s * elapsed_s;
+        while (team->due_requests >= 1.0) {
+            team->due_requests -= 1.0;
             send_next(team, false);
         }
     }
@@ -232,7 +234,7 @@
 }
 
 static gboolean
-on_settled(gpointer data)
+on_wait_over(gpointer data)
 {
     g_main_loop_quit(data);
     return G_SOURCE_REMOVE;
@@ -255,7 +257,8 @@
     g_main_loop_run(load->loop);
     g_source_remove(tick);
     load->end_ms = load_now_ms();
-    /* Work that was refused but runs all the same may start a bit later. */
-    g_timeout_add(SETTLE_MS, on_settled, load->loop);
+    /* A task that runs although its request was refused may start late; wait,
+     * so that the check sees it. */
+    g_timeout_add(LATE_START_WAIT_MS, on_wait_over, load->loop);
     g_main_loop_run(load->loop);
 }
--- a/standins/load_http.c
+++ b/standins/load_http.c
@@ -4,12 +4,12 @@
 #include <string.h>
 
 enum {
-    READ_BYTES = 65536,
+    READ_BUFFER_BYTES = 65536,
 };
 
 /**
- * struct load_http - client
- * @idle: GQueue of GSocketConnection by target
+ * struct load_http - HTTP client
+ * @idle: idle connections: GQueue of GSocketConnection by target
  */
 struct load_http {
     GSocketClient *client;
@@ -17,19 +17,26 @@
     int64_t timeout_ms;
 };
 
+/**
+ * struct call - one request
+ * @request_text: request as sent
+ * @reuse_connection: may use an idle connection
+ * @reused_connection: @connection has served an earlier request
+ * @server_closes: the server closes the connection after the response
+ */
 struct call {
     struct load_http *http;
     GSocketConnection *connection;
     GCancellable *cancel;
     GByteArray *received;
     char *target;
-    char *wire;
-    char buffer[READ_BYTES];
+    char *request_text;
+    char buffer[READ_BUFFER_BYTES];
     guint timer;
-    bool reuse;
-    bool reused;
-    bool closed;
-    void (*done)(void *ctx, const struct load_http_answer *answer);
+    bool reuse_connection;
+    bool reused_connection;
+    bool server_closes;
+    void (*done)(void *ctx, const struct load_http_response *response);
     void *ctx;
 };
 
@@ -88,10 +95,11 @@
 }
 
 static void
-call_end(struct call *call, const struct load_http_answer *answer)
+call_end(struct call *call, const struct load_http_response *response)
 {
     g_clear_handle_id(&call->timer, g_source_remove);
-    bool keep = answer->error == NULL && call->reuse && !call->closed;
+    bool keep = response->error == NULL && call->reuse_connection &&
+                !call->server_closes;
     if (keep) {
         g_queue_push_head(idle_queue(call->http, call->target),
                           g_steal_pointer(&call->connection));
@@ -99,29 +107,29 @@
     else if (call->connection != NULL) {
         g_io_stream_close(G_IO_STREAM(call->connection), NULL, NULL);
     }
-    call->done(call->ctx, answer);
+    call->done(call->ctx, response);
     g_clear_object(&call->connection);
     g_object_unref(call->cancel);
     g_byte_array_unref(call->received);
     g_free(call->target);
-    g_free(call->wire);
+    g_free(call->request_text);
     g_free(call);
 }
 
 static void
 call_fail(struct call *call, const char *error)
 {
-    if (call->reused && call->received->len == 0 &&
+    if (call->reused_connection && call->received->len == 0 &&
         !g_cancellable_is_cancelled(call->cancel)) {
         g_clear_object(&call->connection);
-        call->reused = false;
+        call->reused_connection = false;
         call_connect(call);
         return;
     }
-    call_end(call, &(struct load_http_answer){.error = error});
+    call_end(call, &(struct load_http_response){.error = error});
 }
 
-/* Whole chunked body, or NULL as long as its end has not come. */
+/* Returns the decoded chunked body, or NULL while it is incomplete. */
 static GBytes *
 decode_chunks(const char *text, size_t size_bytes)
 {
@@ -154,10 +162,10 @@
 {
     switch (soup_message_headers_get_encoding(headers)) {
     case SOUP_ENCODING_CONTENT_LENGTH: {
-        size_t wanted_bytes =
+        size_t length_bytes =
             (size_t)soup_message_headers_get_content_length(headers);
-        return size_bytes < wanted_bytes ? NULL
-                                         : g_bytes_new(text, wanted_bytes);
+        return size_bytes < length_bytes ? NULL
+                                         : g_bytes_new(text, length_bytes);
     }
     case SOUP_ENCODING_CHUNKED:
         return decode_chunks(text, size_bytes);
@@ -166,9 +174,9 @@
     }
 }
 
-/* Ends the call when a whole answer is in. */
+/* Ends the call if the response is complete or malformed. */
 static bool
-call_try_end(struct call *call)
+call_try_complete(struct call *call)
 {
     const char *text = (const char *)call->received->data;
     const char *end =
@@ -177,26 +185,26 @@
         return false;
     }
     size_t head_bytes = (size_t)(end - text) + 2;
-    struct load_http_answer answer = {0};
-    answer.headers = soup_message_headers_new(SOUP_MESSAGE_HEADERS_RESPONSE);
-    if (!soup_headers_parse_response(text, (int)head_bytes, answer.headers,
-                                     NULL, &answer.status, NULL)) {
-        answer.error = "malformed headers";
+    struct load_http_response response = {0};
+    response.headers = soup_message_headers_new(SOUP_MESSAGE_HEADERS_RESPONSE);
+    if (!soup_headers_parse_response(text, (int)head_bytes, response.headers,
+                                     NULL, &response.status, NULL)) {
+        response.error = "malformed headers";
     }
     else {
-        answer.body = read_body(answer.headers, text + head_bytes + 2,
-                                call->received->len - head_bytes - 2);
+        response.body = read_body(response.headers, text + head_bytes + 2,
+                                  call->received->len - head_bytes - 2);
     }
-    bool ended = answer.error != NULL || answer.body != NULL;
+    bool ended = response.error != NULL || response.body != NULL;
     if (ended) {
-        call->closed = soup_message_headers_header_contains(
-            answer.headers, "Connection", "close");
-        soup_message_headers_ref(answer.headers);
-        call_end(call, &answer);
-        soup_message_headers_unref(answer.headers);
+        call->server_closes = soup_message_headers_header_contains(
+            response.headers, "Connection", "close");
+        soup_message_headers_ref(response.headers);
+        call_end(call, &response);
+        soup_message_headers_unref(response.headers);
     }
-    g_clear_pointer(&answer.body, g_bytes_unref);
-    soup_message_headers_unref(answer.headers);
+    g_clear_pointer(&response.body, g_bytes_unref);
+    soup_message_headers_unref(response.headers);
     return ended;
 }
 
@@ -211,13 +219,15 @@
         g_input_stream_read_finish(G_INPUT_STREAM(stream), result, NULL);
     if (n_bytes <= 0) {
         bool timeout = g_cancellable_is_cancelled(call->cancel);
-        const char *error = n_bytes < 0 ? "connection reset" : "cut short";
+        const char *error =
+            n_bytes < 0 ? "connection reset"
+                        : "connection closed before the end of the response";
         call_fail(call, timeout ? "timeout" : error);
         return;
     }
     g_byte_array_append(call->received, (const guint8 *)call->buffer,
                         (guint)n_bytes);
-    if (!call_try_end(call)) {
+    if (!call_try_complete(call)) {
         call_read(call);
     }
 }
@@ -227,8 +237,8 @@
 {
     g_input_stream_read_async(
         g_io_stream_get_input_stream(G_IO_STREAM(call->connection)),
-        call->buffer, READ_BYTES, G_PRIORITY_DEFAULT, call->cancel, on_read,
-        call);
+        call->buffer, READ_BUFFER_BYTES, G_PRIORITY_DEFAULT, call->cancel,
+        on_read, call);
 }
 
 static void
@@ -237,7 +247,7 @@
     struct call *call = data;
     if (!g_output_stream_write_all_finish(G_OUTPUT_STREAM(stream), result,
                                           NULL, NULL)) {
-        call_fail(call, "can't send");
+        call_fail(call, "cannot send");
         return;
     }
     call_read(call);
@@ -248,8 +258,8 @@
 {
     g_output_stream_write_all_async(
         g_io_stream_get_output_stream(G_IO_STREAM(call->connection)),
-        call->wire, strlen(call->wire), G_PRIORITY_DEFAULT, call->cancel,
-        on_written, call);
+        call->request_text, strlen(call->request_text), G_PRIORITY_DEFAULT,
+        call->cancel, on_written, call);
 }
 
 static void
@@ -259,7 +269,7 @@
     call->connection = g_socket_client_connect_to_host_finish(
         G_SOCKET_CLIENT(client), result, NULL);
     if (call->connection == NULL) {
-        call_fail(call, "can't connect");
+        call_fail(call, "cannot connect");
         return;
     }
     call_write(call);
@@ -289,20 +299,21 @@
     call->cancel = g_cancellable_new();
     call->received = g_byte_array_new();
     call->target = g_strdup(request->target);
-    call->reuse = request->reuse;
+    call->reuse_connection = request->reuse_connection;
     call->done = request->done;
     call->ctx = request->ctx;
-    call->wire = g_strdup_printf(
+    call->request_text = g_strdup_printf(
         "POST %s HTTP/1.1\r\nHost: %s\r\nContent-Type: text/plain\r\n"
         "Content-Length: %zu\r\n%s%s\r\n%s",
         request->path, request->target, strlen(request->body),
-        request->headers, request->reuse ? "" : "Connection: close\r\n",
+        request->headers,
+        request->reuse_connection ? "" : "Connection: close\r\n",
         request->body);
     call->timer = g_timeout_add((guint)http->timeout_ms, on_timeout, call);
     call->connection =
-        request->reuse ? take_idle(http, request->target) : NULL;
-    call->reused = call->connection != NULL;
-    if (call->reused) {
+        request->reuse_connection ? take_idle(http, request->target) : NULL;
+    call->reused_connection = call->connection != NULL;
+    if (call->reused_connection) {
         call_write(call);
         return;
     }
--- a/standins/load_http.h
+++ b/standins/load_http.h
@@ -1,4 +1,5 @@
-/* A plain HTTP/1.1 client whose cost does not grow with its concurrency. */
+/* Small HTTP/1.1 client whose cost per request does not grow with the number
+ * of concurrent requests. */
 #ifndef STANDINS_LOAD_HTTP_H
 #define STANDINS_LOAD_HTTP_H
 
@@ -8,10 +9,10 @@
 #include <stdint.h>
 
 /**
- * struct load_http_answer - a whole answer, or why there is none
- * @error: NULL for a whole answer
+ * struct load_http_response - a complete response, or the reason why not
+ * @error: NULL for a complete response
  */
-struct load_http_answer {
+struct load_http_response {
     guint status;
     SoupMessageHeaders *headers;
     GBytes *body;
@@ -23,16 +24,16 @@
  * @target: "IP:port"
  * @path: path to post to
  * @headers: header lines, each with its CRLF
- * @reuse: may go over a used connection, and once more over a new one when
- *         that closes without an answer
+ * @reuse_connection: may use an idle connection; retried once on a new one if
+ *                    that closes without a response
  */
 struct load_http_request {
     const char *target;
     const char *path;
     const char *headers;
     const char *body;
-    bool reuse;
-    void (*done)(void *ctx, const struct load_http_answer *answer);
+    bool reuse_connection;
+    void (*done)(void *ctx, const struct load_http_response *response);
     void *ctx;
 };
 
@@ -43,7 +44,8 @@
 void
 load_http_destroy(struct load_http *http);
 
-/** load_http_post() - send; @done is called once, not from within. */
+/** load_http_post() - send a request; its @done is called once, after this
+ * function has returned. */
 void
 load_http_post(struct load_http *http,
                const struct load_http_request *request);
--- a/standins/load_plan.c
+++ b/standins/load_plan.c
@@ -9,7 +9,7 @@
 };
 
 static JsonNode *
-read_document(const char *file)
+read_json_file(const char *file)
 {
     GError *error = NULL;
     JsonParser *parser = json_parser_new();
@@ -58,9 +58,9 @@
                 object, "idempotent_permille", 0),
         .target =
             json_object_get_int_member_with_default(object, "target", -1),
-        .ids =
+        .send_ids =
             json_object_get_boolean_member_with_default(object, "ids", FALSE),
-        .contends = json_object_get_boolean_member_with_default(
+        .competes = json_object_get_boolean_member_with_default(
             object, "contends", FALSE),
         .backoff_ms = json_object_get_int_member_with_default(
             object, "backoff_ms", BACKOFF_DEFAULT_MS),
@@ -71,7 +71,7 @@
 bool
 load_plan_read(struct load *load, const char *file)
 {
-    JsonNode *root = read_document(file);
+    JsonNode *root = read_json_file(file);
     if (root == NULL) {
         return false;
     }
@@ -82,7 +82,7 @@
         plan, "timeout_ms", TIMEOUT_DEFAULT_MS);
     load->seed =
         (uint64_t)json_object_get_int_member_with_default(plan, "seed", 1);
-    load->lost_allowed = json_object_get_boolean_member_with_default(
+    load->allow_lost = json_object_get_boolean_member_with_default(
         plan, "lost_allowed", FALSE);
     load->direct =
         json_object_get_boolean_member_with_default(plan, "direct", FALSE);
@@ -96,7 +96,7 @@
 }
 
 static void
-apply_targets(struct load *load, JsonObject *object)
+apply_team_config(struct load *load, JsonObject *object)
 {
     const char *name = json_object_get_string_member(object, "name");
     for (guint i = 0; i < load->teams->len; i++) {
@@ -115,14 +115,14 @@
 bool
 load_config_read(struct load *load, const char *file)
 {
-    JsonNode *root = read_document(file);
+    JsonNode *root = read_json_file(file);
     if (root == NULL) {
         return false;
     }
     JsonArray *teams =
         json_object_get_array_member(json_node_get_object(root), "teams");
     for (guint i = 0; i < json_array_get_length(teams); i++) {
-        apply_targets(load, json_array_get_object_element(teams, i));
+        apply_team_config(load, json_array_get_object_element(teams, i));
     }
     json_node_unref(root);
     return true;
--- a/standins/load_report.c
+++ b/standins/load_report.c
@@ -4,14 +4,19 @@
 
 #include "load.h"
 
-/** struct team_figures - what became of one team's requests */
-struct team_figures {
+/**
+ * struct team_stats - outcomes of one team's requests
+ * @failed: of those done: with an HTTP error status
+ * @target_share, @achieved_share: configured and achieved fraction of the
+ *                                 requests done among the competing teams
+ */
+struct team_stats {
     uint64_t by_outcome[LOAD_LOST + 1];
     uint64_t failed;
     double p50_ms;
     double p99_ms;
-    double wanted;
-    double got;
+    double target_share;
+    double achieved_share;
 };
 
 static gint
@@ -33,8 +38,8 @@
 }
 
 static void
-count_team(const struct load *load, const struct load_team *team,
-           struct team_figures *figures)
+collect_team_stats(const struct load *load, const struct load_team *team,
+                   struct team_stats *stats)
 {
     GArray *latencies_us = g_array_new(FALSE, FALSE, sizeof(int64_t));
     for (guint i = 0; i < load->requests->len; i++) {
@@ -43,38 +48,40 @@
         if (request->team != team) {
             continue;
         }
-        figures->by_outcome[request->outcome]++;
+        stats->by_outcome[request->outcome]++;
         if (request->outcome == LOAD_DONE) {
             g_array_append_val(latencies_us, request->latency_us);
-            figures->failed += request->status >= SOUP_STATUS_BAD_REQUEST;
+            stats->failed += request->status >= SOUP_STATUS_BAD_REQUEST;
         }
     }
     g_array_sort(latencies_us, compare_latency);
-    figures->p50_ms = percentile_ms(latencies_us, 0.5);
-    figures->p99_ms = percentile_ms(latencies_us, 0.99);
+    stats->p50_ms = percentile_ms(latencies_us, 0.5);
+    stats->p99_ms = percentile_ms(latencies_us, 0.99);
     g_array_free(latencies_us, TRUE);
 }
 
-/* Shares are reported among the teams that want more than their part. */
-static struct team_figures *
-count_all(const struct load *load)
+/* Shares are relative to the sum over the teams that demand more than their
+ * share. */
+static struct team_stats *
+collect_stats(const struct load *load)
 {
-    struct team_figures *all = g_new0(struct team_figures, load->teams->len);
+    struct team_stats *all = g_new0(struct team_stats, load->teams->len);
     double shares = 0;
     double done = 0;
     for (guint i = 0; i < load->teams->len; i++) {
         const struct load_team *team = g_ptr_array_index(load->teams, i);
-        count_team(load, team, &all[i]);
-        if (team->contends) {
+        collect_team_stats(load, team, &all[i]);
+        if (team->competes) {
             shares += team->share_permille;
             done += (double)all[i].by_outcome[LOAD_DONE];
         }
     }
     for (guint i = 0; i < load->teams->len; i++) {
         const struct load_team *team = g_ptr_array_index(load->teams, i);
-        if (team->contends && shares > 0 && done > 0) {
-            all[i].wanted = team->share_permille / shares;
-            all[i].got = (double)all[i].by_outcome[LOAD_DONE] / done;
+        if (team->competes && shares > 0 && done > 0) {
+            all[i].target_share = team->share_permille / shares;
+            all[i].achieved_share =
+                (double)all[i].by_outcome[LOAD_DONE] / done;
         }
     }
     return all;
@@ -83,7 +90,7 @@
 static void
 print_share(const struct load_team *team, double share)
 {
-    if (team->contends) {
+    if (team->competes) {
         printf(" %7.3f", share);
     }
     else {
@@ -94,7 +101,7 @@
 void
 load_print_table(const struct load *load)
 {
-    struct team_figures *all = count_all(load);
+    struct team_stats *all = collect_stats(load);
     printf("%-20s %7s %9s %8s %8s %6s %8s %8s %7s %7s %11s\n", "team", "sent",
            "completed", "not-run", "unknown", "lost", "p50 ms", "p99 ms",
            "wanted", "got", "high/limit");
@@ -106,9 +113,9 @@
                team->name, team->sent, counts[LOAD_DONE], counts[LOAD_NOT_RUN],
                counts[LOAD_UNKNOWN], counts[LOAD_LOST], all[i].p50_ms,
                all[i].p99_ms);
-        print_share(team, all[i].wanted);
-        print_share(team, all[i].got);
-        printf(" %5u/%u\n", team->running_high, team->max_running);
+        print_share(team, all[i].target_share);
+        print_share(team, all[i].achieved_share);
+        printf(" %5u/%u\n", team->running_peak, team->max_running);
     }
     g_free(all);
 }
@@ -157,28 +164,29 @@
 
 static void
 add_team(JsonBuilder *builder, const struct load *load,
-         const struct load_team *team, const struct team_figures *figures)
+         const struct load_team *team, const struct team_stats *stats)
 {
     json_builder_set_member_name(builder, team->name);
     json_builder_begin_object(builder);
     add_int(builder, "sent", team->sent);
-    add_int(builder, "done", figures->by_outcome[LOAD_DONE]);
-    add_int(builder, "failed", figures->failed);
-    add_int(builder, "not_run", figures->by_outcome[LOAD_NOT_RUN]);
-    add_int(builder, "unknown", figures->by_outcome[LOAD_UNKNOWN]);
-    add_int(builder, "lost", figures->by_outcome[LOAD_LOST]);
-    add_int(builder, "running_high", team->running_high);
-    add_double(builder, "p50_ms", figures->p50_ms);
-    add_double(builder, "p99_ms", figures->p99_ms);
-    add_double(builder, "wanted", figures->wanted);
-    add_double(builder, "got", figures->got);
+    add_int(builder, "done", stats->by_outcome[LOAD_DONE]);
+    add_int(builder, "failed", stats->failed);
+    add_int(builder, "not_run", stats->by_outcome[LOAD_NOT_RUN]);
+    add_int(builder, "unknown", stats->by_outcome[LOAD_UNKNOWN]);
+    add_int(builder, "lost", stats->by_outcome[LOAD_LOST]);
+    add_int(builder, "running_high", team->running_peak);
+    add_double(builder, "p50_ms", stats->p50_ms);
+    add_double(builder, "p99_ms", stats->p99_ms);
+    add_double(builder, "wanted", stats->target_share);
+    add_double(builder, "got", stats->achieved_share);
     add_reasons(builder, load, team);
     json_builder_end_object(builder);
 }
 
-/* The last answers of kinds, so that tests see when one kind ended. */
+/* Times of the last response of each kind, from which tests see when requests
+ * stopped being done or refused. */
 static void
-add_last(JsonBuilder *builder, const struct load *load)
+add_last_times(JsonBuilder *builder, const struct load *load)
 {
     int64_t last_done_ms = 0;
     int64_t last_refused_ms = 0;
@@ -197,16 +205,16 @@
 }
 
 bool
-load_write_results(const struct load *load, const struct load_verdict *verdict,
+load_write_results(const struct load *load, const struct load_checks *checks,
                    const char *file)
 {
-    struct team_figures *all = count_all(load);
+    struct team_stats *all = collect_stats(load);
     JsonBuilder *builder = json_builder_new();
     json_builder_begin_object(builder);
-    add_int(builder, "checked", verdict->checked);
-    add_int(builder, "violated", verdict->violated);
+    add_int(builder, "checked", checks->checked);
+    add_int(builder, "violated", checks->violated);
     add_int(builder, "elapsed_ms", (uint64_t)(load->end_ms - load->start_ms));
-    add_last(builder, load);
+    add_last_times(builder, load);
     json_builder_set_member_name(builder, "teams");
     json_builder_begin_object(builder);
     for (guint i = 0; i < load->teams->len; i++) {
