--- a/tests/process/change_test.c
+++ b/tests/process/change_test.c
@@ -15,10 +15,14 @@
     OBSERVE_MS = 2000,
 };
 
-/** enum fault - fault between the first gateway and the store */
+/**
+ * enum fault - fault between the first gateway and the store
+ * @FAULT_WATCH_HANGS: open connections stay open but pass no data
+ * @FAULT_LINK_CUT: connections are closed and new ones refused
+ */
 enum fault {
     FAULT_NONE,
-    FAULT_SILENT_WATCH,
+    FAULT_WATCH_HANGS,
     FAULT_LINK_CUT,
 };
 
@@ -49,7 +53,7 @@
 static void
 inject_store_fault(enum fault fault)
 {
-    if (fault == FAULT_SILENT_WATCH) {
+    if (fault == FAULT_WATCH_HANGS) {
         fleet_proxy_faults(fleet,
                            "{\"routes\": \"store-0\", \"silence\": true}");
     }
@@ -121,9 +125,9 @@
 }
 
 static void
-test_key_silent_watch(void)
+test_key_watch_hangs(void)
 {
-    check_key_withdrawn("change-key-watch", FAULT_SILENT_WATCH);
+    check_key_withdrawn("change-key-watch", FAULT_WATCH_HANGS);
 }
 
 static void
@@ -164,9 +168,9 @@
 }
 
 static void
-test_dc_silent_watch(void)
+test_dc_watch_hangs(void)
 {
-    check_dc_out("change-dc-watch", FAULT_SILENT_WATCH);
+    check_dc_out("change-dc-watch", FAULT_WATCH_HANGS);
 }
 
 static void
@@ -207,10 +211,10 @@
 {
     static const struct suite_test tests[] = {
         {"key withdrawn", test_key},
-        {"key withdrawn silent watch", test_key_silent_watch},
+        {"key withdrawn silent watch", test_key_watch_hangs},
         {"key withdrawn link cut", test_key_link_cut},
         {"dc out", test_dc},
-        {"dc out silent watch", test_dc_silent_watch},
+        {"dc out silent watch", test_dc_watch_hangs},
         {"dc out link cut", test_dc_link_cut},
         {"leaving host", test_leaving_host},
     };
--- a/tests/process/limit_test.c
+++ b/tests/process/limit_test.c
@@ -116,7 +116,7 @@
 
 /* The tasks of the killed gateway still run at the backend servers. */
 static void
-test_killed_with_long_work(void)
+test_killed_with_long_tasks(void)
 {
     char **parts =
         g_strsplit(PROCESS_CONFIG("10"), "\"max_run_ms\": 2000", -1);
@@ -199,7 +199,7 @@
     static const struct suite_test tests[] = {
         {"store outage", test_store_outage},
         {"gateway killed", test_gateway_killed},
-        {"killed with long work", test_killed_with_long_work},
+        {"killed with long work", test_killed_with_long_tasks},
         {"gateway paused", test_gateway_paused},
         {"limit lowered", test_limit_lowered},
     };
--- a/tests/standing/peers_test.c
+++ b/tests/standing/peers_test.c
@@ -12,6 +12,7 @@
     IDLE_TIMEOUT_MS = 400,
 };
 
+/* The two gateways; their incarnations are "a" and "b". */
 static struct node low;
 static struct node high;
 
@@ -121,7 +122,7 @@
     stop_both();
 }
 
-/** struct relay - forwards connections until it is told to stop */
+/** struct relay - forwards connections to the port @target */
 struct relay {
     GSocketService *service;
     GPtrArray *connections;
--- a/tests/store/config_store_test.c
+++ b/tests/store/config_store_test.c
@@ -121,6 +121,7 @@
     }
 }
 
+/* Ids of all generations in the history, and the highest generation. */
 struct history_ids {
     bool done;
     GHashTable *ids;
@@ -259,6 +260,8 @@
     }
 }
 
+/* Number of keys under a prefix, and whether the part written by
+ * write_late_part() is among them. */
 struct key_list {
     bool done;
     size_t n_entries;
--- a/tests/store/ctl_test.c
+++ b/tests/store/ctl_test.c
@@ -28,6 +28,7 @@
 
 static struct store_process process;
 
+/* One run of egretctl: its exit code, and what it printed. */
 struct ctl_process {
     GSubprocess *child;
     int code;
@@ -166,8 +167,8 @@
     store_process_stop(&process);
 }
 
-/* The store holds the keys of the operators that were told so, and of no
- * others but those with an unknown outcome. */
+/* A key is in the store if egretctl reported success for it, and is not if it
+ * reported failure; either is possible for an unknown outcome. */
 static void
 test_racing_operators(void)
 {
--- a/tests/store/feed_test.c
+++ b/tests/store/feed_test.c
@@ -221,7 +221,7 @@
 }
 
 static void
-test_silent_watch(void)
+test_watch_hangs(void)
 {
     struct observed observed;
     set_up();
@@ -347,7 +347,7 @@
 {
     static const struct suite_test tests[] = {
         {"follows the store", test_follows_store},
-        {"silent watch", test_silent_watch},
+        {"watch hangs", test_watch_hangs},
         {"generation never decreases", test_generation_never_decreases},
         {"configuration from a peer", test_config_from_peer},
         {"parts from a peer", test_parts_from_peer},
--- a/tests/store/store_test.c
+++ b/tests/store/store_test.c
@@ -166,7 +166,7 @@
 }
 
 static void
-test_silent_watch(void)
+test_watch_hangs(void)
 {
     store_process_start(&process);
     struct store *store = open_store();
@@ -284,7 +284,7 @@
         {"lost answers", test_lost_answers},
         {"answer lost, then overwritten", test_lost_then_overwritten},
         {"outage", test_outage},
-        {"silent watch", test_silent_watch},
+        {"watch hangs", test_watch_hangs},
         {"racing writers", test_racing_writers},
     };
     return suite_main("store", tests, G_N_ELEMENTS(tests));
--- a/tests/suite.h
+++ b/tests/suite.h
@@ -1,4 +1,4 @@
-/* One CUnit suite as the whole main program of a test. */
+/* Runs one CUnit suite as the main program of a test. */
 #ifndef TESTS_SUITE_H
 #define TESTS_SUITE_H
 
@@ -11,7 +11,8 @@
     void (*run)(void);
 };
 
-/** suite_main() - run @tests and return the exit status of the program. */
+/** suite_main() - run @tests as the suite @name; returns the exit status of
+ * the program, a failure also when a test was not run. */
 static inline int
 suite_main(const char *name, const struct suite_test *tests, size_t n_tests)
 {
