--- a/standins/proxy.c
+++ b/standins/proxy.c
@@ -1,4 +1,5 @@
-/* standin-proxy: stands between any two processes and breaks their links. */
+/* standin-proxy: TCP proxy between any two processes that injects network
+ * faults. */
 #include "proxy.h"
 
 #include <argp.h>
@@ -15,9 +16,10 @@
 };
 
 static const struct argp_option argp_options[] = {
-    {"admin-port", 'a', "PORT", 0, "port for tests (kernel's choice)"},
-    {"port-out", 'P', "FILE", 0, "write the admin port here"},
-    {"seed", 's', "N", 0, "seed of all chance (1)"},
+    {"admin-port", 'a', "PORT", 0,
+     "port of the admin interface (assigned by the kernel)"},
+    {"port-out", 'P', "FILE", 0, "write the admin port to FILE"},
+    {"seed", 's', "N", 0, "seed of the random number generator (1)"},
     {0},
 };
 
@@ -42,7 +44,7 @@
 }
 
 static gboolean
-on_stop(gpointer data)
+on_signal(gpointer data)
 {
     g_main_loop_quit(data);
     return G_SOURCE_CONTINUE;
@@ -64,7 +66,7 @@
 {
     static const struct argp argp = {
         argp_options, parse_option, NULL,
-        "Passes TCP connections on and breaks them on request."};
+        "Forwards TCP connections and injects faults on request."};
     struct options options = {.seed = 1};
     GError *error = NULL;
     argp_parse(&argp, argc, argv, 0, NULL, &options);
@@ -77,15 +79,16 @@
     proxy_admin_serve(&proxy);
     if (!soup_server_listen_local(proxy.admin, options.admin_port,
                                   SOUP_SERVER_LISTEN_IPV4_ONLY, &error)) {
-        fprintf(stderr, "admin port: %s\n", error->message);
+        fprintf(stderr, "cannot listen on the admin port: %s\n",
+                error->message);
         return EXIT_FAILURE;
     }
     if (!write_port(&proxy, options.port_out)) {
         return EXIT_FAILURE;
     }
     GMainLoop *loop = g_main_loop_new(NULL, FALSE);
-    g_unix_signal_add(SIGTERM, on_stop, loop);
-    g_unix_signal_add(SIGINT, on_stop, loop);
+    g_unix_signal_add(SIGTERM, on_signal, loop);
+    g_unix_signal_add(SIGINT, on_signal, loop);
     g_main_loop_run(loop);
     return EXIT_SUCCESS;
 }
--- a/standins/proxy.h
+++ b/standins/proxy.h
@@ -1,4 +1,4 @@
-/* A TCP proxy that breaks connections in chosen ways. */
+/* TCP proxy that injects network faults. */
 #ifndef STANDINS_PROXY_H
 #define STANDINS_PROXY_H
 
@@ -11,41 +11,43 @@
 #include "common/random.h"
 
 /**
- * enum proxy_kill - where a connection is closed
- * @PROXY_KILL_BEFORE: before a request's first byte is passed on
- * @PROXY_KILL_DURING: when half of what was read is passed on
- * @PROXY_KILL_AFTER: when the request is passed on, before the answer
- * @PROXY_KILL_ANSWER: when half of the answer is passed on
- * @PROXY_KILL_ANY: one of these by chance
+ * enum proxy_kill_point - when a connection is closed
+ * @PROXY_KILL_NONE: never
+ * @PROXY_KILL_BEFORE: before the first byte of a request is forwarded
+ * @PROXY_KILL_DURING: after half of a chunk of the request is forwarded
+ * @PROXY_KILL_AFTER: after a chunk of the request is forwarded, before the
+ *                    response
+ * @PROXY_KILL_RESPONSE: after half of a chunk of the response is forwarded
+ * @PROXY_KILL_ANY: at one of these points, at random
  */
-enum proxy_kill {
+enum proxy_kill_point {
     PROXY_KILL_NONE,
     PROXY_KILL_BEFORE,
     PROXY_KILL_DURING,
     PROXY_KILL_AFTER,
-    PROXY_KILL_ANSWER,
+    PROXY_KILL_RESPONSE,
     PROXY_KILL_ANY,
 };
 
 /**
- * struct proxy_faults - what goes wrong on a route
- * @refuse: new connections are closed at once
- * @hold: new connections are accepted and never served
- * @drop_up: bytes to the target are swallowed
- * @drop_down: bytes from the target are swallowed
- * @kill: where connections are closed
- * @kill_permille: how often
- * @delay_ms: every piece waits for this long
- * @truncate_bytes: connections are closed after so many bytes from the
- *                  target; 0 for no bound
- * @bytes_per_s: rate of each direction; 0 for no bound
+ * struct proxy_faults - injected faults of a route
+ * @refuse: close new connections at once
+ * @hold: accept new connections, but never connect them to the target
+ * @drop_up: discard all bytes to the target
+ * @drop_down: discard all bytes from the target
+ * @kill: when connections are closed
+ * @kill_permille: probability of @kill for each chunk to the target
+ * @delay_ms: delay of every chunk
+ * @truncate_bytes: close connections after this many bytes from the target;
+ *                  0 for no limit
+ * @bytes_per_s: bandwidth of each direction; 0 for no limit
  */
 struct proxy_faults {
     bool refuse;
     bool hold;
     bool drop_up;
     bool drop_down;
-    enum proxy_kill kill;
+    enum proxy_kill_point kill;
     uint32_t kill_permille;
     int64_t delay_ms;
     int64_t truncate_bytes;
@@ -54,8 +56,10 @@
 
 /**
  * struct proxy_route - one listening port and its target
- * @links: struct proxy_link now open
- * @bytes_up, @bytes_down: passed on since the start
+ * @links: set of open struct proxy_link
+ * @connections: connections accepted since the start
+ * @kills: connections closed by the fault @kill since the start
+ * @bytes_up, @bytes_down: bytes forwarded since the start
  */
 struct proxy_route {
     struct proxy *proxy;
@@ -71,7 +75,7 @@
     uint64_t bytes_down;
 };
 
-/** struct proxy - the process */
+/** struct proxy - state of the process */
 struct proxy {
     GHashTable *routes;
     SoupServer *admin;
@@ -79,24 +83,26 @@
     struct random random;
 };
 
-/** proxy_route_add() - listen for @target; NULL when the port is taken. */
+/** proxy_route_add() - add a route to @target and listen on @port; NULL when
+ * the port is in use. */
 struct proxy_route *
 proxy_route_add(struct proxy *proxy, const char *name, const char *target,
                 uint16_t port);
 
-/** proxy_link_open() - serve one accepted connection. */
+/** proxy_link_open() - forward an accepted connection. */
 void
 proxy_link_open(struct proxy_route *route, GSocketConnection *connection);
 
-/** proxy_route_cut() - close every open connection. */
+/** proxy_route_close_links() - close every open connection of a route. */
 void
-proxy_route_cut(struct proxy_route *route);
+proxy_route_close_links(struct proxy_route *route);
 
-/** proxy_route_silence() - open connections lose all bytes from now on. */
+/** proxy_route_discard() - discard all further bytes of the open connections
+ * without closing them. */
 void
-proxy_route_silence(struct proxy_route *route);
+proxy_route_discard(struct proxy_route *route);
 
-/** proxy_admin_serve() - handle the tests' requests. */
+/** proxy_admin_serve() - handle requests to the admin interface. */
 void
 proxy_admin_serve(struct proxy *proxy);
 
--- a/standins/proxy_admin.c
+++ b/standins/proxy_admin.c
@@ -3,7 +3,7 @@
 #include "proxy.h"
 
 static void
-answer_json(SoupServerMessage *message, char *text)
+respond_json(SoupServerMessage *message, char *text)
 {
     soup_server_message_set_status(message, SOUP_STATUS_OK, NULL);
     soup_server_message_set_response(message, "application/json",
@@ -23,15 +23,15 @@
     *value = json_object_get_int_member_with_default(object, member, *value);
 }
 
-static enum proxy_kill
-kill_by_name(const char *name)
+static enum proxy_kill_point
+kill_point_by_name(const char *name)
 {
     static const char *const names[] = {
         "none", "before", "during", "after", "answer", "any",
     };
     for (size_t i = 0; i < G_N_ELEMENTS(names); i++) {
         if (g_str_equal(name, names[i])) {
-            return (enum proxy_kill)i;
+            return (enum proxy_kill_point)i;
         }
     }
     return PROXY_KILL_NONE;
@@ -55,18 +55,18 @@
         object, "kill_permille", faults->kill_permille);
     if (json_object_has_member(object, "kill")) {
         faults->kill =
-            kill_by_name(json_object_get_string_member(object, "kill"));
+            kill_point_by_name(json_object_get_string_member(object, "kill"));
     }
     if (json_object_get_boolean_member_with_default(object, "silence",
                                                     FALSE)) {
-        proxy_route_silence(route);
+        proxy_route_discard(route);
     }
     if (json_object_get_boolean_member_with_default(object, "cut", FALSE)) {
-        proxy_route_cut(route);
+        proxy_route_close_links(route);
     }
 }
 
-/* "routes" is a pattern with '*' and '?'. */
+/* The member "routes" is a glob pattern of route names. */
 static void
 handle_faults(struct proxy *proxy, SoupServerMessage *message,
               JsonObject *object)
@@ -84,7 +84,7 @@
             changed++;
         }
     }
-    answer_json(message, g_strdup_printf("{\"routes\": %u}\n", changed));
+    respond_json(message, g_strdup_printf("{\"routes\": %u}\n", changed));
 }
 
 static void
@@ -99,11 +99,11 @@
         soup_server_message_set_status(message, SOUP_STATUS_CONFLICT, NULL);
         return;
     }
-    answer_json(message, g_strdup_printf("{\"port\": %u}\n", route->port));
+    respond_json(message, g_strdup_printf("{\"port\": %u}\n", route->port));
 }
 
 static void
-handle_list(struct proxy *proxy, SoupServerMessage *message)
+handle_routes(struct proxy *proxy, SoupServerMessage *message)
 {
     GHashTableIter iter;
     gpointer value = NULL;
@@ -123,7 +123,7 @@
         comma = ",";
     }
     g_string_append(text, "}\n");
-    answer_json(message, g_string_free(text, FALSE));
+    respond_json(message, g_string_free(text, FALSE));
 }
 
 static void
@@ -132,7 +132,7 @@
 {
     struct proxy *proxy = data;
     if (soup_server_message_get_method(message) == SOUP_METHOD_GET) {
-        handle_list(proxy, message);
+        handle_routes(proxy, message);
         return;
     }
     SoupMessageBody *body = soup_server_message_get_request_body(message);
--- a/standins/proxy_link.c
+++ b/standins/proxy_link.c
@@ -4,7 +4,7 @@
 #include "proxy.h"
 
 enum {
-    PIECE_MAX_BYTES = 65536,
+    CHUNK_MAX_BYTES = 65536,
     PERMILLE = 1000,
     BACKLOG_CONNECTIONS = 512,
 };
@@ -12,28 +12,30 @@
 struct proxy_link;
 
 /**
- * struct pump - one direction of a link
- * @piece: bytes read that wait to be passed on
- * @close_after: the link is closed once @piece is passed on
- * @busy: an operation or a timer of this pump is outstanding
- * @ended: the sender closed its side
+ * struct pump - copies bytes in one direction of a link
+ * @chunk: bytes read but not yet forwarded
+ * @up: direction is from the client to the target
+ * @close_after_write: close the link once @chunk is forwarded
+ * @busy: an I/O operation or a timer is pending
+ * @at_eof: the sender has closed its side
  */
 struct pump {
     struct proxy_link *link;
     GSocketConnection *from;
     GSocketConnection *to;
-    GBytes *piece;
+    GBytes *chunk;
     bool up;
-    bool close_after;
+    bool close_after_write;
     bool busy;
-    bool ended;
+    bool at_eof;
 };
 
 /**
- * struct proxy_link - one connection and its partner
- * @silent: loses all bytes from now on
+ * struct proxy_link - a client connection and its connection to the target
+ * @down_bytes: bytes forwarded from the target
+ * @discarding: discard all bytes, but keep the connections open
  * @closed: freed once neither pump is busy
- * @answer_kill: the next piece of the answer is the last
+ * @kill_in_response: close within the next chunk of the response
  */
 struct proxy_link {
     struct proxy_route *route;
@@ -43,10 +45,10 @@
     struct pump up;
     struct pump down;
     uint64_t down_bytes;
-    bool silent;
+    bool discarding;
     bool closed;
     bool connecting;
-    bool answer_kill;
+    bool kill_in_response;
 };
 
 static void
@@ -73,7 +75,8 @@
     }
 }
 
-/* The caller holds the link by a busy pump or frees it afterwards. */
+/* Doesn't free @link: the caller either is a busy pump, which does so when it
+ * finishes, or calls link_free_if_idle() afterwards. */
 static void
 link_close(struct proxy_link *link)
 {
@@ -90,7 +93,7 @@
 static void
 pump_finish(struct pump *pump)
 {
-    g_clear_pointer(&pump->piece, g_bytes_unref);
+    g_clear_pointer(&pump->chunk, g_bytes_unref);
     pump->busy = false;
     link_free_if_idle(pump->link);
 }
@@ -107,8 +110,8 @@
 {
     struct pump *pump = data;
     gsize written = 0;
-    bool good = g_output_stream_write_all_finish(G_OUTPUT_STREAM(stream),
-                                                 result, &written, NULL);
+    bool ok = g_output_stream_write_all_finish(G_OUTPUT_STREAM(stream), result,
+                                               &written, NULL);
     if (pump->up) {
         pump->link->route->bytes_up += written;
     }
@@ -116,11 +119,11 @@
         pump->link->route->bytes_down += written;
         pump->link->down_bytes += written;
     }
-    if (!good || pump->close_after || pump->link->closed) {
+    if (!ok || pump->close_after_write || pump->link->closed) {
         pump_close(pump);
         return;
     }
-    g_clear_pointer(&pump->piece, g_bytes_unref);
+    g_clear_pointer(&pump->chunk, g_bytes_unref);
     pump_read(pump);
 }
 
@@ -135,13 +138,13 @@
         pump_finish(pump);
         return G_SOURCE_REMOVE;
     }
-    if (link->silent || dropped) {
-        g_clear_pointer(&pump->piece, g_bytes_unref);
+    if (link->discarding || dropped) {
+        g_clear_pointer(&pump->chunk, g_bytes_unref);
         pump_read(pump);
         return G_SOURCE_REMOVE;
     }
     gsize size_bytes = 0;
-    const void *bytes = g_bytes_get_data(pump->piece, &size_bytes);
+    const void *bytes = g_bytes_get_data(pump->chunk, &size_bytes);
     g_output_stream_write_all_async(
         g_io_stream_get_output_stream(G_IO_STREAM(pump->to)), bytes,
         size_bytes, G_PRIORITY_DEFAULT, link->cancel, on_written, pump);
@@ -149,17 +152,17 @@
 }
 
 static void
-shorten(struct pump *pump, gsize size_bytes)
+truncate_chunk(struct pump *pump, gsize size_bytes)
 {
     GBytes *part = g_bytes_new_from_bytes(
-        pump->piece, 0, MIN(size_bytes, g_bytes_get_size(pump->piece)));
-    g_bytes_unref(pump->piece);
-    pump->piece = part;
-    pump->close_after = true;
+        pump->chunk, 0, MIN(size_bytes, g_bytes_get_size(pump->chunk)));
+    g_bytes_unref(pump->chunk);
+    pump->chunk = part;
+    pump->close_after_write = true;
 }
 
-static enum proxy_kill
-draw_kill(struct proxy_route *route)
+static enum proxy_kill_point
+pick_kill_point(struct proxy_route *route)
 {
     struct random *random = &route->proxy->random;
     if (route->faults.kill == PROXY_KILL_NONE ||
@@ -171,32 +174,32 @@
         return route->faults.kill;
     }
     return PROXY_KILL_BEFORE +
-           (enum proxy_kill)random_below(random, PROXY_KILL_ANSWER);
+           (enum proxy_kill_point)random_below(random, PROXY_KILL_RESPONSE);
 }
 
 static void
 apply_kill(struct pump *pump)
 {
     struct proxy_link *link = pump->link;
-    gsize size_bytes = g_bytes_get_size(pump->piece);
+    gsize size_bytes = g_bytes_get_size(pump->chunk);
     if (!pump->up) {
-        if (link->answer_kill) {
-            shorten(pump, size_bytes / 2);
+        if (link->kill_in_response) {
+            truncate_chunk(pump, size_bytes / 2);
         }
         return;
     }
-    switch (draw_kill(link->route)) {
+    switch (pick_kill_point(link->route)) {
     case PROXY_KILL_BEFORE:
-        shorten(pump, 0);
+        truncate_chunk(pump, 0);
         break;
     case PROXY_KILL_DURING:
-        shorten(pump, size_bytes / 2);
+        truncate_chunk(pump, size_bytes / 2);
         break;
     case PROXY_KILL_AFTER:
-        pump->close_after = true;
+        pump->close_after_write = true;
         break;
-    case PROXY_KILL_ANSWER:
-        link->answer_kill = true;
+    case PROXY_KILL_RESPONSE:
+        link->kill_in_response = true;
         break;
     default:
         break;
@@ -207,41 +210,42 @@
 apply_truncation(struct pump *pump)
 {
     const struct proxy_link *link = pump->link;
-    int64_t bound_bytes = link->route->faults.truncate_bytes;
-    if (pump->up || bound_bytes == 0) {
+    int64_t max_bytes = link->route->faults.truncate_bytes;
+    if (pump->up || max_bytes == 0) {
         return;
     }
-    int64_t left_bytes = bound_bytes - (int64_t)link->down_bytes;
-    if ((int64_t)g_bytes_get_size(pump->piece) >= left_bytes) {
-        shorten(pump, (gsize)MAX(left_bytes, 0));
+    int64_t left_bytes = max_bytes - (int64_t)link->down_bytes;
+    if ((int64_t)g_bytes_get_size(pump->chunk) >= left_bytes) {
+        truncate_chunk(pump, (gsize)MAX(left_bytes, 0));
     }
 }
 
 static int64_t
-piece_delay_ms(const struct pump *pump)
+chunk_delay_ms(const struct pump *pump)
 {
     const struct proxy_faults *faults = &pump->link->route->faults;
     int64_t delay_ms = faults->delay_ms;
     if (faults->bytes_per_s > 0) {
-        delay_ms += (int64_t)g_bytes_get_size(pump->piece) * 1000 /
+        delay_ms += (int64_t)g_bytes_get_size(pump->chunk) * 1000 /
                     faults->bytes_per_s;
     }
     return delay_ms;
 }
 
 static void
-on_end(struct pump *pump)
+on_eof(struct pump *pump)
 {
     struct proxy_link *link = pump->link;
-    pump->ended = true;
-    if (link->silent || link->closed) {
-        /* The other end is not told: the link stays open and silent. */
+    pump->at_eof = true;
+    if (link->discarding || link->closed) {
+        /* Don't forward the end of the stream: a discarding link stays open.
+         */
         pump_finish(pump);
         return;
     }
     g_socket_shutdown(g_socket_connection_get_socket(pump->to), FALSE, TRUE,
                       NULL);
-    if (link->up.ended && link->down.ended) {
+    if (link->up.at_eof && link->down.at_eof) {
         link_close(link);
     }
     pump_finish(pump);
@@ -251,19 +255,19 @@
 on_read(GObject *stream, GAsyncResult *result, gpointer data)
 {
     struct pump *pump = data;
-    pump->piece =
+    pump->chunk =
         g_input_stream_read_bytes_finish(G_INPUT_STREAM(stream), result, NULL);
-    if (pump->link->closed || pump->piece == NULL) {
+    if (pump->link->closed || pump->chunk == NULL) {
         pump_close(pump);
         return;
     }
-    if (g_bytes_get_size(pump->piece) == 0) {
-        on_end(pump);
+    if (g_bytes_get_size(pump->chunk) == 0) {
+        on_eof(pump);
         return;
     }
     apply_kill(pump);
     apply_truncation(pump);
-    int64_t delay_ms = piece_delay_ms(pump);
+    int64_t delay_ms = chunk_delay_ms(pump);
     if (delay_ms > 0) {
         g_timeout_add((guint)delay_ms, pump_write, pump);
         return;
@@ -276,7 +280,7 @@
 {
     pump->busy = true;
     g_input_stream_read_bytes_async(
-        g_io_stream_get_input_stream(G_IO_STREAM(pump->from)), PIECE_MAX_BYTES,
+        g_io_stream_get_input_stream(G_IO_STREAM(pump->from)), CHUNK_MAX_BYTES,
         G_PRIORITY_DEFAULT, pump->link->cancel, on_read, pump);
 }
 
@@ -333,7 +337,7 @@
 }
 
 void
-proxy_route_cut(struct proxy_route *route)
+proxy_route_close_links(struct proxy_route *route)
 {
     GList *links = g_hash_table_get_keys(route->links);
     for (GList *item = links; item != NULL; item = item->next) {
@@ -345,13 +349,13 @@
 }
 
 void
-proxy_route_silence(struct proxy_route *route)
+proxy_route_discard(struct proxy_route *route)
 {
     GHashTableIter iter;
     gpointer key = NULL;
     g_hash_table_iter_init(&iter, route->links);
     while (g_hash_table_iter_next(&iter, &key, NULL)) {
-        ((struct proxy_link *)key)->silent = true;
+        ((struct proxy_link *)key)->discarding = true;
     }
 }
 
--- a/standins/relay.c
+++ b/standins/relay.c
@@ -1,4 +1,5 @@
-/* standin-relay: a bare relay of the gateway's shape, as the baseline. */
+/* standin-relay: minimal HTTP relay, the baseline of the gateway benchmarks.
+ */
 #include <argp.h>
 #include <glib-unix.h>
 #include <inttypes.h>
@@ -14,9 +15,10 @@
 };
 
 /**
- * struct relay - listens on one port and sends all on to one target
+ * struct relay - relays all requests to one port to one target
  * @target: IP:port of the backend server
- * @new_connections: use each connection to the target once
+ * @new_connections: open a new connection to the target for each request
+ * @last_task: number of the last task, part of its id
  */
 struct relay {
     const char *target;
@@ -25,9 +27,14 @@
     bool new_connections;
     SoupServer *server;
     SoupSession *session;
-    uint64_t number;
+    uint64_t last_task;
 };
 
+/**
+ * struct relayed - one relayed request
+ * @in: request of the client
+ * @out: request to the target
+ */
 struct relayed {
     SoupServerMessage *in;
     SoupMessage *out;
@@ -35,9 +42,9 @@
 
 static const struct argp_option argp_options[] = {
     {"target", 't', "IP:PORT", 0, "backend server"},
-    {"port", 'p', "PORT", 0, "port to listen on (kernel's choice)"},
-    {"port-out", 'P', "FILE", 0, "write the port here"},
-    {"new-connections", 'n', NULL, 0, "one connection a request"},
+    {"port", 'p', "PORT", 0, "port to listen on (assigned by the kernel)"},
+    {"port-out", 'P', "FILE", 0, "write the port to FILE"},
+    {"new-connections", 'n', NULL, 0, "open a new connection per request"},
     {0},
 };
 
@@ -65,7 +72,7 @@
 }
 
 static void
-on_answer(GObject *session, GAsyncResult *result, gpointer data)
+on_response(GObject *session, GAsyncResult *result, gpointer data)
 {
     struct relayed *relayed = data;
     GBytes *body =
@@ -95,8 +102,9 @@
 {
     struct relay *relay = data;
     struct relayed *relayed = g_new0(struct relayed, 1);
-    char *uri = g_strdup_printf("http://%s/v1/tasks/relay-%d-%" PRIu64,
-                                relay->target, relay->port, ++relay->number);
+    char *uri =
+        g_strdup_printf("http://%s/v1/tasks/relay-%d-%" PRIu64, relay->target,
+                        relay->port, ++relay->last_task);
     SoupMessageBody *body = soup_server_message_get_request_body(message);
     GBytes *bytes = soup_message_body_flatten(body);
     relayed->in = g_object_ref(message);
@@ -114,14 +122,14 @@
     }
     soup_server_message_pause(message);
     soup_session_send_and_read_async(relay->session, relayed->out,
-                                     G_PRIORITY_DEFAULT, NULL, on_answer,
+                                     G_PRIORITY_DEFAULT, NULL, on_response,
                                      relayed);
     g_bytes_unref(bytes);
     g_free(uri);
 }
 
 static gboolean
-on_stop(gpointer data)
+on_signal(gpointer data)
 {
     g_main_loop_quit(data);
     return G_SOURCE_CONTINUE;
@@ -144,12 +152,12 @@
 main(int argc, char **argv)
 {
     static const struct argp argp = {argp_options, parse_option, NULL,
-                                     "Relays requests to one server."};
+                                     "Relays requests to one backend server."};
     struct relay relay = {0};
     GError *error = NULL;
     argp_parse(&argp, argc, argv, 0, NULL, &relay);
     if (relay.target == NULL) {
-        fprintf(stderr, "--target is missing\n");
+        fprintf(stderr, "--target is required\n");
         return EXIT_FAILURE;
     }
     relay.session = soup_session_new_with_options("max-conns", CONNECTIONS_MAX,
@@ -164,8 +172,8 @@
     }
     write_port(&relay);
     GMainLoop *loop = g_main_loop_new(NULL, FALSE);
-    g_unix_signal_add(SIGTERM, on_stop, loop);
-    g_unix_signal_add(SIGINT, on_stop, loop);
+    g_unix_signal_add(SIGTERM, on_signal, loop);
+    g_unix_signal_add(SIGINT, on_signal, loop);
     g_main_loop_run(loop);
     return EXIT_SUCCESS;
 }
