--- a/core/dispatch.c
+++ b/core/dispatch.c
@@ -151,12 +151,14 @@
 }
 
 enum reason
-dispatch_submit(struct dispatch *dispatch, const struct dispatch_task *wanted,
-                int64_t now_ms, int64_t *retry_after_ms)
+dispatch_submit(struct dispatch *dispatch,
+                const struct dispatch_task *submitted, int64_t now_ms,
+                int64_t *retry_after_ms)
 {
     dispatch_advance_clock(dispatch, now_ms);
-    struct queue *queue = g_hash_table_lookup(dispatch->queues, wanted->queue);
-    struct team *team = g_hash_table_lookup(dispatch->teams, wanted->team);
+    struct queue *queue =
+        g_hash_table_lookup(dispatch->queues, submitted->queue);
+    struct team *team = g_hash_table_lookup(dispatch->teams, submitted->team);
     *retry_after_ms = 0;
     enum reason reason = admit(dispatch, queue, team);
     if (reason != REASON_NONE) {
@@ -167,7 +169,7 @@
     if (reason != REASON_NONE) {
         return reason;
     }
-    struct task *task = task_create(dispatch, wanted, lane);
+    struct task *task = task_create(dispatch, submitted, lane);
     reason = task_allowed(dispatch, task);
     if (reason != REASON_NONE) {
         task_end(dispatch, task);
@@ -179,11 +181,11 @@
 }
 
 bool
-dispatch_cancel(struct dispatch *dispatch, uint64_t id, uint64_t *attempt,
+dispatch_cancel(struct dispatch *dispatch, uint64_t task_id, uint64_t *attempt,
                 int64_t now_ms)
 {
     *attempt = 0;
-    struct task *task = g_hash_table_lookup(dispatch->tasks, &id);
+    struct task *task = g_hash_table_lookup(dispatch->tasks, &task_id);
     if (task == NULL) {
         return false;
     }
@@ -203,15 +205,15 @@
 }
 
 uint32_t
-dispatch_team_running(const struct dispatch *dispatch, const char *name)
+dispatch_team_running(const struct dispatch *dispatch, const char *team_name)
 {
-    const struct team *team = g_hash_table_lookup(dispatch->teams, name);
+    const struct team *team = g_hash_table_lookup(dispatch->teams, team_name);
     return team != NULL ? team->running : 0;
 }
 
 uint32_t
-dispatch_team_queued(const struct dispatch *dispatch, const char *name)
+dispatch_team_queued(const struct dispatch *dispatch, const char *team_name)
 {
-    const struct team *team = g_hash_table_lookup(dispatch->teams, name);
+    const struct team *team = g_hash_table_lookup(dispatch->teams, team_name);
     return team != NULL ? team->queued : 0;
 }
--- a/core/dispatch_attempt.c
+++ b/core/dispatch_attempt.c
@@ -85,11 +85,11 @@
 }
 
 void
-dispatch_attempt_resolved(struct dispatch *dispatch, uint64_t id,
+dispatch_attempt_resolved(struct dispatch *dispatch, uint64_t attempt_id,
                           int64_t now_ms)
 {
     dispatch_advance_clock(dispatch, now_ms);
-    struct attempt *attempt = attempt_find(dispatch, id);
+    struct attempt *attempt = attempt_find(dispatch, attempt_id);
     if (attempt != NULL && attempt->lost) {
         attempt_release(dispatch, attempt);
     }
@@ -129,9 +129,10 @@
 }
 
 enum reason
-dispatch_may_send(const struct dispatch *dispatch, uint64_t id, int64_t now_ms)
+dispatch_may_send(const struct dispatch *dispatch, uint64_t attempt_id,
+                  int64_t now_ms)
 {
-    const struct attempt *attempt = attempt_find(dispatch, id);
+    const struct attempt *attempt = attempt_find(dispatch, attempt_id);
     if (attempt == NULL || attempt->task == NULL || attempt->sent ||
         attempt->task->cancelled) {
         return REASON_CANCELLED;
@@ -140,9 +141,9 @@
 }
 
 void
-dispatch_sent(struct dispatch *dispatch, uint64_t id, int64_t now_ms)
+dispatch_sent(struct dispatch *dispatch, uint64_t attempt_id, int64_t now_ms)
 {
-    struct attempt *attempt = attempt_find(dispatch, id);
+    struct attempt *attempt = attempt_find(dispatch, attempt_id);
     if (attempt != NULL) {
         attempt->sent = true;
     }
@@ -176,11 +177,11 @@
 }
 
 bool
-dispatch_attempt_ended(struct dispatch *dispatch, uint64_t id,
+dispatch_attempt_ended(struct dispatch *dispatch, uint64_t attempt_id,
                        enum attempt_result result, int64_t now_ms)
 {
     dispatch_advance_clock(dispatch, now_ms);
-    struct attempt *attempt = attempt_find(dispatch, id);
+    struct attempt *attempt = attempt_find(dispatch, attempt_id);
     if (attempt == NULL || attempt->lost) {
         return false;
     }
--- a/core/dispatch_config.c
+++ b/core/dispatch_config.c
@@ -40,15 +40,16 @@
 }
 
 static struct queue *
-queue_get(struct dispatch *dispatch, const struct config_queue *wanted)
+queue_get(struct dispatch *dispatch, const struct config_queue *queue_config)
 {
-    struct queue *queue = g_hash_table_lookup(dispatch->queues, wanted->name);
+    struct queue *queue =
+        g_hash_table_lookup(dispatch->queues, queue_config->name);
     if (queue == NULL) {
         queue = g_new0(struct queue, 1);
-        queue->name = g_strdup(wanted->name);
+        queue->name = g_strdup(queue_config->name);
         queue->lanes = g_hash_table_new_full(NULL, NULL, NULL, g_free);
-        queue->pool = dispatch_pool(dispatch, wanted->pool);
-        queue->urgent = wanted->urgent;
+        queue->pool = dispatch_pool(dispatch, queue_config->pool);
+        queue->urgent = queue_config->urgent;
         retry_budget_init(&queue->retries, dispatch->now_ms);
         g_hash_table_insert(dispatch->queues, queue->name, queue);
     }
@@ -69,28 +70,28 @@
 
 static void
 queue_place(struct dispatch *dispatch, struct queue *queue,
-            const struct config_queue *wanted)
+            const struct config_queue *queue_config)
 {
-    struct pool *pool = dispatch_pool(dispatch, wanted->pool);
-    if (pool != queue->pool || wanted->urgent != queue->urgent) {
+    struct pool *pool = dispatch_pool(dispatch, queue_config->pool);
+    if (pool != queue->pool || queue_config->urgent != queue->urgent) {
         GHashTableIter iter;
         void *lane;
         g_hash_table_iter_init(&iter, queue->lanes);
         while (g_hash_table_iter_next(&iter, NULL, &lane)) {
-            lane_move(dispatch, lane, pool, wanted->urgent);
+            lane_move(dispatch, lane, pool, queue_config->urgent);
         }
         queue->pool = pool;
-        queue->urgent = wanted->urgent;
+        queue->urgent = queue_config->urgent;
     }
     queue->configured = true;
-    queue->open = wanted->open_team != NULL;
-    queue->start_deadline_ms = wanted->start_deadline_ms;
-    queue->max_run_ms = wanted->max_run_ms;
-    queue->max_queued = wanted->max_queued;
-    pool->has_queue[wanted->urgent] = true;
-    if (wanted->urgent) {
+    queue->open = queue_config->open_team != NULL;
+    queue->start_deadline_ms = queue_config->start_deadline_ms;
+    queue->max_run_ms = queue_config->max_run_ms;
+    queue->max_queued = queue_config->max_queued;
+    pool->has_queue[queue_config->urgent] = true;
+    if (queue_config->urgent) {
         pool->urgent_deadline_ms =
-            MIN(pool->urgent_deadline_ms, wanted->start_deadline_ms);
+            MIN(pool->urgent_deadline_ms, queue_config->start_deadline_ms);
     }
 }
 
@@ -125,14 +126,15 @@
 set_teams(struct dispatch *dispatch, const struct config *config)
 {
     for (size_t i = 0; i < config->n_teams; i++) {
-        const struct config_team *wanted = &config->teams[i];
-        struct team *team = dispatch_team(dispatch, wanted->name);
+        const struct config_team *team_config = &config->teams[i];
+        struct team *team = dispatch_team(dispatch, team_config->name);
         team->configured = true;
-        team->share_permille = wanted->share_permille;
-        team->max_running = wanted->max_running;
-        for (size_t j = 0; j < wanted->n_keys; j++) {
-            g_hash_table_insert(dispatch->keys, g_strdup(wanted->keys[j].id),
-                                g_strdup(wanted->keys[j].hash_hex));
+        team->share_permille = team_config->share_permille;
+        team->max_running = team_config->max_running;
+        for (size_t j = 0; j < team_config->n_keys; j++) {
+            g_hash_table_insert(dispatch->keys,
+                                g_strdup(team_config->keys[j].id),
+                                g_strdup(team_config->keys[j].hash_hex));
         }
     }
 }
@@ -210,10 +212,10 @@
 }
 
 void
-dispatch_set_permits(struct dispatch *dispatch, const char *name,
+dispatch_set_permits(struct dispatch *dispatch, const char *team_name,
                      uint32_t permits)
 {
-    struct team *team = dispatch_team(dispatch, name);
+    struct team *team = dispatch_team(dispatch, team_name);
     team->permits = permits;
     team_update(dispatch, team);
 }
--- a/core/dispatch_forward.c
+++ b/core/dispatch_forward.c
@@ -133,11 +133,11 @@
 }
 
 bool
-dispatch_forward_ended(struct dispatch *dispatch, uint64_t id,
+dispatch_forward_ended(struct dispatch *dispatch, uint64_t task_id,
                        enum attempt_result result, int64_t now_ms)
 {
     dispatch_advance_clock(dispatch, now_ms);
-    struct task *task = g_hash_table_lookup(dispatch->tasks, &id);
+    struct task *task = g_hash_table_lookup(dispatch->tasks, &task_id);
     if (task == NULL || task->state != TASK_FORWARDED) {
         return false;
     }
--- a/core/dispatch_hosts.c
+++ b/core/dispatch_hosts.c
@@ -35,11 +35,11 @@
 }
 
 static void
-replace_text(char **text, const char *wanted)
+replace_text(char **text, const char *value)
 {
-    if (g_strcmp0(*text, wanted) != 0) {
+    if (g_strcmp0(*text, value) != 0) {
         g_free(*text);
-        *text = g_strdup(wanted);
+        *text = g_strdup(value);
     }
 }
 
@@ -59,11 +59,10 @@
 
 static void
 host_set_rack(struct dispatch *dispatch, struct host *host,
-              const struct dispatch_host *wanted)
+              const struct dispatch_host *info)
 {
-    struct rack *rack = wanted->rack != NULL
-                            ? rack_get(dispatch, wanted->dc, wanted->rack)
-                            : NULL;
+    struct rack *rack =
+        info->rack != NULL ? rack_get(dispatch, info->dc, info->rack) : NULL;
     if (rack == host->rack) {
         return;
     }
@@ -74,7 +73,7 @@
         rack->outstanding += host->outstanding;
     }
     host->rack = rack;
-    replace_text(&host->rack_name, wanted->rack);
+    replace_text(&host->rack_name, info->rack);
 }
 
 static void
@@ -89,24 +88,24 @@
 
 static void
 host_set(struct dispatch *dispatch, struct host *host,
-         const struct dispatch_host *wanted)
+         const struct dispatch_host *info)
 {
-    bool pooled = wanted->pool != NULL && wanted->pool[0] != '\0';
-    struct pool *pool = pooled ? dispatch_pool(dispatch, wanted->pool) : NULL;
+    bool pooled = info->pool != NULL && info->pool[0] != '\0';
+    struct pool *pool = pooled ? dispatch_pool(dispatch, info->pool) : NULL;
     if (pool != host->pool) {
         host_leave_pool(dispatch, host);
         host->pool = pool;
         host->returned_ms =
             dispatch->hosts_known ? dispatch->now_ms : host->returned_ms;
     }
-    host->dc = wanted->dc != NULL ? dispatch_dc(dispatch, wanted->dc) : NULL;
+    host->dc = info->dc != NULL ? dispatch_dc(dispatch, info->dc) : NULL;
     host->local =
-        wanted->dc != NULL && g_strcmp0(wanted->dc, dispatch->own_dc) == 0;
-    replace_text(&host->address, wanted->address);
-    host_set_rack(dispatch, host, wanted);
-    host->slots = wanted->slots;
-    host->connections = wanted->connections;
-    host->accepting = wanted->accepting;
+        info->dc != NULL && g_strcmp0(info->dc, dispatch->own_dc) == 0;
+    replace_text(&host->address, info->address);
+    host_set_rack(dispatch, host, info);
+    host->slots = info->slots;
+    host->connections = info->connections;
+    host->accepting = info->accepting;
     host->seen = true;
 }
 
--- a/core/dispatch_peers.c
+++ b/core/dispatch_peers.c
@@ -223,12 +223,12 @@
 }
 
 void
-dispatch_peer_usage(struct dispatch *dispatch, const char *name,
+dispatch_peer_usage(struct dispatch *dispatch, const char *peer_name,
                     const struct dispatch_usage *entries, size_t n_entries,
                     int64_t now_ms)
 {
     dispatch_advance_clock(dispatch, now_ms);
-    struct peer *peer = peer_get(dispatch, name);
+    struct peer *peer = peer_get(dispatch, peer_name);
     usage_clear(peer);
     pools_clear(peer);
     permits_clear(dispatch, peer);
@@ -251,12 +251,12 @@
 }
 
 void
-dispatch_peer_gone(struct dispatch *dispatch, const char *name)
+dispatch_peer_gone(struct dispatch *dispatch, const char *peer_name)
 {
-    struct peer *peer = g_hash_table_lookup(dispatch->peers, name);
+    struct peer *peer = g_hash_table_lookup(dispatch->peers, peer_name);
     if (peer != NULL) {
         peer_clear(dispatch, peer);
-        g_hash_table_remove(dispatch->peers, name);
+        g_hash_table_remove(dispatch->peers, peer_name);
     }
 }
 
--- a/core/dispatch_report.c
+++ b/core/dispatch_report.c
@@ -64,8 +64,8 @@
 
 uint32_t
 dispatch_report_host_attempts(const struct dispatch *dispatch,
-                              const char *name)
+                              const char *host_name)
 {
-    const struct host *host = g_hash_table_lookup(dispatch->hosts, name);
+    const struct host *host = g_hash_table_lookup(dispatch->hosts, host_name);
     return host == NULL ? 0 : host->outstanding;
 }
--- a/core/dispatch_share.c
+++ b/core/dispatch_share.c
@@ -58,9 +58,9 @@
         pool_team->lag_ms = 0;
         return;
     }
-    double keep = 1.0 - MIN(dt_ms / service_window_ms(pool), 1.0);
+    double decay_factor = 1.0 - MIN(dt_ms / service_window_ms(pool), 1.0);
     double limit = LAG_MAX_SLOTS * catch_up_ms(pool);
-    pool_team->lag_ms *= keep;
+    pool_team->lag_ms *= decay_factor;
     pool_team->lag_ms += (pool_team->due_slots - pool_team->running) * dt_ms;
     pool_team->lag_ms = CLAMP(pool_team->lag_ms, -limit, limit);
     if (pool_team->queued == 0) {
@@ -103,10 +103,10 @@
 {
     pool_team_advance(dispatch, pool_team);
     double dt_ms = (double)(dispatch->now_ms - pool_team->decayed_ms);
-    double keep = 1.0 - MIN(dt_ms / RUN_WINDOW_MS, 1.0);
+    double decay_factor = 1.0 - MIN(dt_ms / RUN_WINDOW_MS, 1.0);
     pool_team->decayed_ms = dispatch->now_ms;
-    pool_team->busy_ms *= keep;
-    pool_team->completed *= keep;
+    pool_team->busy_ms *= decay_factor;
+    pool_team->completed *= decay_factor;
 }
 
 static void
--- a/core/dispatch_state.h
+++ b/core/dispatch_state.h
@@ -461,7 +461,7 @@
 
 /* dispatch_task.c */
 struct task *
-task_create(struct dispatch *dispatch, const struct dispatch_task *wanted,
+task_create(struct dispatch *dispatch, const struct dispatch_task *submitted,
             struct lane *lane);
 void
 task_end(struct dispatch *dispatch, struct task *task);
--- a/core/dispatch_task.c
+++ b/core/dispatch_task.c
@@ -2,16 +2,16 @@
 #include "dispatch_state.h"
 
 struct task *
-task_create(struct dispatch *dispatch, const struct dispatch_task *wanted,
+task_create(struct dispatch *dispatch, const struct dispatch_task *submitted,
             struct lane *lane)
 {
     struct task *task = g_new0(struct task, 1);
-    task->id = wanted->id;
+    task->id = submitted->id;
     task->lane = lane;
-    task->key_id = g_strdup(wanted->key_id);
-    task->key_hash_hex = g_strdup(wanted->key_hash_hex);
-    task->idempotent = wanted->idempotent;
-    task->forwarded = wanted->forwarded;
+    task->key_id = g_strdup(submitted->key_id);
+    task->key_hash_hex = g_strdup(submitted->key_hash_hex);
+    task->idempotent = submitted->idempotent;
+    task->forwarded = submitted->forwarded;
     task->submitted_ms = dispatch->now_ms;
     task->deadline.owner = task;
     task->link.data = task;
--- a/core/dispatch_usage.c
+++ b/core/dispatch_usage.c
@@ -114,10 +114,11 @@
 }
 
 bool
-dispatch_explain(const struct dispatch *dispatch, const char *name,
+dispatch_explain(const struct dispatch *dispatch, const char *queue_name,
                  int64_t now_ms, struct dispatch_explanation *explanation)
 {
-    const struct queue *queue = g_hash_table_lookup(dispatch->queues, name);
+    const struct queue *queue =
+        g_hash_table_lookup(dispatch->queues, queue_name);
     if (queue == NULL) {
         return false;
     }
--- a/core/jobs/advice.c
+++ b/core/jobs/advice.c
@@ -80,8 +80,8 @@
     return strcmp(x->entry.id, y->entry.id);
 }
 
-/* Backend servers to ask about. Those that were allowed before come first:
- * only their tickets have expired. */
+/* Backend servers to request advice about. Those that were allowed before come
+ * first: only their tickets have expired. */
 static GPtrArray *
 choose_candidates(const struct advice_request *request, const char *pool)
 {
@@ -91,7 +91,7 @@
         job_step_progress(request->job, request->occurrence, request->step)
             ->advice;
     GPtrArray *expired = g_ptr_array_new();
-    GPtrArray *unasked = g_ptr_array_new();
+    GPtrArray *not_requested = g_ptr_array_new();
     double tasks_left =
         (double)tasks_waiting(request) * CANDIDATE_SURPLUS_FACTOR;
     GHashTableIter iter;
@@ -111,28 +111,28 @@
             tasks_left -= (double)tasks_that_fit(backend, step);
         }
         else if (status != ADVICE_REFUSED) {
-            g_ptr_array_add(status == ADVICE_EXPIRED ? expired : unasked,
+            g_ptr_array_add(status == ADVICE_EXPIRED ? expired : not_requested,
                             backend);
         }
     }
     /* Sorted by id, so that the same load gives the same requests. */
     g_ptr_array_sort(expired, compare_ids);
-    g_ptr_array_sort(unasked, compare_ids);
+    g_ptr_array_sort(not_requested, compare_ids);
     GPtrArray *candidates = g_ptr_array_new();
     for (guint i = 0;
          tasks_left > 0 && candidates->len < ADVICE_BACKENDS_MAX &&
-         i < expired->len + unasked->len;
+         i < expired->len + not_requested->len;
          i++) {
         bool was_allowed = i < expired->len;
         struct backend *backend =
             was_allowed ? g_ptr_array_index(expired, i)
-                        : g_ptr_array_index(unasked, i - expired->len);
+                        : g_ptr_array_index(not_requested, i - expired->len);
         tasks_left -= (double)tasks_that_fit(backend, step) *
                       (was_allowed ? 1 : sched->advice.allowed_fraction);
         g_ptr_array_add(candidates, backend);
     }
     g_ptr_array_unref(expired);
-    g_ptr_array_unref(unasked);
+    g_ptr_array_unref(not_requested);
     return candidates;
 }
 
@@ -145,19 +145,19 @@
     call->occurrence = request->occurrence;
     call->step = request->step;
     call->sent_ms = request->now_ms;
-    call->asked = g_ptr_array_new_with_free_func(g_free);
+    call->backend_ids = g_ptr_array_new_with_free_func(g_free);
     for (guint i = 0; i < backends->len; i++) {
         const struct backend *backend = g_ptr_array_index(backends, i);
-        g_ptr_array_add(call->asked, g_strdup(backend->entry.id));
+        g_ptr_array_add(call->backend_ids, g_strdup(backend->entry.id));
     }
     char step[JOB_ID_CHARS + 32];
     g_snprintf(step, sizeof(step), "%s.%u.%u", request->job->id,
                request->occurrence, request->step);
     sched_log_event(sched, "advice_asked", "\"step\":\"%s\",\"backends\":%u",
                     step, backends->len);
-    g_ptr_array_add(call->asked, NULL);
+    g_ptr_array_add(call->backend_ids, NULL);
     sched->ops.request_advice(sched->ops.ctx, step,
-                              (const char *const *)call->asked->pdata);
+                              (const char *const *)call->backend_ids->pdata);
 }
 
 static bool
@@ -212,9 +212,9 @@
 static void
 finish_advice_call(struct scheduler *sched)
 {
-    g_ptr_array_unref(sched->advice.asked);
+    g_ptr_array_unref(sched->advice.backend_ids);
     job_unref(sched->advice.job);
-    sched->advice.asked = NULL;
+    sched->advice.backend_ids = NULL;
     sched->advice.job = NULL;
 }
 
@@ -249,8 +249,8 @@
     if (progress->advice == NULL) {
         progress->advice = step_advice_create();
     }
-    for (guint i = 0; i + 1 < call->asked->len; i++) {
-        const char *id = g_ptr_array_index(call->asked, i);
+    for (guint i = 0; i + 1 < call->backend_ids->len; i++) {
+        const char *id = g_ptr_array_index(call->backend_ids, i);
         const struct backend *backend = scheduler_find_backend(sched, id);
         const struct advice_grant *grant = find_grant(answer, id);
         int64_t incarnation_start_ms =
--- a/core/jobs/hosts.c
+++ b/core/jobs/hosts.c
@@ -108,9 +108,9 @@
 }
 
 void
-scheduler_host_commanded_before(struct scheduler *sched, const char *name)
+scheduler_host_commanded_before(struct scheduler *sched, const char *host_name)
 {
-    sched_host_find_or_add(sched, name)->commanded_before = true;
+    sched_host_find_or_add(sched, host_name)->commanded_before = true;
 }
 
 /* Entries of ended incarnations may stay in the list for a while; the one that
@@ -218,26 +218,26 @@
 }
 
 void
-scheduler_on_host_command(struct scheduler *sched, const char *name,
-                          int64_t number, enum host_command_result result)
+scheduler_on_host_command(struct scheduler *sched, const char *host_name,
+                          int64_t wave_number, enum host_command_result result)
 {
-    struct host *host = g_hash_table_lookup(sched->hosts, name);
+    struct host *host = g_hash_table_lookup(sched->hosts, host_name);
     sched_log_event(sched, "host_order_answer",
                     "\"host\":\"%s\",\"wave\":%" G_GINT64_FORMAT
                     ",\"answer\":%d",
-                    name, number, result);
+                    host_name, wave_number, result);
     if (host == NULL || !host->command_in_flight) {
         return;
     }
     host->command_in_flight = false;
     switch (result) {
     case HOST_COMMAND_DONE:
-        on_command_accepted(sched, host, number);
+        on_command_accepted(sched, host, wave_number);
         break;
     case HOST_COMMAND_NOT_WANTED:
-        if (sched_find_wave(sched, number) != NULL) {
-            g_hash_table_add(sched_find_wave(sched, number)->started,
-                             g_strdup(name));
+        if (sched_find_wave(sched, wave_number) != NULL) {
+            g_hash_table_add(sched_find_wave(sched, wave_number)->started,
+                             g_strdup(host_name));
             host->wave = 0;
         }
         sched_host_set_intent(sched, host, HOST_STAYS, NULL);
@@ -248,7 +248,7 @@
         break;
     case HOST_COMMAND_REFUSED:
         host->retry_ms = sched_now(sched) + COMMAND_RETRY_MS;
-        if (number == 0) {
+        if (wave_number == 0) {
             sched_host_set_intent(sched, host, HOST_STAYS, NULL);
         }
         break;
--- a/core/jobs/scheduler_backends.c
+++ b/core/jobs/scheduler_backends.c
@@ -82,14 +82,14 @@
                         entry->host == NULL ? "" : entry->host);
     }
     else {
-        int64_t born_before_ms = backend->entry.incarnation_start_ms;
+        int64_t previous_start_ms = backend->entry.incarnation_start_ms;
         if (entry->draining && !backend->entry.draining) {
             sched_log_event(sched, "backend_draining", "\"backend\":\"%s\"",
                             entry->id);
         }
         update_entry(backend, entry);
-        if (born_before_ms != 0 && entry->incarnation_start_ms != 0 &&
-            born_before_ms != entry->incarnation_start_ms) {
+        if (previous_start_ms != 0 && entry->incarnation_start_ms != 0 &&
+            previous_start_ms != entry->incarnation_start_ms) {
             renew_incarnation(sched, backend);
         }
     }
--- a/core/jobs/scheduler_state.h
+++ b/core/jobs/scheduler_state.h
@@ -157,8 +157,8 @@
 
 /**
  * struct advice_call - the request for placement advice that is in flight
- * @job: job of the step in question, referenced; NULL: no request
- * @asked: ids of the backend servers in question, NULL-terminated
+ * @job: job of the step that it is for, referenced; NULL: no request
+ * @backend_ids: backend servers that it names, NULL-terminated
  * @retry_ms: no request before this time
  * @allowed_fraction: estimated fraction of backend servers that may run a step
  */
@@ -166,7 +166,7 @@
     struct job *job;
     uint32_t occurrence;
     uint32_t step;
-    GPtrArray *asked;
+    GPtrArray *backend_ids;
     int64_t sent_ms;
     int64_t retry_ms;
     double allowed_fraction;
--- a/core/request_ids.c
+++ b/core/request_ids.c
@@ -402,7 +402,7 @@
 
 void
 request_ids_query(struct request_ids *ids, const char *team, const char *id,
-                  const char *asker, int64_t now_ms,
+                  const char *querier, int64_t now_ms,
                   struct id_query_reply *reply)
 {
     begin_call(ids, now_ms);
@@ -422,17 +422,17 @@
     if (entry == NULL) {
         entry = entry_create(ids, team, id, ENTRY_MOVED);
     }
-    else if (strcmp(entry->moved_to, asker) != 0 &&
+    else if (strcmp(entry->moved_to, querier) != 0 &&
              request_views_registered(ids->views, entry->moved_to) &&
              reply->n_earlier_owners < REQUEST_IDS_EARLIER_OWNERS_MAX) {
         ids->returned_peer = g_strdup(entry->moved_to);
         reply->earlier_owners[reply->n_earlier_owners++] = ids->returned_peer;
     }
-    else if (strcmp(entry->moved_to, asker) != 0) {
+    else if (strcmp(entry->moved_to, querier) != 0) {
         reply->result = ID_QUERY_OWNER_GONE;
     }
     g_free(entry->moved_to);
-    entry->moved_to = g_strdup(asker);
+    entry->moved_to = g_strdup(querier);
     entry_start_retention(ids, entry, now_ms);
 }
 
--- a/core/routing.c
+++ b/core/routing.c
@@ -313,11 +313,11 @@
 }
 
 void
-dispatch_host_load(struct dispatch *dispatch, const char *name,
+dispatch_host_load(struct dispatch *dispatch, const char *host_name,
                    uint32_t running, int64_t now_ms)
 {
     dispatch_advance_clock(dispatch, now_ms);
-    struct host *host = g_hash_table_lookup(dispatch->hosts, name);
+    struct host *host = g_hash_table_lookup(dispatch->hosts, host_name);
     if (host == NULL) {
         return;
     }
--- a/egretd/gateway.c
+++ b/egretd/gateway.c
@@ -91,7 +91,8 @@
 {
     struct gateway *gateway = ctx;
     return gateway->membership != NULL &&
-           membership_lease_until_ms(gateway->membership) > now_ms(gateway);
+           membership_quorum_lease_expires_ms(gateway->membership) >
+               now_ms(gateway);
 }
 
 static bool
@@ -231,7 +232,7 @@
         .generation = config_feed_generation(gateway->feed),
         .config_id = config_feed_id(gateway->feed),
         .now_ms = now_ms(gateway),
-        .lease_until_ms = INT64_MIN,
+        .quorum_lease_expires_ms = INT64_MIN,
         .inflight = engine_inflight(gateway->engine),
         .draining = gateway->shutdown_at_ms != 0,
         .store = store_stats_get(gateway->store),
@@ -240,7 +241,8 @@
         return;
     }
     snapshot->incarnation = membership_incarnation(gateway->membership);
-    snapshot->lease_until_ms = membership_lease_until_ms(gateway->membership);
+    snapshot->quorum_lease_expires_ms =
+        membership_quorum_lease_expires_ms(gateway->membership);
     snapshot->peers = membership_peers_stats(gateway->membership);
     snapshot->members = membership_members(
         gateway->membership, &snapshot->n_members, &snapshot->epoch);
--- a/egretd/gateway_status.c
+++ b/egretd/gateway_status.c
@@ -4,7 +4,7 @@
 static bool
 has_quorum_lease(const struct gateway_snapshot *snapshot)
 {
-    return snapshot->lease_until_ms > snapshot->now_ms;
+    return snapshot->quorum_lease_expires_ms > snapshot->now_ms;
 }
 
 static void
--- a/egretd/membership.c
+++ b/egretd/membership.c
@@ -21,7 +21,7 @@
     struct usage_report *usage;
     GArray *members;
     uint64_t epoch;
-    int64_t lease_until_ms;
+    int64_t quorum_lease_expires_ms;
     guint tick;
     void (*leave_done)(void *ctx);
     void *leave_ctx;
@@ -95,17 +95,18 @@
 }
 
 static void
-on_lease_changed(void *ctx, int64_t lease_until_ms)
+on_lease_changed(void *ctx, int64_t expires_ms)
 {
     struct membership *membership = ctx;
-    bool lost = lease_until_ms < membership->lease_until_ms;
+    bool lost = expires_ms < membership->quorum_lease_expires_ms;
     int64_t now = ms_clock_now(&membership->options.clock);
-    bool gained = membership->lease_until_ms <= now && lease_until_ms > now;
-    membership->lease_until_ms = lease_until_ms;
-    dispatch_set_quorum_lease(dispatch_of(membership), lease_until_ms);
+    bool gained =
+        membership->quorum_lease_expires_ms <= now && expires_ms > now;
+    membership->quorum_lease_expires_ms = expires_ms;
+    dispatch_set_quorum_lease(dispatch_of(membership), expires_ms);
     if (lost || gained) {
         log_line(LOG_LEVEL_INFO, "standing", "until_in_ms=%" G_GINT64_FORMAT,
-                 MAX(lease_until_ms, now) - now);
+                 MAX(expires_ms, now) - now);
         engine_run_actions(membership->options.engine);
     }
 }
@@ -337,7 +338,7 @@
 {
     struct membership *membership = g_new0(struct membership, 1);
     membership->options = *options;
-    membership->lease_until_ms = INT64_MIN;
+    membership->quorum_lease_expires_ms = INT64_MIN;
     membership->incarnation = g_strdup(options->incarnation);
     membership->members =
         g_array_new(FALSE, TRUE, sizeof(struct gateway_member));
@@ -423,9 +424,9 @@
 }
 
 int64_t
-membership_lease_until_ms(const struct membership *membership)
+membership_quorum_lease_expires_ms(const struct membership *membership)
 {
-    return membership->lease_until_ms;
+    return membership->quorum_lease_expires_ms;
 }
 
 const char *
--- a/egretd/registration.c
+++ b/egretd/registration.c
@@ -88,11 +88,11 @@
 report_lease(struct registration *registration)
 {
     apply_renewal(registration);
-    int64_t until_ms = quorum_lease_expires_ms(registration->quorum_lease);
-    if (until_ms != registration->lease_until_ms) {
-        registration->lease_until_ms = until_ms;
+    int64_t expires_ms = quorum_lease_expires_ms(registration->quorum_lease);
+    if (expires_ms != registration->quorum_lease_expires_ms) {
+        registration->quorum_lease_expires_ms = expires_ms;
         registration->options.listener.lease_changed(
-            registration->options.listener.ctx, until_ms);
+            registration->options.listener.ctx, expires_ms);
     }
 }
 
@@ -240,7 +240,7 @@
     counters_set(counters, "egret_members", "state=\"other\"",
                  (int64_t)(record->n_entries - n_live));
     counters_set(counters, "egret_standing", NULL,
-                 registration->lease_until_ms >
+                 registration->quorum_lease_expires_ms >
                      registration_now(registration));
 }
 
@@ -442,7 +442,7 @@
     struct registration *registration = g_rc_box_new0(struct registration);
     registration->options = *options;
     registration->incarnation = g_strdup(options->incarnation);
-    registration->lease_until_ms = INT64_MIN;
+    registration->quorum_lease_expires_ms = INT64_MIN;
     registration->renewal.renewed_ms = INT64_MIN;
     registration->last_tick_ms = registration_now(registration);
     registration->members = create_members(options);
--- a/egretd/registration_internal.h
+++ b/egretd/registration_internal.h
@@ -70,7 +70,7 @@
  *                           configuration was confirmed by a read sent no
  *                           earlier than this; set at the start and after
  *                           each pause of the process
- * @lease_until_ms: end of the quorum lease as last reported
+ * @quorum_lease_expires_ms: end of the quorum lease as last reported
  * @fenced_reported: the listener knows that this incarnation is fenced
  * @reclaims_started: fenced incarnations passed to the listener's
  *                    @reclaim_permits
@@ -92,7 +92,7 @@
     int64_t renewals_read_sent_ms;
     int64_t last_tick_ms;
     int64_t config_confirm_after_ms;
-    int64_t lease_until_ms;
+    int64_t quorum_lease_expires_ms;
     bool fenced_reported;
     GHashTable *reclaims_started;
     bool leaving;
--- a/egretjobd/committer.c
+++ b/egretjobd/committer.c
@@ -110,13 +110,13 @@
 
 struct committer *
 committer_create(struct event_base *base, const char *address,
-                 int64_t timeout_ms, struct kv_route path)
+                 int64_t timeout_ms, struct kv_route route)
 {
     struct committer *committer = g_new0(struct committer, 1);
     for (size_t i = 0; i < ATTEMPT_COUNT; i++) {
         committer->attempts[i] = (struct commit_attempt){
             .committer = committer,
-            .kv = kv_create(base, address, timeout_ms, path),
+            .kv = kv_create(base, address, timeout_ms, route),
         };
     }
     committer->retry_timer = evtimer_new(base, on_retry_timer, committer);
--- a/include/core/dispatch.h
+++ b/include/core/dispatch.h
@@ -153,20 +153,20 @@
 void
 dispatch_set_quorum_lease(struct dispatch *dispatch, int64_t expires_ms);
 
-/** dispatch_set_permits() - set how many attempts of @team may run on this
- * gateway at a time. */
+/** dispatch_set_permits() - set how many attempts of @team_name may run on
+ * this gateway at a time. */
 void
-dispatch_set_permits(struct dispatch *dispatch, const char *team,
+dispatch_set_permits(struct dispatch *dispatch, const char *team_name,
                      uint32_t permits);
 
-/** dispatch_team_running() - attempts of @team that are running or may still
- * run. */
+/** dispatch_team_running() - attempts of @team_name that are running or may
+ * still run. */
 uint32_t
-dispatch_team_running(const struct dispatch *dispatch, const char *team);
+dispatch_team_running(const struct dispatch *dispatch, const char *team_name);
 
-/** dispatch_team_queued() - waiting tasks of @team. */
+/** dispatch_team_queued() - waiting tasks of @team_name. */
 uint32_t
-dispatch_team_queued(const struct dispatch *dispatch, const char *team);
+dispatch_team_queued(const struct dispatch *dispatch, const char *team_name);
 
 /**
  * dispatch_submit() - queue a task
@@ -175,8 +175,9 @@
  * run), with a hint when to retry in *@retry_after_ms.
  */
 enum reason
-dispatch_submit(struct dispatch *dispatch, const struct dispatch_task *task,
-                int64_t now_ms, int64_t *retry_after_ms);
+dispatch_submit(struct dispatch *dispatch,
+                const struct dispatch_task *submitted, int64_t now_ms,
+                int64_t *retry_after_ms);
 
 /**
  * dispatch_next() - get the next decision
@@ -201,12 +202,12 @@
  * ATTEMPT_NOT_SENT.
  */
 enum reason
-dispatch_may_send(const struct dispatch *dispatch, uint64_t attempt,
+dispatch_may_send(const struct dispatch *dispatch, uint64_t attempt_id,
                   int64_t now_ms);
 
 /** dispatch_sent() - the first byte of the attempt is about to be sent. */
 void
-dispatch_sent(struct dispatch *dispatch, uint64_t attempt, int64_t now_ms);
+dispatch_sent(struct dispatch *dispatch, uint64_t attempt_id, int64_t now_ms);
 
 /**
  * dispatch_attempt_ended() - report how an attempt ended
@@ -220,18 +221,18 @@
  * task, a retry or a refusal.
  */
 bool
-dispatch_attempt_ended(struct dispatch *dispatch, uint64_t attempt,
+dispatch_attempt_ended(struct dispatch *dispatch, uint64_t attempt_id,
                        enum attempt_result result, int64_t now_ms);
 
 /** dispatch_attempt_resolved() - a lost attempt is known to run no more. */
 void
-dispatch_attempt_resolved(struct dispatch *dispatch, uint64_t attempt,
+dispatch_attempt_resolved(struct dispatch *dispatch, uint64_t attempt_id,
                           int64_t now_ms);
 
-/** dispatch_forward_ended() - report how forwarding of @task ended; returns
+/** dispatch_forward_ended() - report how forwarding of @task_id ended; returns
  * the same as dispatch_attempt_ended(). */
 bool
-dispatch_forward_ended(struct dispatch *dispatch, uint64_t task,
+dispatch_forward_ended(struct dispatch *dispatch, uint64_t task_id,
                        enum attempt_result result, int64_t now_ms);
 
 /**
@@ -242,7 +243,7 @@
  * attempt or forwarding is in progress or the task is not known.
  */
 bool
-dispatch_cancel(struct dispatch *dispatch, uint64_t task, uint64_t *attempt,
+dispatch_cancel(struct dispatch *dispatch, uint64_t task_id, uint64_t *attempt,
                 int64_t now_ms);
 
 /** dispatch_drain() - the gateway shuts down: refuse new tasks, and waiting
@@ -253,7 +254,7 @@
 /** dispatch_host_load() - number of tasks that a host runs, as reported in any
  * of its answers. */
 void
-dispatch_host_load(struct dispatch *dispatch, const char *host,
+dispatch_host_load(struct dispatch *dispatch, const char *host_name,
                    uint32_t running, int64_t now_ms);
 
 /** dispatch_usage_get() - get this gateway's usage; entries are valid until
@@ -262,15 +263,15 @@
 dispatch_usage_get(struct dispatch *dispatch,
                    const struct dispatch_usage **entries, int64_t now_ms);
 
-/** dispatch_peer_usage() - gateway @peer reported its usage. */
+/** dispatch_peer_usage() - gateway @peer_name reported its usage. */
 void
-dispatch_peer_usage(struct dispatch *dispatch, const char *peer,
+dispatch_peer_usage(struct dispatch *dispatch, const char *peer_name,
                     const struct dispatch_usage *entries, size_t n_entries,
                     int64_t now_ms);
 
-/** dispatch_peer_gone() - discard the usage that @peer reported. */
+/** dispatch_peer_gone() - discard the usage that @peer_name reported. */
 void
-dispatch_peer_gone(struct dispatch *dispatch, const char *peer);
+dispatch_peer_gone(struct dispatch *dispatch, const char *peer_name);
 
 /** struct dispatch_explanation - why a queue waits, for operators */
 struct dispatch_explanation {
@@ -290,7 +291,7 @@
 /** dispatch_explain() - get the state of a queue; false when it is not
  * known. */
 bool
-dispatch_explain(const struct dispatch *dispatch, const char *queue,
+dispatch_explain(const struct dispatch *dispatch, const char *queue_name,
                  int64_t now_ms, struct dispatch_explanation *explanation);
 
 #endif
--- a/include/core/dispatch_report.h
+++ b/include/core/dispatch_report.h
@@ -37,10 +37,10 @@
                                            uint32_t failures),
                               void *ctx);
 
-/** dispatch_report_host_attempts() - attempts on @host that are running or may
- * still run. */
+/** dispatch_report_host_attempts() - attempts on @host_name that are running
+ * or may still run. */
 uint32_t
 dispatch_report_host_attempts(const struct dispatch *dispatch,
-                              const char *host);
+                              const char *host_name);
 
 #endif
--- a/include/core/jobs/scheduler.h
+++ b/include/core/jobs/scheduler.h
@@ -447,11 +447,12 @@
  * command about this host shortly before the takeover.
  */
 void
-scheduler_host_commanded_before(struct scheduler *sched, const char *host);
+scheduler_host_commanded_before(struct scheduler *sched,
+                                const char *host_name);
 
 /** scheduler_wave_set() - add or change a wave; idempotent. */
 void
-scheduler_wave_set(struct scheduler *sched, const struct host_wave *wave);
+scheduler_wave_set(struct scheduler *sched, const struct host_wave *request);
 
 /**
  * scheduler_wave_host_started() - a previous leader stored that the
@@ -480,9 +481,11 @@
     HOST_COMMAND_UNKNOWN,
 };
 
-/** scheduler_on_host_command() - answer to a move (@wave 0) or a reboot. */
+/** scheduler_on_host_command() - answer to a move (@wave_number 0) or a
+ * reboot. */
 void
-scheduler_on_host_command(struct scheduler *sched, const char *host,
-                          int64_t wave, enum host_command_result result);
+scheduler_on_host_command(struct scheduler *sched, const char *host_name,
+                          int64_t wave_number,
+                          enum host_command_result result);
 
 #endif
--- a/include/core/retry_budget.h
+++ b/include/core/retry_budget.h
@@ -5,10 +5,11 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** struct retry_budget - token bucket that successes fill, and time slowly */
+/** struct retry_budget - token bucket; successes add tokens, and so,
+ * slowly, does time */
 struct retry_budget {
     int64_t tokens_milli;
-    int64_t filled_ms;
+    int64_t refilled_ms;
 };
 
 /** retry_budget_init() - start with a full bucket. */
--- a/include/egretd/gateway_status.h
+++ b/include/egretd/gateway_status.h
@@ -19,7 +19,7 @@
  * @incarnation, @members, @n_members, @epoch: registration; unset without a
  *                                             membership
  * @generation, @config_id: of the active configuration
- * @lease_until_ms: end of the quorum lease
+ * @quorum_lease_expires_ms: end of the quorum lease
  * @inflight: requests without an answer
  */
 struct gateway_snapshot {
@@ -31,7 +31,7 @@
     const struct gateway_member *members;
     size_t n_members;
     int64_t now_ms;
-    int64_t lease_until_ms;
+    int64_t quorum_lease_expires_ms;
     uint32_t inflight;
     bool draining;
     struct store_stats store;
--- a/include/egretd/membership.h
+++ b/include/egretd/membership.h
@@ -51,10 +51,10 @@
 membership_find_peer(const struct membership *membership, const char *peer,
                      struct forward_target *target);
 
-/** membership_lease_until_ms() - end of the quorum lease; work may start only
- * before it. */
+/** membership_quorum_lease_expires_ms() - end of the quorum lease; work may
+ * start only before it. */
 int64_t
-membership_lease_until_ms(const struct membership *membership);
+membership_quorum_lease_expires_ms(const struct membership *membership);
 
 /** membership_incarnation() - name of this incarnation. */
 const char *
--- a/include/egretd/registration.h
+++ b/include/egretd/registration.h
@@ -30,7 +30,7 @@
 
 /**
  * struct registration_listener - notified of changes
- * @lease_changed: the quorum lease now ends at @until_ms; this gateway may
+ * @lease_changed: the quorum lease now ends at @expires_ms; this gateway may
  *                 start work only before that
  * @members_changed: the registered gateways changed
  * @fenced: this incarnation was fenced; a new incarnation has to register
@@ -38,7 +38,7 @@
  *                   registration_permits_reclaimed() once none are left
  */
 struct registration_listener {
-    void (*lease_changed)(void *ctx, int64_t until_ms);
+    void (*lease_changed)(void *ctx, int64_t expires_ms);
     void (*members_changed)(void *ctx, const struct gateway_member *members,
                             size_t n_members, uint64_t epoch);
     void (*fenced)(void *ctx);
--- a/include/egretfleetd/fleet_status.h
+++ b/include/egretfleetd/fleet_status.h
@@ -33,11 +33,11 @@
 fleet_status_create(const struct fleet_status_options *options,
                     struct status *status);
 void
-fleet_status_destroy(struct fleet_status *server);
+fleet_status_destroy(struct fleet_status *self);
 
 /** fleet_status_port() - port that it listens on. */
 uint16_t
-fleet_status_port(const struct fleet_status *server);
+fleet_status_port(const struct fleet_status *self);
 
 /** fleet_status_add_pool() - add the members of one pool's JSON object. */
 void
--- a/include/egretfleetd/plan_executor.h
+++ b/include/egretfleetd/plan_executor.h
@@ -21,7 +21,7 @@
 struct plan_executor *
 plan_executor_create(const struct plan_executor_options *options);
 void
-plan_executor_destroy(struct plan_executor *actor);
+plan_executor_destroy(struct plan_executor *executor);
 
 /**
  * plan_executor_run() - carry out the actions of @plan that are due
@@ -32,6 +32,7 @@
  * next pass plans from the record as then stored.
  */
 void
-plan_executor_run(struct plan_executor *actor, const struct fleet_plan *plan);
+plan_executor_run(struct plan_executor *executor,
+                  const struct fleet_plan *plan);
 
 #endif
