--- a/include/store/config_store.h
+++ b/include/store/config_store.h
@@ -1,4 +1,4 @@
-/* Reading and replacing the configuration at the store. */
+/* Reads, publishes and prunes the configuration at the store. */
 #ifndef STORE_CONFIG_STORE_H
 #define STORE_CONFIG_STORE_H
 
@@ -7,15 +7,15 @@
 
 /**
  * struct config_snapshot - a generation as read from the store
- * @status: STATUS_OK, STATUS_NOT_FOUND (nothing was ever applied),
- *          STATUS_UNAVAILABLE, or STATUS_INVALID for a generation that can't
- *          be read; @head is then set if that much was readable
- * @head_version: version of the head, for config_publish()
+ * @status: STATUS_OK, STATUS_NOT_FOUND (no configuration was ever applied),
+ *          STATUS_UNAVAILABLE, or STATUS_INVALID for a malformed generation;
+ *          @head is then set if the head itself could be parsed
+ * @head_version: store version of the head, for config_publish()
  * @head_text: the head as stored
- * @texts: part names to part texts
+ * @texts: map of part names to part texts
  *
- * Valid during the callback, which may take members over by setting them to
- * NULL.
+ * Valid during the callback, which may take ownership of members by setting
+ * them to NULL.
  */
 struct config_snapshot {
     struct status status;
@@ -34,8 +34,9 @@
 struct config_fetch;
 
 /**
- * config_fetch() - read the generation in force
- * @known: part keys to part texts that need not be read again, or NULL
+ * config_fetch() - read the active generation
+ * @known: map of part keys to part texts that the caller already has and that
+ *         are not read again, or NULL
  *
  * Returns: a handle that is valid until the callback has been called.
  */
@@ -43,21 +44,23 @@
 config_fetch(struct store *store, GTree *known,
              struct config_fetch_callback callback);
 
-/** config_fetch_from_head() - the same for a head that was just read. */
+/** config_fetch_from_head() - like config_fetch(), but starts from a head that
+ * the caller has read. */
 struct config_fetch *
 config_fetch_from_head(struct store *store, const struct store_entry *head,
                        GTree *known, struct config_fetch_callback callback);
 
-/** config_fetch_cancel() - no callback follows. */
+/** config_fetch_cancel() - cancel @fetch; its callback is not called. */
 void
 config_fetch_cancel(struct config_fetch *fetch);
 
 /**
- * struct config_publish_request - what to put in force
- * @base: head that the change was made on; NULL for the first generation
- * @base_version: its version, or STORE_VERSION_ABSENT
- * @above_generation: the new generation is higher than this, too; gateways may
- * hold more than a store that was set back
+ * struct config_publish_request - configuration to make active
+ * @base: head that the change is based on; NULL for the first generation
+ * @base_version: store version of @base, or STORE_VERSION_ABSENT
+ * @above_generation: lower bound, exclusive, of the new generation number:
+ *                    after a restore of the store from a backup, gateways may
+ *                    hold a higher generation than the store
  */
 struct config_publish_request {
     const struct config *config;
@@ -70,13 +73,13 @@
 };
 
 /**
- * struct config_publish_result - how it ended
- * @status: STATUS_OK: the store holds the generation, or held it before a
- *          later one; STATUS_CONFLICT: another change came first and this one
- *          never was in force; STATUS_UNAVAILABLE: not written;
- *          STATUS_UNKNOWN: may be or come in force
+ * struct config_publish_result - outcome of config_publish()
+ * @status: STATUS_OK: the generation is or was the active one;
+ *          STATUS_CONFLICT: a concurrent change won, and this one was never
+ *          active; STATUS_UNAVAILABLE: not written; STATUS_UNKNOWN: may be
+ *          active or may still become active
  * @generation, @id: of the new generation
- * @head_version: version of the new head, 0 when it is not known
+ * @head_version: store version of the new head, 0 if unknown
  */
 struct config_publish_result {
     struct status status;
@@ -96,22 +99,22 @@
                struct config_publish_callback callback);
 
 enum {
-    /* Generations whose heads and parts are kept. */
+    /* Generations whose heads and parts are retained. */
     CONFIG_HISTORY_LENGTH = 50,
 };
 
 /**
  * config_prune() - delete heads and parts that are no longer needed
- * @generation, @head_version: of the head in force; nothing written after
- *                             that version is deleted, since an apply that
- *                             is under way may count on it
+ * @generation, @head_version: of the active head; nothing written after that
+ *                             version is deleted, since a concurrent apply
+ *                             may need it
  */
 void
 config_prune(struct store *store, uint64_t generation, uint64_t head_version,
              void (*done)(void *ctx), void *ctx);
 
 /**
- * struct config_history - heads that were in force, newest first
+ * struct config_history - heads that were active, newest first
  * @heads: array of struct config_head
  */
 struct config_history {
@@ -124,7 +127,8 @@
     void *ctx;
 };
 
-/** config_history_read() - follow the heads back from the one in force. */
+/** config_history_read() - read the active head and its predecessors, linked
+ * by their previous ids. */
 void
 config_history_read(struct store *store,
                     struct config_history_callback callback);
--- a/include/store/host_list.h
+++ b/include/store/host_list.h
@@ -1,4 +1,4 @@
-/* Client of the platform's lagging list of live and leaving hosts. */
+/* Client of the platform's host list, which may lag behind the hosts. */
 #ifndef STORE_HOST_LIST_H
 #define STORE_HOST_LIST_H
 
@@ -11,12 +11,12 @@
 
 /**
  * struct host_list_host - one host as the platform lists it
- * @address: backend server, "IP:PORT"
- * @slots: tasks it runs at a time
+ * @address: address of its backend server, "IP:PORT"
+ * @slots: tasks it runs concurrently
  * @connections: connections it accepts
- * @live: every check passes
- * @leaving: goes away soon; gets no new work
- * @pool: pool it starts in when there is no record of it, or NULL
+ * @live: every health check passes
+ * @leaving: the platform removes it soon; it gets no new work
+ * @pool: initial pool of a host that has no host record yet, or NULL
  */
 struct host_list_host {
     char *name;
@@ -30,7 +30,7 @@
     bool leaving;
 };
 
-/** struct host_list_view - the whole list, sorted by name */
+/** struct host_list_view - the complete list, sorted by name */
 struct host_list_view {
     const struct host_list_host *hosts;
     size_t n_hosts;
@@ -39,11 +39,11 @@
 /**
  * struct host_list_options - how to follow the list
  * @url: base URL, http://IP:PORT
- * @timeout_ms: deadline of one call beyond its wait
- * @wait_ms: longest time one call waits; bounds with @timeout_ms how long a
- *           silent connection goes unnoticed
+ * @timeout_ms: deadline of one request in addition to @wait_ms
+ * @wait_ms: longest time one long-poll request waits; a dead connection is
+ *           noticed after @wait_ms plus @timeout_ms at the latest
  * @changed: called with the first list and after every change; the view is
- *           valid until the next call
+ *           valid until the next call of @changed
  * @ctx: passed to @changed
  */
 struct host_list_options {
@@ -60,7 +60,7 @@
 struct host_list *
 host_list_create(const struct host_list_options *options);
 
-/** host_list_destroy() - cancels the call; no callback follows. */
+/** host_list_destroy() - cancels the request; no callback follows. */
 void
 host_list_destroy(struct host_list *list);
 
@@ -72,18 +72,18 @@
 const struct host_list_host *
 host_list_find(const struct host_list_view *view, const char *name);
 
-/** host_list_last_answer_ms() - clock time of the last whole answer, or
+/** host_list_last_answer_ms() - clock time of the last complete response, or
  * INT64_MIN. */
 int64_t
 host_list_last_answer_ms(const struct host_list *list);
 
 /**
- * host_list_parse() - hosts from the text of one answer
- * @n_hosts: set to their number
+ * host_list_parse() - parse the body of one response
+ * @n_hosts: set to the number of hosts
  * @findings: receives malformed entries, which are left out
  *
  * Returns: hosts sorted by name, to be freed with host_list_hosts_free(), or
- * NULL when @text is no JSON array.
+ * NULL when @text is not a JSON array.
  */
 struct host_list_host *
 host_list_parse(const char *text, size_t size_bytes, size_t *n_hosts,
--- a/include/store/host_records.h
+++ b/include/store/host_records.h
@@ -1,4 +1,4 @@
-/* Follows every host record in the store. */
+/* Watches the host records of all shards in the store. */
 #ifndef STORE_HOST_RECORDS_H
 #define STORE_HOST_RECORDS_H
 
@@ -9,8 +9,8 @@
 #include "store/store.h"
 
 /**
- * struct host_records_options - where from and whom to tell
- * @changed: called after a shard was read anew
+ * struct host_records_options - store to watch and callback to notify
+ * @changed: called after a shard was read again
  * @ctx: passed to @changed
  */
 struct host_records_options {
@@ -30,8 +30,8 @@
 bool
 host_records_ready(const struct host_records *records);
 
-/** host_records_find() - record of a host, or NULL; valid until the next
- * change of its shard. */
+/** host_records_find() - record of a host, or NULL; valid until its shard
+ * changes. */
 const struct host_record *
 host_records_find(const struct host_records *records, const char *host);
 
@@ -43,13 +43,13 @@
 uint64_t
 host_records_version(const struct host_records *records, uint32_t shard);
 
-/** host_records_update() - take over a shard that a call of ours has written
- * or read, unless a newer version is held. */
+/** host_records_update() - apply a shard that the caller has written or read,
+ * unless a newer version is known. */
 void
 host_records_update(struct host_records *records, uint32_t shard,
                     const struct store_entry *entry);
 
-/** host_records_key() - key of a shard; free with g_free(). */
+/** host_records_key() - store key of a shard; free with g_free(). */
 char *
 host_records_key(uint32_t shard);
 
--- a/include/store/store.h
+++ b/include/store/store.h
@@ -29,15 +29,16 @@
 };
 
 /**
- * struct store_result - answer of the store to one call
+ * struct store_result - result of one store call
  * @status: STATUS_OK, STATUS_NOT_FOUND (get), STATUS_CONFLICT (cas: the key
- *          has another version; @entries then holds the present entry, or
+ *          has another version; @entries then holds the current entry, or
  *          nothing if the key is absent), STATUS_UNAVAILABLE (not written),
- *          STATUS_UNKNOWN (may have been written: could not be read back, or
- *          the answer was lost and another value stands now, in @entries)
+ *          STATUS_UNKNOWN (may have been written: the key could not be read
+ *          back, or the response was lost and the key now has another value,
+ *          given in @entries)
  * @entries: entries read; for a successful cas one entry with the new
  *           version
- * @index: store index of the answer, for watches
+ * @index: store index of the response, for watches
  */
 struct store_result {
     struct status status;
@@ -49,8 +50,8 @@
 /**
  * struct store_callback - receives results
  * @done: called once for a call, repeatedly for a watch; the result is valid
- *        during the call
- * @abandoned: called in place of @done when store_destroy() drops a call, to
+ *        during the callback
+ * @abandoned: called instead of @done when store_destroy() cancels a call, to
  *             release @ctx; may be NULL
  * @ctx: passed to both
  */
@@ -63,10 +64,10 @@
 struct store;
 
 /**
- * struct store_options - how to reach the store
+ * struct store_options - address and timeouts of the store
  * @url: base URL, http://IP:PORT
  * @timeout_ms: deadline of one call
- * @watch_wait_ms: longest time one watch call waits
+ * @watch_wait_ms: longest time one long-poll request of a watch waits
  * @clock: time source
  */
 struct store_options {
@@ -92,9 +93,9 @@
 /**
  * store_cas() - write @key if its version is @version
  *
- * A lost answer is resolved by reading the key back: if it holds exactly
- * @value at a version above @version the write counts as done, so values
- * carry something that names their writer where that matters.
+ * When the response is lost, the key is read back: if it holds exactly @value
+ * at a version above @version, the write is reported as successful. Where two
+ * writers could write the same value, values therefore include a writer id.
  */
 void
 store_cas(struct store *store, const char *key, const char *value,
@@ -110,10 +111,10 @@
 /**
  * store_watch_create() - follow a key, or all keys below a prefix
  *
- * @callback is called with the present state first, then after every change,
- * and with STATUS_UNAVAILABLE when the store stops answering. A call that
- * stays silent past its wait and the timeout is dropped and asked again on
- * a new connection.
+ * @callback is called with the current state first, then after every change,
+ * and with STATUS_UNAVAILABLE when the store becomes unreachable. A request
+ * without a response within its wait plus the timeout is cancelled and sent
+ * again on a new connection.
  */
 struct store_watch *
 store_watch_create(struct store *store, const char *key,
@@ -121,11 +122,11 @@
 void
 store_watch_destroy(struct store_watch *watch);
 
-/** store_last_answer_ms() - clock time of the last answer, or INT64_MIN. */
+/** store_last_answer_ms() - clock time of the last response, or INT64_MIN. */
 int64_t
 store_last_answer_ms(const struct store *store);
 
-/** struct store_stats - calls and bytes, for counters and capacity. */
+/** struct store_stats - calls and bytes since the start, for metrics. */
 struct store_stats {
     uint64_t calls;
     uint64_t failures;
--- a/include/store/store_keys.h
+++ b/include/store/store_keys.h
@@ -3,36 +3,37 @@
 #define STORE_STORE_KEYS_H
 
 /*
- * Configuration: the head names the parts of the generation in force.
- * Parts are written first and never changed; the head is moved by CAS.
+ * Configuration: the head names the parts of the active generation. Parts are
+ * written first and never changed; the head is replaced by compare-and-swap.
  *   head  {"generation": N, "id": "<apply id>", "previous": "<apply id>",
  *          "written_s": wall time, "author": "...", "summary": "...",
  *          "parts": {"base": "base/<hash>", "teams.07": "teams.07/<hash>"}}
- *   part  JSON text whose SHA-256 (first 16 hex digits) ends its key
- *   history/<generation, 12 digits>-<id>  copy of a head, written before it
+ *   part  JSON text; its key ends with the first 16 hex digits of its SHA-256
+ *   history/<generation, 12 digits>-<id>  copy of a head, written before the
+ *                                         head itself
  */
 #define STORE_KEY_CONFIG_HEAD "egretglade/config/head"
 #define STORE_KEY_CONFIG_PARTS "egretglade/config/parts/"
 #define STORE_KEY_CONFIG_HISTORY "egretglade/config/history/"
 
 /*
- * Registered gateways, one record, changed only when one joins or goes:
+ * Registered gateways, one record, changed only when one joins or leaves:
  *   {"epoch": N, "members": {"<incarnation>": {"name", "address",
  *    "peer_port", "http_port", "dc", "state": "live"|"fenced"|"gone",
  *    "lease_ms"}}}
  * "gone" is set by an operator who knows that the process has ended, in a
- * record of the next epoch: no two records have the same one.
+ * record with the next epoch; no two versions of the record share an epoch.
  */
 #define STORE_KEY_MEMBERS "egretglade/members"
 
 /*
- * Renewals, one record for each incarnation, deleted when it is fenced:
+ * Lease renewals, one record per incarnation, deleted when it is fenced:
  *   {"beat": N, "lease_ms": L}
  */
 #define STORE_KEY_HEARTBEATS "egretglade/beats/"
 
 /*
- * Permits, one record for each team:
+ * Permits, one record per team:
  *   {"write": "<incarnation>:<n>", "generation": G, "limit": L,
  *    "held": {"<incarnation>": H}}
  * G is the configuration generation that last changed the limit.
@@ -45,52 +46,52 @@
  *   {"write": "<controller>:<n>", "hosts": {"<host>": {"pool", "dc",
  *    "rack", "state", "since_s", "reason", ...}}}
  *
- * A pool's voluntary disruptions stand in its disruption record:
+ * Disruption records hold the voluntary disruptions, one record per pool:
  *   {"write": ..., "seen": {"<shard>": version},
  *    "disrupted": {"<host>": {"admission": N, "wave": N, "since_s",
  *                             "reason", "target"}}}
  * A host may drain only on an entry whose admission is above the one in its
- * host record; taking the entry up copies the number there, so that an entry
- * serves once. It is removed after that. "seen" are the shard versions that
- * a controller must have read before it admits more: they show the moves
- * whose entries were removed.
+ * host record. Starting to drain copies the number into the host record, so
+ * that each entry is used once; the entry is removed afterwards. "seen" are
+ * the shard versions that a controller must have read before it admits more
+ * disruptions: these versions include the moves whose entries were removed.
  *
- * Waves of maintenance, one record each, key is the number in decimal:
+ * Maintenance waves, one record each; the key is the number in decimal:
  *   {"write": "<operator or controller>:<n>",
  *    "number": N, "state": "running"|"paused"|"stopped"|"done",
  *    "select": {"pools": ["<pool>"], "dcs": ["<dc>"], "older_than_s": N},
  *    "started_s": wall time, "by": "<operator>",
  *    "total": N, "done": N, "ends_s": wall time, 0 for unknown,
- *    "waits": "<why nothing goes on>" or absent,
+ *    "waits": "<why the wave makes no progress>" or absent,
  *    "held_out": {"<host>": "<why>"}}
- * To start one, create (CAS on an absent key) the record of the highest
- * number found plus one; "select" members that are absent or empty mean all.
- * An operator changes "state" only, by CAS; from "total" on the members are
- * the controllers'. "stopped" and "done" are final. Of two waves that meet
- * in a pool the lower number goes first.
+ * To start a wave, create (CAS on an absent key) the record of the highest
+ * number found plus one; "select" members that are absent or empty match all
+ * hosts. An operator changes "state" only, by CAS; the members from "total" on
+ * are written by the controllers. "stopped" and "done" are final. If two waves
+ * select the same pool, the one with the lower number runs first.
  *
- * The pools as controllers see them, one record, written by one of them when
- * it has changed, at most every 30 s:
+ * State of the pools, one record, written by one of the controllers when it
+ * has changed, at most every 30 s:
  *   {"write": ..., "at_s": wall time, "pools": {"<pool>": {"hosts",
  *    "usable", "incoming", "available", "disrupted", "failed", "budget",
  *    "reserve", "need", "spare", "demand_slots", "next_step", "waits_for",
  *    "finding"}}}
- * The three texts are empty when there is nothing to say. A controller shows
- * the same at /v1/fleet on its own port, without delay.
+ * "next_step", "waits_for" and "finding" are texts and may be empty. Each
+ * controller serves the same data at /v1/fleet on its own port, without delay.
  *
- * What gateways have seen, one record for each gateway's name, written every
- * 10 s whether it changed or not:
+ * Demand and host state as gateways observe them, one record per gateway name,
+ * written every 10 s whether it changed or not:
  *   {"write": "<incarnation>:<n>",
  *    "pools": {"<pool>": {"busy_slots": x, "queued": y, "run_ms": z,
  *                         "deadline_ms": d}},
  *    "draining": {"<host>": tasks running there},
- *    "suspects": {"<host>": tasks it failed in a row}}
+ *    "suspects": {"<host>": consecutive failed tasks}}
  * busy_slots and queued are means over the interval, run_ms the mean run
  * time and deadline_ms the shortest start deadline of the pool's queues (0 or
  * absent: unknown).
  * "draining" lists every host that the gateway knows to be draining, with 0
- * when none of its tasks runs there. A host leaves "suspects" with its first
- * task that succeeds.
+ * when none of the gateway's tasks runs there. A host is removed from
+ * "suspects" after its first successful task.
  */
 #define STORE_KEY_HOSTS "egretglade/hosts/"
 #define STORE_KEY_DISRUPTIONS "egretglade/disruptions/"
--- a/store/config_fetch.c
+++ b/store/config_fetch.c
@@ -4,14 +4,14 @@
 #include "store/store_keys.h"
 
 enum {
-    /* More missing parts than this are read with one call for all. */
+    /* Above this number of missing parts, one call reads all parts. */
     SINGLE_READS_MAX = 8,
 };
 
 /**
- * struct config_fetch - a generation under way
- * @known: part keys to texts that the caller has
- * @pending: part reads without an answer yet
+ * struct config_fetch - a read of one generation in progress
+ * @known: map of part keys to texts that the caller already has
+ * @pending: outstanding reads; the fetch ends when it drops to 0
  */
 struct config_fetch {
     struct store *store;
@@ -59,12 +59,12 @@
 }
 
 static void
-fail_findings(struct config_fetch *fetch, const struct findings *findings)
+report_findings(struct config_fetch *fetch, const struct findings *findings)
 {
     const struct finding *first = findings_get(findings, 0);
     status_set(&fetch->snapshot.status, STATUS_INVALID,
-               "the stored configuration is malformed: %s: %s: %s",
-               first->file, first->path, first->reason);
+               "malformed configuration in the store: %s: %s: %s", first->file,
+               first->path, first->reason);
 }
 
 static void
@@ -76,7 +76,7 @@
         snapshot->config =
             config_join(snapshot->head, snapshot->texts, findings);
         if (snapshot->config == NULL) {
-            fail_findings(fetch, findings);
+            report_findings(fetch, findings);
         }
         findings_destroy(findings);
     }
@@ -93,7 +93,7 @@
 }
 
 static void
-take_text(struct config_fetch *fetch, const char *key, const char *text)
+add_part_text(struct config_fetch *fetch, const char *key, const char *text)
 {
     char *name = g_strndup(key, strcspn(key, "/"));
     const char *wanted = g_tree_lookup(fetch->snapshot.head->parts, name);
@@ -115,7 +115,7 @@
     }
     for (size_t i = 0; i < result->n_entries; i++) {
         const struct store_entry *entry = &result->entries[i];
-        take_text(fetch, entry->key + prefix, entry->value);
+        add_part_text(fetch, entry->key + prefix, entry->value);
     }
     fetch_release(fetch);
 }
@@ -145,7 +145,7 @@
         const char *text =
             fetch->known == NULL ? NULL : g_tree_lookup(fetch->known, key);
         if (text != NULL) {
-            take_text(fetch, key, text);
+            add_part_text(fetch, key, text);
         }
         else {
             g_ptr_array_add(missing, key);
@@ -162,7 +162,7 @@
 }
 
 static void
-take_head(struct config_fetch *fetch, const struct store_entry *entry)
+read_head(struct config_fetch *fetch, const struct store_entry *entry)
 {
     struct config_snapshot *snapshot = &fetch->snapshot;
     struct findings *findings = findings_create();
@@ -171,7 +171,7 @@
     snapshot->head =
         config_head_parse(entry->value, (int64_t)entry->size_bytes, findings);
     if (snapshot->head == NULL) {
-        fail_findings(fetch, findings);
+        report_findings(fetch, findings);
     }
     else {
         snapshot->texts = config_text_map_create();
@@ -185,7 +185,7 @@
 {
     struct config_fetch *fetch = ctx;
     if (status_ok(&result->status)) {
-        take_head(fetch, &result->entries[0]);
+        read_head(fetch, &result->entries[0]);
     }
     else {
         fetch->snapshot.status = result->status;
@@ -220,7 +220,7 @@
 }
 
 static gboolean
-on_idle(void *fetch)
+release_when_idle(void *fetch)
 {
     fetch_release(fetch);
     return G_SOURCE_REMOVE;
@@ -232,8 +232,8 @@
 {
     struct config_fetch *fetch = fetch_create(store, known, callback);
     fetch->pending = 1;
-    take_head(fetch, head);
-    /* The callback follows the return even when nothing is missing. */
-    g_idle_add(on_idle, fetch);
+    read_head(fetch, head);
+    /* The callback runs after the return even when no part is missing. */
+    g_idle_add(release_when_idle, fetch);
     return fetch;
 }
--- a/store/config_head.c
+++ b/store/config_head.c
@@ -8,7 +8,7 @@
     HASH_HEX_BYTES = 16,
 };
 
-static const char *const members[] = {
+static const char *const head_members[] = {
     "generation", "id",      "previous", "written_s",
     "author",     "summary", "parts",    NULL,
 };
@@ -62,15 +62,15 @@
         }
         else {
             findings_add(place->findings, place->file, inner.path,
-                         "has a malformed key for part \"%s\"", name);
+                         "malformed key of part \"%s\"", name);
         }
     }
     g_list_free(names);
 }
 
-/* Members that may be empty, which json_read_string() refuses. */
+/* For head_members that may be empty, which json_read_string() rejects. */
 static char *
-read_text(const struct json_place *place, const char *member)
+read_optional_text(const struct json_place *place, const char *member)
 {
     const char *text =
         json_object_get_string_member_with_default(place->object, member, "");
@@ -94,15 +94,15 @@
     };
     struct config_head *head = g_new0(struct config_head, 1);
     head->parts = config_text_map_create();
-    json_reject_unknown_members(&place, members);
+    json_reject_unknown_members(&place, head_members);
     head->generation =
         (uint64_t)json_read_int(&place, "generation", 1, INT64_MAX, 0, true);
     head->id = g_strdup(json_read_string(&place, "id", true));
     head->written_s =
         json_read_int(&place, "written_s", 0, INT64_MAX, 0, false);
-    head->previous = read_text(&place, "previous");
-    head->author = read_text(&place, "author");
-    head->summary = read_text(&place, "summary");
+    head->previous = read_optional_text(&place, "previous");
+    head->author = read_optional_text(&place, "author");
+    head->summary = read_optional_text(&place, "summary");
     read_parts(&place, head->parts);
     json_node_unref(root);
     if (findings_count(findings) > before) {
--- a/store/config_history.c
+++ b/store/config_history.c
@@ -2,9 +2,10 @@
 #include "store/store_keys.h"
 
 /**
- * struct history_read - the heads kept at the store
- * @newest: head in force
- * @records: ids to heads of all records, also of applies that lost
+ * struct history_read - a read of the retained heads
+ * @newest: active head
+ * @records: map of ids to heads of all history records, including those of
+ *           applies that lost against a concurrent change
  */
 struct history_read {
     struct store *store;
@@ -34,9 +35,9 @@
     return head;
 }
 
-/* Ids of earlier heads are followed back as far as records are kept. */
+/* Follows the previous ids from the active head as far as records exist. */
 static void
-follow_back(struct history_read *read)
+collect_heads(struct history_read *read)
 {
     const struct config_head *head = read->newest;
     while (head != NULL && read->history.heads->len < CONFIG_HISTORY_LENGTH) {
@@ -57,7 +58,7 @@
         }
     }
     if (status_ok(&result->status)) {
-        follow_back(read);
+        collect_heads(read);
     }
     read_finish(read);
 }
--- a/store/config_parts.c
+++ b/store/config_parts.c
@@ -14,7 +14,7 @@
 static void
 name_team_part(const char *team, char name[PART_NAME_BYTES])
 {
-    /* FNV-1a: part names have to be the same on every machine. */
+    /* FNV-1a: part names must be the same on every machine. */
     uint32_t hash = UINT32_C(2166136261);
     for (const char *c = team; *c != '\0'; c++) {
         hash = (hash ^ (uint8_t)*c) * UINT32_C(16777619);
@@ -99,7 +99,7 @@
     return keys;
 }
 
-/* Arrays that stand in several parts are put one behind the other. */
+/* Concatenates arrays that occur in several parts. */
 static void
 merge_member(JsonObject *whole, const char *member, JsonNode *value)
 {
@@ -136,11 +136,11 @@
 }
 
 static void
-take_part(JsonObject *whole, const char *name, const char *key,
-          const char *text, struct findings *findings)
+verify_and_merge_part(JsonObject *whole, const char *name, const char *key,
+                      const char *text, struct findings *findings)
 {
     if (text == NULL) {
-        findings_add(findings, name, "$", "the part %s is missing", key);
+        findings_add(findings, name, "$", "part %s is missing", key);
         return;
     }
     char *found = config_part_key(name, text);
@@ -148,7 +148,8 @@
         merge_part(whole, name, text, findings);
     }
     else {
-        findings_add(findings, name, "$", "the part does not match its hash");
+        findings_add(findings, name, "$",
+                     "part text does not match the hash in its key");
     }
     g_free(found);
 }
@@ -163,8 +164,8 @@
     for (GTreeNode *node = g_tree_node_first(head->parts); node != NULL;
          node = g_tree_node_next(node)) {
         const char *name = g_tree_node_key(node);
-        take_part(whole, name, g_tree_node_value(node),
-                  g_tree_lookup(texts, name), findings);
+        verify_and_merge_part(whole, name, g_tree_node_value(node),
+                              g_tree_lookup(texts, name), findings);
     }
     struct config *config = NULL;
     if (findings_count(findings) == before) {
--- a/store/config_prune.c
+++ b/store/config_prune.c
@@ -4,11 +4,12 @@
 #include "store/store_keys.h"
 
 /**
- * struct config_prune - deletion of what is no longer needed
- * @needed: part keys that a kept head names
- * @head_version: entries with a later version are left alone
- * @pending: calls without an answer yet
- * @sees_newest: the record of the head in force was among those read
+ * struct config_prune - a deletion of old heads and parts in progress
+ * @needed: part keys that a retained head names
+ * @head_version: entries of this version or a later one are not deleted
+ * @pending: outstanding store calls
+ * @found_active: the history record of the active head was among those read;
+ *                without it no part is deleted
  */
 struct config_prune {
     struct store *store;
@@ -16,7 +17,7 @@
     uint64_t head_version;
     GHashTable *needed;
     unsigned pending;
-    bool sees_newest;
+    bool found_active;
     void (*done)(void *ctx);
     void *ctx;
 };
@@ -66,7 +67,7 @@
 }
 
 static void
-need_parts(struct config_prune *prune, const struct config_head *head)
+mark_parts_needed(struct config_prune *prune, const struct config_head *head)
 {
     for (GTreeNode *node = g_tree_node_first(head->parts); node != NULL;
          node = g_tree_node_next(node)) {
@@ -75,7 +76,7 @@
 }
 
 static void
-take_record(struct config_prune *prune, const struct store_entry *entry)
+check_record(struct config_prune *prune, const struct store_entry *entry)
 {
     struct findings *findings = findings_create();
     struct config_head *head =
@@ -87,8 +88,8 @@
         delete_entry(prune, entry);
     }
     else {
-        prune->sees_newest |= head->generation == prune->generation;
-        need_parts(prune, head);
+        prune->found_active |= head->generation == prune->generation;
+        mark_parts_needed(prune, head);
     }
     config_head_destroy(head);
     findings_destroy(findings);
@@ -99,9 +100,9 @@
 {
     struct config_prune *prune = ctx;
     for (size_t i = 0; i < result->n_entries; i++) {
-        take_record(prune, &result->entries[i]);
+        check_record(prune, &result->entries[i]);
     }
-    if (prune->sees_newest) {
+    if (prune->found_active) {
         prune->pending++;
         store_get(prune->store, STORE_KEY_CONFIG_PARTS,
                   (struct store_callback){.done = on_parts, .ctx = prune});
--- a/store/config_publish.c
+++ b/store/config_publish.c
@@ -6,14 +6,14 @@
 #include "store/store_keys.h"
 
 enum {
-    PART_ATTEMPTS = 4,
+    PART_ATTEMPTS_MAX = 4,
 };
 
 /**
- * struct config_publish - one change on its way into force
- * @parts: part keys to texts that the base does not name already
+ * struct config_publish - one change being published
+ * @parts: map of part keys to texts of the parts that the base does not name
  * @part: part being written
- * @attempts: tries left for it
+ * @attempts: attempts left for @part
  */
 struct config_publish {
     struct store *store;
@@ -50,7 +50,7 @@
     g_free(publish);
 }
 
-/* Nothing is in force before the head is written. */
+/* The change can't be active yet: its head has not been written. */
 static void
 publish_fail(struct config_publish *publish, const struct status *cause)
 {
@@ -84,7 +84,7 @@
         }
     }
     status_set(&status, STATUS_UNKNOWN,
-               "generation %" PRIu64 " may come in force: its id is %s",
+               "generation %" PRIu64 " may become active; its id is %s",
                publish->head.generation, publish->head.id);
     publish_finish(publish, &status, 0);
 }
@@ -142,8 +142,8 @@
 write_part(struct config_publish *publish, uint64_t version);
 
 /*
- * A part that is there already is written again all the same: its version
- * moves past the base's head, so that no prune under way deletes it.
+ * A part that exists already is written again: this raises its version above
+ * that of the base's head, so that no concurrent prune deletes it.
  */
 static void
 on_part_written(void *ctx, const struct store_result *result)
@@ -187,7 +187,7 @@
         write_history(publish);
         return;
     }
-    publish->attempts = PART_ATTEMPTS;
+    publish->attempts = PART_ATTEMPTS_MAX;
     write_part(publish, STORE_VERSION_ABSENT);
 }
 
@@ -207,7 +207,8 @@
 }
 
 static bool
-base_names(const struct config_head *base, const char *name, const char *key)
+base_has_part(const struct config_head *base, const char *name,
+              const char *key)
 {
     return base != NULL &&
            g_strcmp0(g_tree_lookup(base->parts, name), key) == 0;
@@ -223,7 +224,7 @@
          node = g_tree_node_next(node)) {
         const char *name = g_tree_node_key(node);
         const char *key = g_tree_lookup(publish->head.parts, name);
-        if (!base_names(base, name, key)) {
+        if (!base_has_part(base, name, key)) {
             g_tree_insert(publish->parts, g_strdup(key),
                           g_strdup(g_tree_node_value(node)));
         }
@@ -232,7 +233,7 @@
 }
 
 static bool
-sizes_fit(const struct config_publish *publish)
+sizes_within_limit(const struct config_publish *publish)
 {
     for (GTreeNode *node = g_tree_node_first(publish->parts); node != NULL;
          node = g_tree_node_next(node)) {
@@ -266,11 +267,13 @@
     publish->head_text = config_head_render(&publish->head);
     struct status status = {.code = STATUS_OK};
     if (publish->head.id == NULL) {
-        status_set(&status, STATUS_INTERNAL, "no random numbers");
+        status_set(&status, STATUS_INTERNAL,
+                   "the kernel returned no random bytes");
     }
-    else if (!sizes_fit(publish)) {
-        status_set(&status, STATUS_TOO_LARGE,
-                   "a part is larger than the store's limit");
+    else if (!sizes_within_limit(publish)) {
+        status_set(
+            &status, STATUS_TOO_LARGE,
+            "the head or a part exceeds the value size limit of the store");
     }
     if (!status_ok(&status)) {
         publish_finish(publish, &status, 0);
--- a/store/host_list.c
+++ b/store/host_list.c
@@ -7,15 +7,16 @@
 
 #include "common/log.h"
 
-/* No host matches: the answer is empty but carries the list's index, so that
- * waiting costs next to nothing however long the list is. */
+/* A filter that no host matches: the response is empty but carries the index
+ * of the list, so that the cost of a long poll does not grow with the list. */
 #define FILTER_NONE "&filter=Node.Node%20%3D%3D%20%22%22"
 
 enum {
     RETRY_FIRST_MS = 200,
     RETRY_MAX_MS = 2000,
     FINDINGS_LOGGED_MAX = 5,
-    /* Parsing a list above this size leaves much memory to give back. */
+    /* Above this list size, free heap memory is returned to the system after
+     * parsing. */
     TRIM_BYTES = 65536,
 };
 
@@ -26,9 +27,9 @@
     struct host_list_call *call;
     guint retry_source;
     int64_t retry_ms;
-    bool fresh_connection;
+    bool new_connection;
     uint64_t index;
-    bool known;
+    bool index_valid;
     int64_t last_answer_ms;
     char *checksum;
     struct host_list_host *hosts;
@@ -36,9 +37,9 @@
 };
 
 /**
- * struct host_list_call - one call
- * @list: NULL once the list was destroyed under the call
- * @waits: only asks whether the list has changed
+ * struct host_list_call - one HTTP request
+ * @list: NULL if the list was destroyed while the request was in progress
+ * @waits: a long poll, which only reports whether the list has changed
  */
 struct host_list_call {
     struct host_list *list;
@@ -49,23 +50,23 @@
 };
 
 static void
-ask(struct host_list *list);
+send_request(struct host_list *list);
 
 static gboolean
-retry(void *data)
+on_retry(void *data)
 {
     struct host_list *list = data;
     list->retry_source = 0;
-    ask(list);
+    send_request(list);
     return G_SOURCE_REMOVE;
 }
 
 static void
 retry_later(struct host_list *list)
 {
-    list->fresh_connection = true;
-    list->known = false;
-    list->retry_source = g_timeout_add((guint)list->retry_ms, retry, list);
+    list->new_connection = true;
+    list->index_valid = false;
+    list->retry_source = g_timeout_add((guint)list->retry_ms, on_retry, list);
     list->retry_ms = MIN(list->retry_ms * 2, RETRY_MAX_MS);
 }
 
@@ -81,7 +82,7 @@
 }
 
 static bool
-take_body(struct host_list *list, GBytes *body)
+read_body(struct host_list *list, GBytes *body)
 {
     char *checksum = g_compute_checksum_for_bytes(G_CHECKSUM_SHA256, body);
     if (g_strcmp0(list->checksum, checksum) == 0) {
@@ -122,20 +123,21 @@
     return text != NULL ? g_ascii_strtoull(text, NULL, 10) : 0;
 }
 
-/* Any other index than that of the list held asks for the list anew. A
- * platform that doesn't know the filter sends the whole list at once. */
+/* If a long poll returns an index other than that of the current list, the
+ * next request reads the list. A platform that ignores the filter returns the
+ * whole list from the long poll itself. */
 static bool
-take_answer(struct host_list *list, const struct host_list_call *call,
-            GBytes *body)
+read_response(struct host_list *list, const struct host_list_call *call,
+              GBytes *body)
 {
     uint64_t index = read_index(call->message);
     if (call->waits && g_bytes_get_size(body) <= sizeof("[]\n")) {
-        list->known = index != 0 && index == list->index;
+        list->index_valid = index != 0 && index == list->index;
         return true;
     }
     list->index = index;
-    list->known = index != 0;
-    return take_body(list, body);
+    list->index_valid = index != 0;
+    return read_body(list, body);
 }
 
 static void
@@ -148,7 +150,7 @@
 }
 
 static void
-answered(GObject *source, GAsyncResult *result, void *data)
+on_response(GObject *source, GAsyncResult *result, void *data)
 {
     struct host_list_call *call = data;
     struct host_list *list = call->list;
@@ -164,17 +166,17 @@
     list->call = NULL;
     bool good = body != NULL &&
                 soup_message_get_status(call->message) == SOUP_STATUS_OK &&
-                take_answer(list, call, body);
+                read_response(list, call, body);
     if (good) {
         list->last_answer_ms = ms_clock_now(&list->options.clock);
         list->retry_ms = RETRY_FIRST_MS;
-        list->fresh_connection = false;
-        ask(list);
+        list->new_connection = false;
+        send_request(list);
     }
     else {
         log_line(LOG_LEVEL_WARN, "host-list-failed", "status=%u error=%s",
                  soup_message_get_status(call->message),
-                 log_quote(error != NULL ? error->message : "bad answer"));
+                 log_quote(error != NULL ? error->message : "bad response"));
         retry_later(list);
     }
     g_clear_error(&error);
@@ -183,7 +185,7 @@
 }
 
 static gboolean
-deadline_passed(void *data)
+on_deadline(void *data)
 {
     struct host_list_call *call = data;
     call->deadline_source = 0;
@@ -196,21 +198,21 @@
 {
     GString *url = g_string_new(list->url);
     g_string_append(url, "/v1/health/service/worker");
-    if (list->known) {
+    if (list->index_valid) {
         g_string_append_printf(url, "?index=%" PRIu64 "&wait=%" PRId64 "ms",
                                list->index, list->options.wait_ms);
         g_string_append(url, FILTER_NONE);
     }
     SoupMessage *message = soup_message_new("GET", url->str);
     g_string_free(url, TRUE);
-    if (message != NULL && list->fresh_connection) {
+    if (message != NULL && list->new_connection) {
         soup_message_add_flags(message, SOUP_MESSAGE_NEW_CONNECTION);
     }
     return message;
 }
 
 static void
-ask(struct host_list *list)
+send_request(struct host_list *list)
 {
     SoupMessage *message = make_message(list);
     if (message == NULL) {
@@ -221,15 +223,15 @@
     struct host_list_call *call = g_new0(struct host_list_call, 1);
     call->list = list;
     call->message = message;
-    call->waits = list->known;
+    call->waits = list->index_valid;
     call->cancellable = g_cancellable_new();
     int64_t deadline_ms = list->options.wait_ms + list->options.timeout_ms;
     call->deadline_source =
-        g_timeout_add((guint)deadline_ms, deadline_passed, call);
+        g_timeout_add((guint)deadline_ms, on_deadline, call);
     list->call = call;
     soup_session_send_and_read_async(list->session, message,
                                      G_PRIORITY_DEFAULT, call->cancellable,
-                                     answered, call);
+                                     on_response, call);
 }
 
 struct host_list *
@@ -242,7 +244,7 @@
     list->session = soup_session_new();
     list->retry_ms = RETRY_FIRST_MS;
     list->last_answer_ms = INT64_MIN;
-    ask(list);
+    send_request(list);
     return list;
 }
 
--- a/store/host_list_parse.c
+++ b/store/host_list_parse.c
@@ -30,7 +30,7 @@
 }
 
 static struct json_place
-place_below(const struct json_place *place, const char *member, char **path)
+child_place(const struct json_place *place, const char *member, char **path)
 {
     *path = g_strdup_printf("%s.%s", place->path, member);
     return (struct json_place){
@@ -41,7 +41,7 @@
     };
 }
 
-/* Consul's Meta holds only strings. */
+/* Values in Consul's Meta object are always strings. */
 static uint32_t
 read_count(const struct json_place *place, const char *member, uint32_t count)
 {
@@ -61,11 +61,11 @@
 read_node(const struct json_place *entry, struct host_list_host *host)
 {
     char *path = NULL;
-    struct json_place node = place_below(entry, "Node", &path);
+    struct json_place node = child_place(entry, "Node", &path);
     host->name = g_strdup(json_read_string(&node, "Node", true));
     host->dc = g_strdup(json_read_string(&node, "Datacenter", true));
     char *meta_path = NULL;
-    struct json_place meta = place_below(&node, "Meta", &meta_path);
+    struct json_place meta = child_place(&node, "Meta", &meta_path);
     host->rack = g_strdup(json_read_string(&meta, "rack", true));
     g_free(meta_path);
     g_free(path);
@@ -75,12 +75,12 @@
 read_service(const struct json_place *entry, struct host_list_host *host)
 {
     char *path = NULL;
-    struct json_place service = place_below(entry, "Service", &path);
+    struct json_place service = child_place(entry, "Service", &path);
     const char *address = json_read_string(&service, "Address", true);
     int64_t port = json_read_int(&service, "Port", 1, PORT_MAX, 0, true);
     host->address = g_strdup_printf("%s:%d", address, (int)port);
     char *meta_path = NULL;
-    struct json_place meta = place_below(&service, "Meta", &meta_path);
+    struct json_place meta = child_place(&service, "Meta", &meta_path);
     host->slots = read_count(&meta, "slots", SLOTS_DEFAULT);
     host->connections = read_count(&meta, "connections", CONNECTIONS_DEFAULT);
     host->pool = g_strdup(json_read_string(&meta, "pool", false));
@@ -145,9 +145,10 @@
     return g_strcmp0(left->name, right->name);
 }
 
-/* Keeps the first of hosts with the same name. */
+/* Keeps the first of several hosts with the same name. */
 static size_t
-drop_doubles(struct host_list_host *hosts, size_t n, struct findings *findings)
+drop_duplicates(struct host_list_host *hosts, size_t n,
+                struct findings *findings)
 {
     size_t kept = 0;
     for (size_t i = 0; i < n; i++) {
@@ -162,8 +163,8 @@
     return kept;
 }
 
-/* Length of the JSON value that @text begins with, up to the comma or the
- * bracket that ends it; 0 when the text ends before that. */
+/* Length of the JSON value at the start of @text, up to the comma or closing
+ * bracket that follows it; 0 if the text ends before that. */
 static size_t
 element_bytes(const char *text, size_t size_bytes)
 {
@@ -218,9 +219,9 @@
     return at;
 }
 
-/* One element at a time: the tree of a whole list of thousands of hosts would
- * stay in the process's memory for good. Returns false when the text is no
- * whole array. */
+/* Parses one element at a time: the heap that the JSON tree of a list of
+ * thousands of hosts needs would never be returned to the system. Returns
+ * false unless the text is a complete array. */
 static bool
 parse_elements(const char *text, size_t size_bytes, GArray *hosts,
                struct findings *findings)
@@ -260,11 +261,12 @@
         (struct host_list_host *)(void *)g_array_free(found, FALSE);
     *n_hosts = 0;
     if (!whole) {
-        findings_add(findings, "host list", "$", "must be a whole array");
+        findings_add(findings, "host list", "$",
+                     "must be a complete JSON array");
         host_list_hosts_free(hosts, n);
         return NULL;
     }
     qsort(hosts, n, sizeof(hosts[0]), compare_hosts);
-    *n_hosts = drop_doubles(hosts, n, findings);
+    *n_hosts = drop_duplicates(hosts, n, findings);
     return hosts;
 }
--- a/store/host_records.c
+++ b/store/host_records.c
@@ -23,9 +23,9 @@
     return g_strdup_printf("%s%02u", STORE_KEY_HOSTS, shard);
 }
 
-/* A text that is no JSON at all keeps the records read before it. */
+/* If the text is not valid JSON, the records read before it stay in use. */
 static void
-take_entry(struct followed_shard *followed, const struct store_entry *entry)
+read_entry(struct followed_shard *followed, const struct store_entry *entry)
 {
     struct findings *findings = findings_create();
     struct host_shard *shard = host_shard_parse(
@@ -46,7 +46,7 @@
 }
 
 static void
-take_absence(struct followed_shard *followed)
+read_absent_entry(struct followed_shard *followed)
 {
     host_shard_destroy(followed->shard);
     followed->shard = host_shard_create();
@@ -54,7 +54,7 @@
 }
 
 static void
-watched(void *ctx, const struct store_result *result)
+on_watch(void *ctx, const struct store_result *result)
 {
     struct followed_shard *followed = ctx;
     struct host_records *records = followed->records;
@@ -63,14 +63,14 @@
             !status_ok(&result->status)) {
             return;
         }
-        take_absence(followed);
+        read_absent_entry(followed);
     }
     else if (!status_ok(&result->status)) {
         return;
     }
     else if (!followed->read ||
              result->entries[0].version > followed->version) {
-        take_entry(followed, &result->entries[0]);
+        read_entry(followed, &result->entries[0]);
     }
     followed->read = true;
     records->options.changed(records->options.ctx, followed->index);
@@ -92,7 +92,7 @@
         char *key = host_records_key(i);
         followed->watch = store_watch_create(
             options->store, key,
-            (struct store_callback){.done = watched, .ctx = followed});
+            (struct store_callback){.done = on_watch, .ctx = followed});
         g_free(key);
     }
     return records;
@@ -150,6 +150,6 @@
     if (!followed->read || entry->version <= followed->version) {
         return;
     }
-    take_entry(followed, entry);
+    read_entry(followed, entry);
     records->options.changed(records->options.ctx, shard);
 }
--- a/store/store.c
+++ b/store/store.c
@@ -5,8 +5,8 @@
 #include "store_internal.h"
 
 enum {
-    MAX_CONNECTIONS = 256,
-    IDLE_S = 60,
+    CONNECTIONS_MAX = 256,
+    IDLE_TIMEOUT_S = 60,
 };
 
 struct store *
@@ -22,8 +22,9 @@
     store->clock = options->clock;
     store->last_answer_ms = INT64_MIN;
     store->session = soup_session_new_with_options(
-        "max-conns", MAX_CONNECTIONS, "max-conns-per-host", MAX_CONNECTIONS,
-        "idle-timeout", IDLE_S, "timeout", 0, "proxy-resolver", NULL, NULL);
+        "max-conns", CONNECTIONS_MAX, "max-conns-per-host", CONNECTIONS_MAX,
+        "idle-timeout", IDLE_TIMEOUT_S, "timeout", 0, "proxy-resolver", NULL,
+        NULL);
     return store;
 }
 
--- a/store/store_entries.c
+++ b/store/store_entries.c
@@ -94,26 +94,27 @@
                  GArray *entries, struct store_result *result)
 {
     result->index = reply->index;
-    if (reply->outcome != EXCHANGE_ANSWERED) {
+    if (reply->outcome != EXCHANGE_RESPONDED) {
         status_set(&result->status, STATUS_UNAVAILABLE, "store: %s",
                    reply->reason);
         return;
     }
     if (reply->http_status == SOUP_STATUS_NOT_FOUND) {
         if (!store_is_prefix(key)) {
-            status_set(&result->status, STATUS_NOT_FOUND, "no key %s", key);
+            status_set(&result->status, STATUS_NOT_FOUND,
+                       "key %s does not exist", key);
         }
         return;
     }
     if (reply->http_status != SOUP_STATUS_OK) {
         status_set(&result->status, STATUS_UNAVAILABLE,
-                   "store: answered with status %u", reply->http_status);
+                   "store: unexpected HTTP status %u", reply->http_status);
         return;
     }
     if (!parse_entries(reply->body, entries)) {
         g_array_set_size(entries, 0);
         status_set(&result->status, STATUS_UNAVAILABLE,
-                   "store: malformed answer for %s", key);
+                   "store: malformed response for key %s", key);
         return;
     }
     result->entries = (const struct store_entry *)(void *)entries->data;
--- a/store/store_exchange.c
+++ b/store/store_exchange.c
@@ -26,8 +26,8 @@
 }
 
 /*
- * Parts the exchange from its store. A started one is freed when libsoup is
- * done with it, at once otherwise.
+ * Detaches the exchange from its store. A started exchange is freed when
+ * libsoup has finished with it, others at once.
  */
 static struct exchange_handler
 exchange_detach(struct exchange *exchange)
@@ -51,7 +51,7 @@
 deliver(struct exchange *exchange, const struct exchange_reply *reply)
 {
     struct store *store = exchange->store;
-    if (reply->outcome == EXCHANGE_ANSWERED) {
+    if (reply->outcome == EXCHANGE_RESPONDED) {
         store->last_answer_ms = ms_clock_now(&store->clock);
         store->stats.bytes_in += g_bytes_get_size(reply->body);
     }
@@ -65,7 +65,7 @@
 static enum exchange_outcome
 failure_outcome(const struct exchange *exchange)
 {
-    return exchange->sent ? EXCHANGE_LOST : EXCHANGE_NOT_SENT;
+    return exchange->sent ? EXCHANGE_NO_RESPONSE : EXCHANGE_NOT_SENT;
 }
 
 static uint64_t
@@ -76,9 +76,10 @@
     return text == NULL ? 0 : g_ascii_strtoull(text, NULL, 10);
 }
 
-/* An answer that ended before its announced length is no answer. */
+/* Whether the body has the announced length; a truncated response doesn't
+ * count as one. */
 static bool
-is_whole(SoupMessage *message, GBytes *body)
+is_complete(SoupMessage *message, GBytes *body)
 {
     SoupMessageHeaders *headers = soup_message_get_response_headers(message);
     if (soup_message_headers_get_encoding(headers) !=
@@ -90,24 +91,24 @@
 }
 
 static void
-on_answer(GObject *source, GAsyncResult *result, void *data)
+on_response(GObject *source, GAsyncResult *result, void *data)
 {
     struct exchange *exchange = data;
     GError *error = NULL;
     GBytes *body = soup_session_send_and_read_finish(SOUP_SESSION(source),
                                                      result, &error);
-    struct exchange_reply reply = {.reason = "the answer was cut short"};
+    struct exchange_reply reply = {.reason = "truncated response"};
     exchange->started = false;
     if (exchange->store == NULL) {
         exchange_free(exchange);
     }
-    else if (body == NULL || !is_whole(exchange->message, body)) {
+    else if (body == NULL || !is_complete(exchange->message, body)) {
         reply.outcome = failure_outcome(exchange);
         reply.reason = error == NULL ? reply.reason : error->message;
         deliver(exchange, &reply);
     }
     else {
-        reply.outcome = EXCHANGE_ANSWERED;
+        reply.outcome = EXCHANGE_RESPONDED;
         reply.http_status = soup_message_get_status(exchange->message);
         reply.index = read_index(exchange->message);
         reply.body = body;
@@ -124,7 +125,7 @@
     exchange->timer = 0;
     struct exchange_reply reply = {
         .outcome = failure_outcome(exchange),
-        .reason = "no answer in time",
+        .reason = "no response before the deadline",
     };
     deliver(exchange, &reply);
     return G_SOURCE_REMOVE;
@@ -139,7 +140,7 @@
 }
 
 static gboolean
-begin(void *data)
+start_request(void *data)
 {
     struct exchange *exchange = data;
     exchange->timer =
@@ -148,7 +149,7 @@
     exchange->store->stats.calls++;
     soup_session_send_and_read_async(exchange->session, exchange->message,
                                      G_PRIORITY_DEFAULT, exchange->cancellable,
-                                     on_answer, exchange);
+                                     on_response, exchange);
     return G_SOURCE_REMOVE;
 }
 
@@ -187,10 +188,10 @@
     store->exchanges = g_list_prepend(store->exchanges, exchange);
     if (request->delay_ms > 0) {
         exchange->timer =
-            g_timeout_add((guint)request->delay_ms, begin, exchange);
+            g_timeout_add((guint)request->delay_ms, start_request, exchange);
     }
     else {
-        begin(exchange);
+        start_request(exchange);
     }
     return exchange;
 }
--- a/store/store_exchange.h
+++ b/store/store_exchange.h
@@ -8,20 +8,21 @@
 
 /**
  * enum exchange_outcome - how an exchange ended
- * @EXCHANGE_ANSWERED: a whole answer was read
- * @EXCHANGE_NOT_SENT: nothing left this process
- * @EXCHANGE_LOST: the request may have arrived, its answer did not
+ * @EXCHANGE_RESPONDED: a complete response was read
+ * @EXCHANGE_NOT_SENT: the request was not sent
+ * @EXCHANGE_NO_RESPONSE: the request may have reached the store, but no
+ * complete response was received
  */
 enum exchange_outcome {
-    EXCHANGE_ANSWERED,
+    EXCHANGE_RESPONDED,
     EXCHANGE_NOT_SENT,
-    EXCHANGE_LOST,
+    EXCHANGE_NO_RESPONSE,
 };
 
 /**
- * struct exchange_reply - result of an exchange; valid during the call
- * @http_status, @body, @index: set when answered
- * @reason: why there is no answer
+ * struct exchange_reply - result of an exchange; valid during the callback
+ * @http_status, @body, @index: set with EXCHANGE_RESPONDED
+ * @reason: why there is no response
  */
 struct exchange_reply {
     enum exchange_outcome outcome;
@@ -32,14 +33,14 @@
 };
 
 /**
- * struct exchange_request - what to ask
+ * struct exchange_request - HTTP request to send
  * @path: path and query below the store's URL
  * @body: content to send, or NULL
  * @delay_ms: time before the exchange starts
  * @deadline_ms: time it may take from its start
- * @reuse: may use a connection that carried an exchange before. Such a
- *         connection may have gone silent, and libsoup sends a PUT again when
- *         it closes: for watches only.
+ * @reuse: may use a connection that carried an exchange before. For watches
+ *         only: such a connection may be dead, and libsoup repeats a PUT when
+ *         it closes.
  */
 struct exchange_request {
     const char *method;
@@ -66,7 +67,8 @@
 exchange_start(struct store *store, const struct exchange_request *request,
                struct exchange_handler handler);
 
-/** exchange_abandon() - end it; @done is called with NULL before return. */
+/** exchange_abandon() - cancel the exchange; @done is called with NULL before
+ * the return. */
 void
 exchange_abandon(struct exchange *exchange);
 
--- a/store/store_internal.h
+++ b/store/store_internal.h
@@ -1,4 +1,4 @@
-/* What the parts of the store client share. */
+/* Types and functions shared by the files of the store client. */
 #ifndef STORE_STORE_INTERNAL_H
 #define STORE_STORE_INTERNAL_H
 
@@ -23,12 +23,13 @@
 char *
 store_key_path(const char *key, const char *query);
 
-/** store_is_prefix() - whether @key names all keys below it. */
+/** store_is_prefix() - whether @key ends in '/' and so means all keys below
+ * it. */
 bool
 store_is_prefix(const char *key);
 
 /**
- * store_reply_read() - turn the reply to a read into a result
+ * store_reply_read() - convert the reply to a read into a result
  * @entries: receives the entries; empty unless the status is STATUS_OK
  */
 void
--- a/store/store_txn.c
+++ b/store/store_txn.c
@@ -41,9 +41,9 @@
 }
 
 static JsonObject *
-first_result(JsonObject *answer)
+first_result(JsonObject *response)
 {
-    JsonNode *node = json_object_get_member(answer, "Results");
+    JsonNode *node = json_object_get_member(response, "Results");
     if (node == NULL || !JSON_NODE_HOLDS_ARRAY(node)) {
         return NULL;
     }
@@ -57,8 +57,8 @@
 static uint64_t
 read_version(JsonNode *root)
 {
-    JsonObject *answer = object_of(root);
-    JsonObject *result = answer == NULL ? NULL : first_result(answer);
+    JsonObject *response = object_of(root);
+    JsonObject *result = response == NULL ? NULL : first_result(response);
     JsonObject *kv = result == NULL
                          ? NULL
                          : object_of(json_object_get_member(result, "KV"));
@@ -70,10 +70,10 @@
 }
 
 uint64_t
-store_txn_version(GBytes *answer)
+store_txn_version(GBytes *response)
 {
     gsize size = 0;
-    const char *bytes = g_bytes_get_data(answer, &size);
+    const char *bytes = g_bytes_get_data(response, &size);
     char *text = g_strndup(bytes, size);
     JsonNode *root = json_from_string(text, NULL);
     uint64_t version = read_version(root);
--- a/store/store_txn.h
+++ b/store/store_txn.h
@@ -1,4 +1,4 @@
-/* The store's transaction interface, which tells the version it wrote. */
+/* The store's transaction interface, which returns the version written. */
 #ifndef STORE_STORE_TXN_H
 #define STORE_STORE_TXN_H
 
@@ -7,14 +7,14 @@
 
 #define STORE_TXN_PATH "/v1/txn"
 
-/** store_txn_cas() - body of a transaction that writes one key if its
+/** store_txn_cas() - request body of a transaction that writes one key if its
  * version is @version. */
 GBytes *
 store_txn_cas(const char *key, GBytes *value, uint64_t version);
 
-/** store_txn_version() - version written, out of the answer; 0 if it does
- * not tell. */
+/** store_txn_version() - version written, from the response body; 0 if it has
+ * none. */
 uint64_t
-store_txn_version(GBytes *answer);
+store_txn_version(GBytes *response);
 
 #endif
--- a/store/store_watch.c
+++ b/store/store_watch.c
@@ -3,23 +3,23 @@
 #include "store_internal.h"
 
 enum {
-    /* Bounds the calls of a watch on a key that changes all the time. */
-    MIN_INTERVAL_MS = 50,
+    /* Limits the request rate of a watch on a key that changes constantly. */
+    REQUEST_INTERVAL_MIN_MS = 50,
     BACKOFF_MIN_MS = 100,
-    /* The store adds up to a sixteenth to the wait it is asked for. */
+    /* The store adds up to a sixteenth to the requested wait. */
     WAIT_SLACK_DIVISOR = 16,
 };
 
 /**
- * struct store_watch - a chain of waits and reads
+ * struct store_watch - a watch, made of alternating waits and reads
  *
- * A wait asks for the keys alone, so that it costs little however large the
- * values are; a read follows when the index has changed.
+ * A wait is a long poll that returns the keys only, so that its cost does not
+ * depend on the size of the values; a read follows when the index has changed.
  *
- * @index: index to wait beyond; 0 for none yet
- * @told_index: index of the last read that @callback was told of
- * @reading: the next ask is a read
- * @failing: the last ask failed and @callback has been told
+ * @index: index after which the next wait returns; 0 if not known yet
+ * @reported_index: index of the last read that was passed to @callback
+ * @reading: the next request is a read
+ * @failing: the last request failed and @callback has been notified
  */
 struct store_watch {
     struct store *store;
@@ -27,59 +27,61 @@
     char *key;
     struct exchange *exchange;
     uint64_t index;
-    uint64_t told_index;
-    int64_t asked_ms;
+    uint64_t reported_index;
+    int64_t request_ms;
     int64_t backoff_ms;
     bool reading;
     bool failing;
 };
 
 static void
-watch_ask(struct store_watch *watch, int64_t delay_ms);
+watch_send(struct store_watch *watch, int64_t delay_ms);
 
 static int64_t
-pause_after_answer(const struct store_watch *watch)
+pause_after_reply(const struct store_watch *watch)
 {
-    int64_t spent_ms = ms_clock_now(&watch->store->clock) - watch->asked_ms;
-    return MAX(0, MIN_INTERVAL_MS - spent_ms);
+    int64_t elapsed_ms =
+        ms_clock_now(&watch->store->clock) - watch->request_ms;
+    return MAX(0, REQUEST_INTERVAL_MIN_MS - elapsed_ms);
 }
 
 static void
 watch_fail(struct store_watch *watch, const struct store_result *result)
 {
-    bool told = watch->failing;
+    bool reported = watch->failing;
     watch->failing = true;
     watch->index = 0;
     watch->reading = true;
     int64_t delay_ms = watch->backoff_ms;
     watch->backoff_ms = MIN(delay_ms * 2, watch->store->timeout_ms);
-    watch_ask(watch, delay_ms);
-    if (!told) {
+    watch_send(watch, delay_ms);
+    if (!reported) {
         watch->callback.done(watch->callback.ctx, result);
     }
 }
 
 static bool
-is_answered(const struct exchange_reply *reply)
+is_response(const struct exchange_reply *reply)
 {
-    return reply->outcome == EXCHANGE_ANSWERED &&
+    return reply->outcome == EXCHANGE_RESPONDED &&
            (reply->http_status == SOUP_STATUS_OK ||
             reply->http_status == SOUP_STATUS_NOT_FOUND);
 }
 
-/* Keys that share the beginning of a single key count in the index of a wait,
- * but not in that of a read: the wait goes on from its own index. */
+/* The index of a wait on a single key also covers keys that begin with the
+ * same text, the index of a read doesn't: waits continue from their own
+ * index. */
 static void
-on_wait_over(struct store_watch *watch, uint64_t index)
+on_wait_reply(struct store_watch *watch, uint64_t index)
 {
     watch->backoff_ms = BACKOFF_MIN_MS;
     watch->reading = index == 0 || index != watch->index;
     watch->index = index;
-    watch_ask(watch, watch->reading ? 0 : pause_after_answer(watch));
+    watch_send(watch, watch->reading ? 0 : pause_after_reply(watch));
 }
 
 static void
-on_read(struct store_watch *watch, const struct exchange_reply *reply)
+on_read_reply(struct store_watch *watch, const struct exchange_reply *reply)
 {
     GArray *entries = store_entries_create();
     struct store_result result = {.status = {.code = STATUS_OK}};
@@ -89,15 +91,15 @@
         g_array_unref(entries);
         return;
     }
-    bool changed = watch->failing || watch->told_index != reply->index;
+    bool changed = watch->failing || watch->reported_index != reply->index;
     watch->failing = false;
     watch->backoff_ms = BACKOFF_MIN_MS;
-    watch->told_index = reply->index;
+    watch->reported_index = reply->index;
     if (watch->index == 0) {
         watch->index = reply->index;
     }
     watch->reading = watch->index == 0;
-    watch_ask(watch, pause_after_answer(watch));
+    watch_send(watch, pause_after_reply(watch));
     if (changed) {
         watch->callback.done(watch->callback.ctx, &result);
     }
@@ -105,18 +107,18 @@
 }
 
 static void
-on_answer(void *ctx, const struct exchange_reply *reply)
+on_reply(void *ctx, const struct exchange_reply *reply)
 {
     struct store_watch *watch = ctx;
     if (reply == NULL) {
         return;
     }
     watch->exchange = NULL;
-    if (!watch->reading && is_answered(reply)) {
-        on_wait_over(watch, reply->index);
+    if (!watch->reading && is_response(reply)) {
+        on_wait_reply(watch, reply->index);
         return;
     }
-    on_read(watch, reply);
+    on_read_reply(watch, reply);
 }
 
 static char *
@@ -136,12 +138,12 @@
 }
 
 static void
-watch_ask(struct store_watch *watch, int64_t delay_ms)
+watch_send(struct store_watch *watch, int64_t delay_ms)
 {
     struct store *store = watch->store;
     int64_t wait_ms = watch->reading ? 0 : store->watch_wait_ms;
     char *path = watch_path(watch);
-    watch->asked_ms = ms_clock_now(&store->clock) + delay_ms;
+    watch->request_ms = ms_clock_now(&store->clock) + delay_ms;
     watch->exchange = exchange_start(
         store,
         &(struct exchange_request){
@@ -152,7 +154,7 @@
                 wait_ms + wait_ms / WAIT_SLACK_DIVISOR + store->timeout_ms,
             .reuse = !watch->failing,
         },
-        (struct exchange_handler){.done = on_answer, .ctx = watch});
+        (struct exchange_handler){.done = on_reply, .ctx = watch});
     g_free(path);
 }
 
@@ -167,7 +169,7 @@
     watch->backoff_ms = BACKOFF_MIN_MS;
     watch->reading = true;
     store->watches = g_list_prepend(store->watches, watch);
-    watch_ask(watch, 0);
+    watch_send(watch, 0);
     return watch;
 }
 
--- a/store/store_write.c
+++ b/store/store_write.c
@@ -5,19 +5,19 @@
 #include "store_txn.h"
 
 enum {
-    /* Exchanges of one write, each with the full deadline. */
-    MAX_EXCHANGES = 5,
+    /* Limit of exchanges per write, each with the full deadline. */
+    EXCHANGES_MAX = 5,
     RETRY_DELAY_MS = 100,
-    /* Not among libsoup's names. */
+    /* libsoup has no constant for it. */
     HTTP_TOO_MANY_REQUESTS = 429,
 };
 
 /**
  * struct store_write - one compare-and-swap until its outcome is known
  * @value: value to write; NULL deletes
- * @lost: an attempt may have taken effect without an answer
+ * @response_lost: an attempt got no response and may have taken effect
  * @written: the store has confirmed the write
- * @refused: the store has refused an attempt: the version does not hold
+ * @refused: the store has refused an attempt: the key has another version
  */
 struct store_write {
     struct store *store;
@@ -26,7 +26,7 @@
     GBytes *value;
     uint64_t version;
     unsigned n_exchanges;
-    bool lost;
+    bool response_lost;
     bool written;
     bool refused;
 };
@@ -67,7 +67,8 @@
     write_finish(write, &result);
 }
 
-/* Without a version of our own the old one stands in: it never matches. */
+/* If the version written is not known, the result has the old version, which
+ * never matches again. */
 static void
 write_succeed(struct store_write *write, uint64_t version)
 {
@@ -100,19 +101,19 @@
 static void
 write_send(struct store_write *write);
 
-/* The version has moved on and the value there is not the one written. */
+/* The key has a newer version with a value other than the one written. */
 static void
-write_lose(struct store_write *write, struct store_result *present)
+write_report_conflict(struct store_write *write, struct store_result *present)
 {
-    if (write->lost) {
+    if (write->response_lost) {
         status_set(&present->status, STATUS_UNKNOWN,
-                   "store: %s: the answer was lost and another value stands",
+                   "store: %s: response lost, and the key has another value",
                    write->key);
     }
     else {
         status_set(&present->status, STATUS_CONFLICT,
-                   "store: %s: version %" PRIu64 " does not hold", write->key,
-                   write->version);
+                   "store: %s: version differs from the expected %" PRIu64,
+                   write->key, write->version);
     }
     write_finish(write, present);
 }
@@ -122,7 +123,8 @@
 {
     const struct store_entry *found =
         present->n_entries > 0 ? &present->entries[0] : NULL;
-    if (holds_our_value(write, found) && (write->lost || write->written)) {
+    if (holds_our_value(write, found) &&
+        (write->response_lost || write->written)) {
         write_succeed(write, found == NULL ? 0 : found->version);
         return;
     }
@@ -132,11 +134,11 @@
     }
     uint64_t version = found == NULL ? STORE_VERSION_ABSENT : found->version;
     if (version == write->version && !write->refused) {
-        /* A late first attempt and this one can't both take effect. */
+        /* A delayed first attempt and this one can't both take effect. */
         write_send(write);
         return;
     }
-    write_lose(write, present);
+    write_report_conflict(write, present);
 }
 
 static void
@@ -159,18 +161,19 @@
     g_array_unref(entries);
 }
 
-/* Says what is known when no further exchange is allowed. */
+/* Reports what is known when the limit of exchanges is reached. */
 static void
 write_give_up(struct store_write *write)
 {
     if (write->written) {
         write_succeed(write, 0);
     }
-    else if (write->lost) {
-        write_fail(write, STATUS_UNKNOWN, "the outcome can't be read back");
+    else if (write->response_lost) {
+        write_fail(write, STATUS_UNKNOWN,
+                   "response lost, and the key can't be read back");
     }
     else if (write->refused) {
-        write_fail(write, STATUS_CONFLICT, "the version does not hold");
+        write_fail(write, STATUS_CONFLICT, "the key has another version");
     }
     else {
         write_fail(write, STATUS_UNAVAILABLE, "not written");
@@ -178,9 +181,9 @@
 }
 
 static bool
-write_may_go_on(struct store_write *write)
+write_count_exchange(struct store_write *write)
 {
-    if (write->n_exchanges >= MAX_EXCHANGES) {
+    if (write->n_exchanges >= EXCHANGES_MAX) {
         write_give_up(write);
         return false;
     }
@@ -191,7 +194,7 @@
 static void
 write_read_back(struct store_write *write, int64_t delay_ms)
 {
-    if (!write_may_go_on(write)) {
+    if (!write_count_exchange(write)) {
         return;
     }
     write->store->stats.read_backs++;
@@ -209,25 +212,26 @@
 }
 
 static bool
-body_is(GBytes *body, const char *text)
+body_starts_with(GBytes *body, const char *text)
 {
     gsize size = 0;
     const char *bytes = g_bytes_get_data(body, &size);
     return size >= strlen(text) && memcmp(bytes, text, strlen(text)) == 0;
 }
 
-/* 429 and 503 are refusals; other server errors may follow a write. */
+/* 429 and 503 mean not written; other server errors may follow a write. */
 static void
 on_error_status(struct store_write *write, unsigned http_status)
 {
     char reason[64];
-    g_snprintf(reason, sizeof(reason), "answered with status %u", http_status);
+    g_snprintf(reason, sizeof(reason), "unexpected HTTP status %u",
+               http_status);
     bool refusal = http_status == SOUP_STATUS_SERVICE_UNAVAILABLE ||
                    http_status == HTTP_TOO_MANY_REQUESTS;
     if (!refusal && http_status >= SOUP_STATUS_INTERNAL_SERVER_ERROR) {
-        write->lost = true;
+        write->response_lost = true;
     }
-    if (write->lost) {
+    if (write->response_lost) {
         write_read_back(write, RETRY_DELAY_MS);
     }
     else if (http_status == SOUP_STATUS_REQUEST_ENTITY_TOO_LARGE) {
@@ -248,9 +252,9 @@
     write_read_back(write, 0);
 }
 
-/* A transaction that does not hold is answered with 409, the rest with 200. */
+/* The store responds with 409 if the version differs, with 200 on success. */
 static void
-on_put_answer(struct store_write *write, const struct exchange_reply *reply)
+on_put_response(struct store_write *write, const struct exchange_reply *reply)
 {
     if (reply->http_status == SOUP_STATUS_CONFLICT) {
         on_refused(write);
@@ -271,12 +275,13 @@
 }
 
 static void
-on_delete_answer(struct store_write *write, const struct exchange_reply *reply)
+on_delete_response(struct store_write *write,
+                   const struct exchange_reply *reply)
 {
     if (reply->http_status != SOUP_STATUS_OK) {
         on_error_status(write, reply->http_status);
     }
-    else if (body_is(reply->body, "true")) {
+    else if (body_starts_with(reply->body, "true")) {
         write_succeed(write, 0);
     }
     else {
@@ -285,24 +290,24 @@
 }
 
 static void
-on_write_answer(void *ctx, const struct exchange_reply *reply)
+on_write_reply(void *ctx, const struct exchange_reply *reply)
 {
     struct store_write *write = ctx;
     if (reply == NULL) {
         write_abandon(write);
     }
-    else if (reply->outcome == EXCHANGE_NOT_SENT && !write->lost) {
+    else if (reply->outcome == EXCHANGE_NOT_SENT && !write->response_lost) {
         write_fail(write, STATUS_UNAVAILABLE, reply->reason);
     }
-    else if (reply->outcome != EXCHANGE_ANSWERED) {
-        write->lost = true;
+    else if (reply->outcome != EXCHANGE_RESPONDED) {
+        write->response_lost = true;
         write_read_back(write, 0);
     }
     else if (write->value != NULL) {
-        on_put_answer(write, reply);
+        on_put_response(write, reply);
     }
     else {
-        on_delete_answer(write, reply);
+        on_delete_response(write, reply);
     }
 }
 
@@ -318,7 +323,7 @@
             .body = body,
             .deadline_ms = write->store->timeout_ms,
         },
-        (struct exchange_handler){.done = on_write_answer, .ctx = write});
+        (struct exchange_handler){.done = on_write_reply, .ctx = write});
     g_bytes_unref(body);
 }
 
@@ -335,14 +340,14 @@
             .path = path,
             .deadline_ms = write->store->timeout_ms,
         },
-        (struct exchange_handler){.done = on_write_answer, .ctx = write});
+        (struct exchange_handler){.done = on_write_reply, .ctx = write});
     g_free(path);
 }
 
 static void
 write_send(struct store_write *write)
 {
-    if (!write_may_go_on(write)) {
+    if (!write_count_exchange(write)) {
         return;
     }
     if (write->value != NULL) {
@@ -370,7 +375,7 @@
           size_t size_bytes, uint64_t version, struct store_callback callback)
 {
     struct store_write *write = write_create(store, key, version, callback);
-    /* Entries promise a NUL behind the value. */
+    /* The value of a struct store_entry ends with a NUL. */
     char *copy = g_malloc(size_bytes + 1);
     memcpy(copy, value, size_bytes);
     copy[size_bytes] = '\0';
