--- a/standins/store_control.c
+++ b/standins/store_control.c
@@ -5,7 +5,7 @@
 #include "common/json_read.h"
 
 static void
-answer(SoupServerMessage *message, unsigned status, const char *text)
+respond(SoupServerMessage *message, unsigned status, const char *text)
 {
     soup_server_message_set_status(message, status, NULL);
     soup_server_message_set_response(message, "application/json",
@@ -17,16 +17,17 @@
 {
     GBytes *body = soup_message_body_flatten(
         soup_server_message_get_request_body(message));
-    gsize size = 0;
-    const char *bytes = g_bytes_get_data(body, &size);
-    char *text = g_strndup(bytes, size);
+    gsize size_bytes = 0;
+    const char *bytes = g_bytes_get_data(body, &size_bytes);
+    char *text = g_strndup(bytes, size_bytes);
     JsonNode *node = json_from_string(text, NULL);
     if (node == NULL || !JSON_NODE_HOLDS_ARRAY(node)) {
-        answer(message, SOUP_STATUS_BAD_REQUEST, "not an array");
+        respond(message, SOUP_STATUS_BAD_REQUEST,
+                "host list is not a JSON array");
     }
     else {
         store_hosts_set(control->hosts, text, control->faults->lag_hosts_ms);
-        answer(message, SOUP_STATUS_OK, "true");
+        respond(message, SOUP_STATUS_OK, "true");
     }
     g_clear_pointer(&node, json_node_unref);
     g_free(text);
@@ -38,19 +39,20 @@
 {
     GBytes *body = soup_message_body_flatten(
         soup_server_message_get_request_body(message));
-    gsize size = 0;
-    const char *bytes = g_bytes_get_data(body, &size);
+    gsize size_bytes = 0;
+    const char *bytes = g_bytes_get_data(body, &size_bytes);
     struct findings *findings = findings_create();
-    JsonNode *root = json_read_text(bytes, (int64_t)size, "faults", findings);
+    JsonNode *root =
+        json_read_text(bytes, (int64_t)size_bytes, "faults", findings);
     if (root != NULL && store_faults_read(control->faults, root, findings)) {
-        answer(message, SOUP_STATUS_OK, "true");
+        respond(message, SOUP_STATUS_OK, "true");
         if (control->faults->silence_watches) {
-            control->silence(control->ctx);
+            control->stall_watches(control->ctx);
         }
     }
     else {
-        answer(message, SOUP_STATUS_BAD_REQUEST,
-               findings_get(findings, 0)->reason);
+        respond(message, SOUP_STATUS_BAD_REQUEST,
+                findings_get(findings, 0)->reason);
     }
     g_clear_pointer(&root, json_node_unref);
     findings_destroy(findings);
@@ -72,9 +74,9 @@
     }
     if (!put && g_str_equal(path, "/standin/stats")) {
         char *text = store_stats_render(control->stats);
-        answer(message, SOUP_STATUS_OK, text);
+        respond(message, SOUP_STATUS_OK, text);
         g_free(text);
         return;
     }
-    answer(message, SOUP_STATUS_NOT_FOUND, "");
+    respond(message, SOUP_STATUS_NOT_FOUND, "");
 }
--- a/standins/store_control.h
+++ b/standins/store_control.h
@@ -1,4 +1,4 @@
-/* The stand-in store's switches: host list, faults and statistics. */
+/* Admin interface of the stand-in store: host list, faults and statistics. */
 #ifndef STANDINS_STORE_CONTROL_H
 #define STANDINS_STORE_CONTROL_H
 
@@ -9,18 +9,19 @@
 #include "store_stats.h"
 
 /**
- * struct store_control - what the switches act on
- * @silence: called when waiting calls are to go silent
+ * struct store_control - objects that the admin interface reads and changes
+ * @stall_watches: called when the fault "silence_watches" is set: waiting
+ *                 calls must not be answered any more
  */
 struct store_control {
     struct store_hosts *hosts;
     struct store_faults *faults;
     struct store_stats *stats;
-    void (*silence)(void *ctx);
+    void (*stall_watches)(void *ctx);
     void *ctx;
 };
 
-/** store_control_serve() - answer a call below /standin. */
+/** store_control_serve() - handle a request below /standin. */
 void
 store_control_serve(const struct store_control *control,
                     SoupServerMessage *message, const char *path);
--- a/standins/store_faults.c
+++ b/standins/store_faults.c
@@ -7,7 +7,7 @@
     SEED_MAX = INT32_MAX,
 };
 
-static const char *const members[] = {
+static const char *const fault_names[] = {
     "down",
     "drop",
     "silence_watches",
@@ -30,7 +30,7 @@
         .path = "$",
         .findings = findings,
     };
-    json_reject_unknown_members(&place, members);
+    json_reject_unknown_members(&place, fault_names);
     next.down = json_read_bool(&place, "down", next.down);
     next.drop = json_read_bool(&place, "drop", next.drop);
     next.silence_watches =
@@ -54,7 +54,7 @@
 }
 
 bool
-store_faults_lose_answer(struct store_faults *faults)
+store_faults_drop_response(struct store_faults *faults)
 {
     return random_below(&faults->random, 100) < faults->lose_answers_percent;
 }
--- a/standins/store_faults.h
+++ b/standins/store_faults.h
@@ -1,4 +1,4 @@
-/* Faults that the stand-in store can be told to show. */
+/* Faults that tests inject into the stand-in store. */
 #ifndef STANDINS_STORE_FAULTS_H
 #define STANDINS_STORE_FAULTS_H
 
@@ -10,14 +10,15 @@
 #include "common/random.h"
 
 /**
- * struct store_faults - what goes wrong now
- * @down: every call is answered with 503
- * @drop: calls are accepted and never answered
- * @silence_watches: waiting calls are never answered, those that wait
- *                   already included
- * @lose_answers_percent: writes that take effect without an answer
- * @delay_ms: time before a call is carried out
- * @lag_hosts_ms: time before a change of the host list shows
+ * struct store_faults - faults injected now
+ * @down: every call is answered with status 503
+ * @drop: calls are accepted but never answered
+ * @silence_watches: watches, including those already waiting, are never
+ *                   answered
+ * @lose_answers_percent: probability that a write takes effect, but its
+ *                        connection is closed without a response
+ * @delay_ms: delay before a call is executed
+ * @lag_hosts_ms: delay before a change of the host list becomes visible
  */
 struct store_faults {
     bool down;
@@ -29,14 +30,15 @@
     struct random random;
 };
 
-/** store_faults_read() - replace the members that @root names; false and
- * findings when one is wrong, nothing is changed then. */
+/** store_faults_read() - set the faults that @root names and keep the others;
+ * if a value is invalid, change nothing, add findings and return false. */
 bool
 store_faults_read(struct store_faults *faults, JsonNode *root,
                   struct findings *findings);
 
-/** store_faults_lose_answer() - whether the next write loses its answer. */
+/** store_faults_drop_response() - decide at random whether the next write is
+ * left without a response. */
 bool
-store_faults_lose_answer(struct store_faults *faults);
+store_faults_drop_response(struct store_faults *faults);
 
 #endif
--- a/standins/store_hosts.c
+++ b/standins/store_hosts.c
@@ -2,6 +2,7 @@
 
 #include <glib.h>
 
+/** struct pending_list - a host list that isn't visible yet */
 struct pending_list {
     struct store_hosts *hosts;
     char *text;
@@ -51,7 +52,7 @@
 }
 
 static gboolean
-show_list(void *data)
+publish_list(void *data)
 {
     struct pending_list *pending = data;
     struct store_hosts *hosts = pending->hosts;
@@ -61,22 +62,22 @@
     hosts->index++;
     g_queue_remove(&hosts->pending, pending);
     pending_destroy(pending);
-    hosts->listener.shown(hosts->listener.ctx);
+    hosts->listener.changed(hosts->listener.ctx);
     return G_SOURCE_REMOVE;
 }
 
 void
-store_hosts_set(struct store_hosts *hosts, const char *text, int64_t lag_ms)
+store_hosts_set(struct store_hosts *hosts, const char *text, int64_t delay_ms)
 {
     struct pending_list *pending = g_new0(struct pending_list, 1);
     pending->hosts = hosts;
     pending->text = g_strdup(text);
     g_queue_push_tail(&hosts->pending, pending);
-    if (lag_ms == 0) {
-        show_list(pending);
+    if (delay_ms == 0) {
+        publish_list(pending);
         return;
     }
-    pending->timer = g_timeout_add((guint)lag_ms, show_list, pending);
+    pending->timer = g_timeout_add((guint)delay_ms, publish_list, pending);
 }
 
 const char *
--- a/standins/store_kv.c
+++ b/standins/store_kv.c
@@ -2,7 +2,8 @@
 
 #include <string.h>
 
-/* A deleted key keeps its entry without a value, so that watches see it. */
+/* A deleted key keeps its entry, without a value, so that watches notice the
+ * deletion by its modify index. */
 struct kv_entry {
     GBytes *value;
     uint64_t create_index;
@@ -49,7 +50,7 @@
 }
 
 static bool
-cas_holds(const struct kv_entry *entry, int64_t cas)
+cas_matches(const struct kv_entry *entry, int64_t cas)
 {
     if (cas < 0) {
         return true;
@@ -62,7 +63,7 @@
 store_kv_put(struct store_kv *kv, const char *key, GBytes *value, int64_t cas)
 {
     struct kv_entry *entry = g_tree_lookup(kv->entries, key);
-    if (!cas_holds(entry, cas)) {
+    if (!cas_matches(entry, cas)) {
         return false;
     }
     if (entry == NULL) {
@@ -87,7 +88,7 @@
     if (!present) {
         return true;
     }
-    if (!cas_holds(entry, cas)) {
+    if (!cas_matches(entry, cas)) {
         return false;
     }
     entry->modify_index = ++kv->index;
@@ -95,7 +96,7 @@
     return true;
 }
 
-/* First node at or after @key; the caller steps on while it matches. */
+/* First node at or after @key; the caller iterates while nodes match. */
 static GTreeNode *
 first_node(const struct store_kv *kv, const char *key)
 {
@@ -125,9 +126,9 @@
 static void
 add_entry(JsonBuilder *builder, const char *key, const struct kv_entry *entry)
 {
-    gsize size = 0;
-    const guchar *bytes = g_bytes_get_data(entry->value, &size);
-    char *text = g_base64_encode(bytes, size);
+    gsize size_bytes = 0;
+    const guchar *bytes = g_bytes_get_data(entry->value, &size_bytes);
+    char *text = g_base64_encode(bytes, size_bytes);
     json_builder_begin_object(builder);
     json_builder_set_member_name(builder, "Key");
     json_builder_add_string_value(builder, key);
--- a/standins/store_listen.c
+++ b/standins/store_listen.c
@@ -1,7 +1,8 @@
 #include "store_listen.h"
 
 enum {
-    /* Clients use a connection for each call; libsoup's own backlog is 10. */
+    /* Clients open a connection for each call: libsoup's default backlog of
+     * 10 is too short. */
     LISTEN_BACKLOG = 1024,
 };
 
--- a/standins/store_main.c
+++ b/standins/store_main.c
@@ -1,3 +1,4 @@
+/* standin-store: in-memory key-value store and host list for tests. */
 #include <argp.h>
 #include <glib-unix.h>
 #include <stdio.h>
@@ -13,8 +14,9 @@
 };
 
 static const struct argp_option options[] = {
-    {"address", 'a', "IP", 0, "IP number to listen on (127.0.0.1)", 0},
-    {"port", 'p', "PORT", 0, "port to listen on; 0 for any (0)", 0},
+    {"address", 'a', "IP", 0, "IP address to listen on (127.0.0.1)", 0},
+    {"port", 'p', "PORT", 0,
+     "port to listen on; 0: assigned by the kernel (0)", 0},
     {0},
 };
 
@@ -29,7 +31,7 @@
         return 0;
     case 'p':
         if (!g_ascii_string_to_unsigned(arg, 10, 0, UINT16_MAX, &port, NULL)) {
-            argp_error(state, "not a port: %s", arg);
+            argp_error(state, "invalid port: %s", arg);
         }
         arguments->port = (uint16_t)port;
         return 0;
@@ -41,11 +43,11 @@
 static const struct argp argp = {
     .options = options,
     .parser = parse_option,
-    .doc = "Key-value service and host list for tests, kept in memory.",
+    .doc = "In-memory key-value store and host list for tests.",
 };
 
 static gboolean
-quit(void *loop)
+on_signal(void *loop)
 {
     g_main_loop_quit(loop);
     return G_SOURCE_CONTINUE;
@@ -66,8 +68,8 @@
     printf("port=%u\n", store_server_port(server));
     fflush(stdout);
     GMainLoop *loop = g_main_loop_new(NULL, FALSE);
-    g_unix_signal_add(SIGTERM, quit, loop);
-    g_unix_signal_add(SIGINT, quit, loop);
+    g_unix_signal_add(SIGTERM, on_signal, loop);
+    g_unix_signal_add(SIGINT, on_signal, loop);
     g_main_loop_run(loop);
     g_main_loop_unref(loop);
     store_server_destroy(server);
--- a/standins/store_server.c
+++ b/standins/store_server.c
@@ -17,9 +17,14 @@
 #define HOSTS_PATH "/v1/health/service/worker"
 
 enum {
-    DEFAULT_WAIT_MS = 300000,
+    WAIT_DEFAULT_MS = 300000,
 };
 
+/**
+ * struct store_server - state of the server
+ * @waiters: struct store_call of the watches that wait for a change
+ * @held_connections: streams of calls that are never answered (fault "drop")
+ */
 struct store_server {
     SoupServer *http;
     struct store_kv *kv;
@@ -32,27 +37,29 @@
 };
 
 /**
- * struct store_call - one call and what it asks
+ * struct store_call - one call
  * @key: key or prefix; NULL for the host list
- * @index: index the caller has seen; 0 when it does not wait
- * @txn: the write came as a transaction; @value is what it writes
- * @keys: asks for the names of keys without their values
- * @filtered: asks for hosts by a filter; the only one known matches none
- * @silent: never answered
+ * @recurse: @key is a prefix
+ * @keys_only: return keys without their values
+ * @has_filter: request for hosts with a filter; every filter matches none
+ * @index: index the caller has seen; 0: respond without waiting
+ * @cas: required modify index, see store_kv_put()
+ * @txn: the write is a transaction that writes @value
+ * @stalled: never answered
  */
 struct store_call {
     struct store_server *server;
     SoupServerMessage *message;
     char *key;
     bool recurse;
-    bool keys;
-    bool filtered;
+    bool keys_only;
+    bool has_filter;
     uint64_t index;
     int64_t wait_ms;
     int64_t cas;
     bool txn;
     GBytes *value;
-    bool silent;
+    bool stalled;
     guint timer;
 };
 
@@ -72,7 +79,7 @@
 parse_wait_ms(const char *text)
 {
     if (text == NULL) {
-        return DEFAULT_WAIT_MS;
+        return WAIT_DEFAULT_MS;
     }
     char *unit = NULL;
     int64_t number = g_ascii_strtoll(text, &unit, 10);
@@ -88,7 +95,8 @@
     return query == NULL ? NULL : g_hash_table_lookup(query, name);
 }
 
-/* A query member without a value is left out of the decoded table. */
+/* Whether the query has @flag: libsoup leaves query members without a value
+ * out of the decoded table. */
 static bool
 has_flag(SoupServerMessage *message, const char *flag)
 {
@@ -109,9 +117,9 @@
     call->server = server;
     call->message = g_object_ref(message);
     call->key = g_strdup(key);
-    call->keys = has_flag(message, "keys");
-    call->recurse = call->keys || has_flag(message, "recurse");
-    call->filtered = query_get(query, "filter") != NULL;
+    call->keys_only = has_flag(message, "keys");
+    call->recurse = call->keys_only || has_flag(message, "recurse");
+    call->has_filter = query_get(query, "filter") != NULL;
     call->index = index == NULL ? 0 : g_ascii_strtoull(index, NULL, 10);
     call->wait_ms = parse_wait_ms(query_get(query, "wait"));
     call->cas = cas == NULL ? -1 : g_ascii_strtoll(cas, NULL, 10);
@@ -119,8 +127,8 @@
 }
 
 static void
-answer(struct store_server *server, SoupServerMessage *message,
-       unsigned status, const char *text)
+respond(struct store_server *server, SoupServerMessage *message,
+        unsigned status, const char *text)
 {
     soup_server_message_set_status(message, status, NULL);
     soup_server_message_set_response(message, "application/json",
@@ -138,7 +146,7 @@
 }
 
 static void
-answer_read(struct store_call *call)
+respond_to_read(struct store_call *call)
 {
     struct store_server *server = call->server;
     char index[32];
@@ -147,18 +155,18 @@
         soup_server_message_get_response_headers(call->message),
         "X-Consul-Index", index);
     if (call->key == NULL) {
-        answer(server, call->message, SOUP_STATUS_OK,
-               call->filtered ? "[]" : store_hosts_text(server->hosts));
+        respond(server, call->message, SOUP_STATUS_OK,
+                call->has_filter ? "[]" : store_hosts_text(server->hosts));
         return;
     }
-    char *text = call->keys
+    char *text = call->keys_only
                      ? store_kv_render_keys(server->kv, call->key)
                      : store_kv_render(server->kv, call->key, call->recurse);
     if (text == NULL) {
-        answer(server, call->message, SOUP_STATUS_NOT_FOUND, "");
+        respond(server, call->message, SOUP_STATUS_NOT_FOUND, "");
         return;
     }
-    answer(server, call->message, SOUP_STATUS_OK, text);
+    respond(server, call->message, SOUP_STATUS_OK, text);
     g_free(text);
 }
 
@@ -166,17 +174,17 @@
 finish_waiter(struct store_call *call)
 {
     call->server->waiters = g_list_remove(call->server->waiters, call);
-    answer_read(call);
+    respond_to_read(call);
     soup_server_message_unpause(call->message);
     call_destroy(call);
 }
 
 static gboolean
-wait_over(void *data)
+on_wait_timeout(void *data)
 {
     struct store_call *call = data;
     call->timer = 0;
-    if (!call->silent) {
+    if (!call->stalled) {
         finish_waiter(call);
     }
     return G_SOURCE_REMOVE;
@@ -189,24 +197,24 @@
     while (link != NULL) {
         struct store_call *call = link->data;
         link = link->next;
-        if (!call->silent && call_current_index(call) > call->index) {
+        if (!call->stalled && call_current_index(call) > call->index) {
             finish_waiter(call);
         }
     }
 }
 
 static void
-silence_waiters(void *ctx)
+stall_waiters(void *ctx)
 {
     const struct store_server *server = ctx;
     for (GList *link = server->waiters; link != NULL; link = link->next) {
         struct store_call *call = link->data;
-        call->silent = true;
+        call->stalled = true;
     }
 }
 
 static void
-hosts_shown(void *ctx)
+on_hosts_changed(void *ctx)
 {
     wake_waiters(ctx);
 }
@@ -215,8 +223,8 @@
 start_waiting(struct store_call *call)
 {
     struct store_server *server = call->server;
-    call->silent = server->faults.silence_watches;
-    call->timer = g_timeout_add((guint)call->wait_ms, wait_over, call);
+    call->stalled = server->faults.silence_watches;
+    call->timer = g_timeout_add((guint)call->wait_ms, on_wait_timeout, call);
     server->waiters = g_list_prepend(server->waiters, call);
     soup_server_message_pause(call->message);
 }
@@ -228,12 +236,12 @@
         start_waiting(call);
         return;
     }
-    answer_read(call);
+    respond_to_read(call);
     call_destroy(call);
 }
 
 static void
-lose_answer(SoupServerMessage *message)
+drop_response(SoupServerMessage *message)
 {
     GIOStream *stream = soup_server_message_steal_connection(message);
     g_io_stream_close(stream, NULL, NULL);
@@ -241,7 +249,7 @@
 }
 
 static bool
-carry_out_write(struct store_call *call)
+apply_write(struct store_call *call)
 {
     struct store_server *server = call->server;
     if (soup_server_message_get_method(call->message) != SOUP_METHOD_PUT) {
@@ -256,18 +264,18 @@
 }
 
 static void
-answer_write(struct store_call *call, bool written)
+respond_to_write(struct store_call *call, bool written)
 {
     struct store_server *server = call->server;
     if (!call->txn) {
-        answer(server, call->message, SOUP_STATUS_OK,
-               written ? "true" : "false");
+        respond(server, call->message, SOUP_STATUS_OK,
+                written ? "true" : "false");
         return;
     }
     uint64_t version = store_kv_index(server->kv, call->key, false);
     char *text = store_txn_render(call->key, version, written);
-    answer(server, call->message,
-           written ? SOUP_STATUS_OK : SOUP_STATUS_CONFLICT, text);
+    respond(server, call->message,
+            written ? SOUP_STATUS_OK : SOUP_STATUS_CONFLICT, text);
     g_free(text);
 }
 
@@ -275,12 +283,12 @@
 serve_write(struct store_call *call)
 {
     struct store_server *server = call->server;
-    bool written = carry_out_write(call);
-    if (store_faults_lose_answer(&server->faults)) {
-        lose_answer(call->message);
+    bool written = apply_write(call);
+    if (store_faults_drop_response(&server->faults)) {
+        drop_response(call->message);
     }
     else {
-        answer_write(call, written);
+        respond_to_write(call, written);
     }
     call_destroy(call);
     wake_waiters(server);
@@ -297,7 +305,7 @@
 }
 
 static gboolean
-delay_over(void *data)
+on_delay_over(void *data)
 {
     struct store_call *call = data;
     call->timer = 0;
@@ -314,19 +322,19 @@
         g_list_prepend(server->held_connections, stream);
 }
 
-/* Whether a fault has taken the call; it is counted all the same. */
+/* Counts the call, and returns whether a fault has handled it. */
 static bool
-fault_takes(struct store_server *server, SoupServerMessage *message,
-            bool hosts, bool waits)
+handled_by_fault(struct store_server *server, SoupServerMessage *message,
+                 bool hosts, bool is_watch)
 {
     store_stats_count(&server->stats, soup_server_message_get_method(message),
-                      hosts, waits);
+                      hosts, is_watch);
     if (server->faults.drop) {
         hold_connection(server, message);
         return true;
     }
     if (server->faults.down) {
-        answer(server, message, SOUP_STATUS_SERVICE_UNAVAILABLE, "down");
+        respond(server, message, SOUP_STATUS_SERVICE_UNAVAILABLE, "down");
         return true;
     }
     return false;
@@ -338,18 +346,18 @@
     int64_t delay_ms = call->server->faults.delay_ms;
     if (delay_ms > 0) {
         soup_server_message_pause(call->message);
-        call->timer = g_timeout_add((guint)delay_ms, delay_over, call);
+        call->timer = g_timeout_add((guint)delay_ms, on_delay_over, call);
         return;
     }
     serve_call(call);
 }
 
 static void
-take_call(struct store_server *server, SoupServerMessage *message,
-          const char *key, GHashTable *query)
+accept_call(struct store_server *server, SoupServerMessage *message,
+            const char *key, GHashTable *query)
 {
-    bool waits = query_get(query, "index") != NULL;
-    if (!fault_takes(server, message, key == NULL, waits)) {
+    bool is_watch = query_get(query, "index") != NULL;
+    if (!handled_by_fault(server, message, key == NULL, is_watch)) {
         start_call(call_create(server, message, key, query));
     }
 }
@@ -366,9 +374,10 @@
         soup_server_message_get_request_body(message));
     if (soup_server_message_get_method(message) != SOUP_METHOD_PUT ||
         !store_txn_parse(body, &txn)) {
-        answer(data, message, SOUP_STATUS_BAD_REQUEST, "bad request");
+        respond(data, message, SOUP_STATUS_BAD_REQUEST,
+                "not a transaction of one cas operation");
     }
-    else if (!fault_takes(data, message, false, false)) {
+    else if (!handled_by_fault(data, message, false, false)) {
         struct store_call *call = call_create(data, message, txn.key, NULL);
         call->txn = true;
         call->cas = txn.index;
@@ -386,13 +395,14 @@
     (void)http;
     const char *method = soup_server_message_get_method(message);
     const char *key = path + strlen(KV_PATH);
-    bool known = method == SOUP_METHOD_GET || method == SOUP_METHOD_PUT ||
-                 method == SOUP_METHOD_DELETE;
-    if (!known || !g_str_has_prefix(path, KV_PATH) || key[0] == '\0') {
-        answer(data, message, SOUP_STATUS_BAD_REQUEST, "bad request");
+    bool supported = method == SOUP_METHOD_GET || method == SOUP_METHOD_PUT ||
+                     method == SOUP_METHOD_DELETE;
+    if (!supported || !g_str_has_prefix(path, KV_PATH) || key[0] == '\0') {
+        respond(data, message, SOUP_STATUS_BAD_REQUEST,
+                "unsupported method or missing key");
         return;
     }
-    take_call(data, message, key, query);
+    accept_call(data, message, key, query);
 }
 
 static void
@@ -402,10 +412,10 @@
     (void)http;
     (void)path;
     if (soup_server_message_get_method(message) != SOUP_METHOD_GET) {
-        answer(data, message, SOUP_STATUS_METHOD_NOT_ALLOWED, "");
+        respond(data, message, SOUP_STATUS_METHOD_NOT_ALLOWED, "");
         return;
     }
-    take_call(data, message, NULL, query);
+    accept_call(data, message, NULL, query);
 }
 
 static void
@@ -419,7 +429,7 @@
         .hosts = server->hosts,
         .faults = &server->faults,
         .stats = &server->stats,
-        .silence = silence_waiters,
+        .stall_watches = stall_waiters,
         .ctx = server,
     };
     store_control_serve(&control, message, path);
@@ -433,7 +443,7 @@
     GSocketAddress *socket_address =
         g_inet_socket_address_new_from_string(address, port);
     if (socket_address == NULL) {
-        status_set(status, STATUS_INVALID, "not an IP number: %s", address);
+        status_set(status, STATUS_INVALID, "invalid IP address: %s", address);
         return false;
     }
     GSocket *socket = store_listen(socket_address, &error);
@@ -459,11 +469,11 @@
     server->http = soup_server_new(NULL, NULL);
     server->kv = store_kv_create();
     server->hosts = store_hosts_create((struct store_hosts_listener){
-        .shown = hosts_shown,
+        .changed = on_hosts_changed,
         .ctx = server,
     });
     server->faults.random = random_seeded(1);
-    store_stats_start(&server->stats);
+    store_stats_init(&server->stats);
     soup_server_add_handler(server->http, KV_PATH, handle_kv, server, NULL);
     soup_server_add_handler(server->http, TXN_PATH, handle_txn, server, NULL);
     soup_server_add_handler(server->http, HOSTS_PATH, handle_hosts, server,
--- a/standins/store_server.h
+++ b/standins/store_server.h
@@ -1,4 +1,4 @@
-/* The stand-in store's HTTP side. */
+/* HTTP server of the stand-in store. */
 #ifndef STANDINS_STORE_SERVER_H
 #define STANDINS_STORE_SERVER_H
 
@@ -8,13 +8,14 @@
 
 struct store_server;
 
-/** store_server_create() - listen; port 0 lets the kernel choose. */
+/** store_server_create() - listen on @address; with @port 0 the kernel assigns
+ * the port. On failure set @status and return NULL. */
 struct store_server *
 store_server_create(const char *address, uint16_t port, struct status *status);
 void
 store_server_destroy(struct store_server *server);
 
-/** store_server_port() - port in use. */
+/** store_server_port() - port that the server listens on. */
 uint16_t
 store_server_port(const struct store_server *server);
 
--- a/standins/store_stats.c
+++ b/standins/store_stats.c
@@ -4,14 +4,14 @@
 #include <inttypes.h>
 
 void
-store_stats_start(struct store_stats *stats)
+store_stats_init(struct store_stats *stats)
 {
     stats->started_us = g_get_monotonic_time();
 }
 
 void
 store_stats_count(struct store_stats *stats, const char *method, bool hosts,
-                  bool waits)
+                  bool is_watch)
 {
     if (hosts) {
         stats->hosts++;
@@ -22,7 +22,7 @@
     else if (g_str_equal(method, "DELETE")) {
         stats->deletes++;
     }
-    else if (waits) {
+    else if (is_watch) {
         stats->watches++;
     }
     else {
--- a/standins/store_txn.c
+++ b/standins/store_txn.c
@@ -4,7 +4,7 @@
 #include <json-glib/json-glib.h>
 
 static JsonObject *
-only_operation(JsonNode *root)
+single_operation(JsonNode *root)
 {
     if (root == NULL || !JSON_NODE_HOLDS_ARRAY(root)) {
         return NULL;
@@ -23,7 +23,7 @@
 }
 
 static bool
-read_operation(JsonObject *kv, struct store_txn *txn)
+parse_cas_operation(JsonObject *kv, struct store_txn *txn)
 {
     const char *verb =
         json_object_get_string_member_with_default(kv, "Verb", "");
@@ -35,10 +35,10 @@
         value == NULL) {
         return false;
     }
-    gsize size = 0;
-    guchar *bytes = g_base64_decode(value, &size);
+    gsize size_bytes = 0;
+    guchar *bytes = g_base64_decode(value, &size_bytes);
     txn->key = g_strdup(key);
-    txn->value = g_bytes_new_take(bytes, size);
+    txn->value = g_bytes_new_take(bytes, size_bytes);
     txn->index = json_object_get_int_member_with_default(kv, "Index", 0);
     return true;
 }
@@ -46,16 +46,16 @@
 bool
 store_txn_parse(GBytes *body, struct store_txn *txn)
 {
-    gsize size = 0;
-    const char *bytes = g_bytes_get_data(body, &size);
-    char *text = g_strndup(bytes, size);
+    gsize size_bytes = 0;
+    const char *bytes = g_bytes_get_data(body, &size_bytes);
+    char *text = g_strndup(bytes, size_bytes);
     JsonNode *root = json_from_string(text, NULL);
-    JsonObject *kv = only_operation(root);
+    JsonObject *kv = single_operation(root);
     *txn = (struct store_txn){.key = NULL};
-    bool good = kv != NULL && read_operation(kv, txn);
+    bool ok = kv != NULL && parse_cas_operation(kv, txn);
     g_clear_pointer(&root, json_node_unref);
     g_free(text);
-    return good;
+    return ok;
 }
 
 void
