--- a/include/wire/frame.h
+++ b/include/wire/frame.h
@@ -1,4 +1,4 @@
-/* Length-prefixed frames of msgpack between egretglade processes. */
+/* Length-prefixed msgpack frames between egretglade processes. */
 #ifndef WIRE_FRAME_H
 #define WIRE_FRAME_H
 
@@ -12,14 +12,14 @@
 enum {
     FRAME_HEADER_BYTES = 4,
     FRAME_MAX_BYTES = 2 << 20,
-    /* Bound before the other end has proved that it knows the secret. */
+    /* Limit until the peer has proved that it knows the shared secret. */
     FRAME_UNAUTHENTICATED_MAX_BYTES = 512,
 };
 
 /**
- * struct frame_reader - takes frames out of a byte stream
+ * struct frame_reader - splits a byte stream into frames
  *
- * A frame is a big-endian 32-bit length and that many bytes.
+ * A frame is a big-endian 32-bit length followed by that many bytes.
  */
 struct frame_reader;
 
@@ -28,7 +28,7 @@
 void
 frame_reader_destroy(struct frame_reader *reader);
 
-/** frame_reader_set_max() - change the bound for later frames. */
+/** frame_reader_set_max() - change the size limit of later frames. */
 void
 frame_reader_set_max(struct frame_reader *reader, size_t max_bytes);
 
@@ -38,18 +38,18 @@
                   size_t size_bytes);
 
 /**
- * frame_reader_next() - next whole frame
+ * frame_reader_next() - take the next complete frame
  * @bytes, @size_bytes: the frame's content, valid until the next call
- * @status: STATUS_TOO_LARGE when the announced length is over the bound;
- *          the stream can't be used any more
+ * @status: set to STATUS_TOO_LARGE when the length exceeds the limit; the
+ *          stream can't be used any more
  *
- * Returns: whether there was a whole frame.
+ * Returns: whether there was a complete frame.
  */
 bool
 frame_reader_next(struct frame_reader *reader, const uint8_t **bytes,
                   size_t *size_bytes, struct status *status);
 
-/** frame_wrap() - header and content as one buffer to write. */
+/** frame_wrap() - one buffer with the header and a copy of @content. */
 GBytes *
 frame_wrap(const void *content, size_t size_bytes);
 
--- a/include/wire/message.h
+++ b/include/wire/message.h
@@ -1,4 +1,4 @@
-/* Typed messages between gateways and their msgpack form. */
+/* Messages between gateways and their msgpack encoding. */
 #ifndef WIRE_MESSAGE_H
 #define WIRE_MESSAGE_H
 
@@ -21,15 +21,16 @@
 
 /**
  * enum message_type - kinds of messages; numbers are part of the protocol
- * @MESSAGE_HELLO: first on a link, both ways: who I am and a nonce
+ * @MESSAGE_HELLO: first message of both ends of a link: identity and a nonce
  * @MESSAGE_PROOF: HMAC over both nonces; ends the handshake
- * @MESSAGE_HEARTBEAT: asks for support, with a sequence number
- * @MESSAGE_HEARTBEAT_ACK: answers a heartbeat: supported or not
- * @MESSAGE_MEMBERS: the members record, to a peer that knows an older one
+ * @MESSAGE_HEARTBEAT: requests a lease grant, with a sequence number
+ * @MESSAGE_HEARTBEAT_ACK: reply to a heartbeat: lease granted or not
+ * @MESSAGE_MEMBERS: the members record, to a peer that has an older one
  * @MESSAGE_CONFIG: head and parts of a newer generation
- * @MESSAGE_CONFIG_PULL: asks for it
- * @MESSAGE_USAGE: use of pools by team on the sender
- * @MESSAGE_PERMIT_REQUEST: asks the holder to move permits to the sender
+ * @MESSAGE_CONFIG_PULL: requests a MESSAGE_CONFIG
+ * @MESSAGE_USAGE: usage of pools by team on the sender
+ * @MESSAGE_PERMIT_REQUEST: requests that the receiver transfers permits that
+ *                          it holds to the sender
  */
 enum message_type {
     MESSAGE_HELLO = 1,
@@ -54,11 +55,12 @@
 };
 
 /**
- * struct message_heartbeat - a request for support and its answer
- * @number: sequence number chosen by the asker, echoed
- * @generation: newest configuration generation in force at the sender
+ * struct message_heartbeat - a heartbeat or the reply to one
+ * @number: sequence number chosen by the requester, echoed in the reply
+ * @generation: active configuration generation of the sender
  * @epoch: newest members epoch known to the sender
- * @grants_lease: in an answer: the asker may count the sender
+ * @grants_lease: in a reply: the sender grants the requester its lease and
+ *                counts towards the requester's majority
  */
 struct message_heartbeat {
     uint64_t number;
@@ -69,7 +71,7 @@
 
 /**
  * struct message_members - the members record as stored
- * @epoch: its epoch
+ * @epoch: epoch of the record
  * @record: JSON text
  */
 struct message_members {
@@ -79,9 +81,9 @@
 
 /**
  * struct message_config - a generation as stored
- * @generation: its number
+ * @generation: generation number
  * @head: JSON text of the head
- * @part_names, @part_texts: parts, same length
+ * @part_names, @part_texts: names and texts of the parts, in the same order
  */
 struct message_config {
     uint64_t generation;
@@ -95,13 +97,14 @@
 };
 
 /**
- * struct message_usage_entry - one team's use of one pool at the sender
+ * struct message_usage_entry - one team's usage of one pool at the sender
  * @team: empty for the reserve of a pool
- * @pool: empty when only the permits are told
- * @running: attempts now at backend servers
- * @queued: tasks waiting
- * @served_milli: service since the sender's start, thousandths of a unit
- * @free_permits: permits of the team the sender does not use
+ * @pool: empty in an entry that reports permits only
+ * @running: attempts running on backend servers
+ * @queued: waiting tasks
+ * @served_milli: service received since the sender's start, in thousandths of
+ *                the service unit
+ * @free_permits: permits of the team that the sender holds and does not use
  */
 struct message_usage_entry {
     char *team;
@@ -122,7 +125,7 @@
     uint32_t permits;
 };
 
-/** struct message - one decoded message; @type tells which member holds. */
+/** struct message - one decoded message; @type selects the member of @as. */
 struct message {
     enum message_type type;
     union {
@@ -142,15 +145,15 @@
 message_encode(const struct message *message, msgpack_sbuffer *buffer);
 
 /**
- * message_decode() - typed message out of untrusted bytes
+ * message_decode() - decode a message from untrusted bytes
  *
- * Returns: the message, or NULL with STATUS_INVALID or STATUS_TOO_LARGE and
- * the field at fault in @status.
+ * Returns: the message, or NULL with STATUS_INVALID or STATUS_TOO_LARGE in
+ * @status, with the name of the invalid field.
  */
 struct message *
 message_decode(const uint8_t *bytes, size_t size_bytes, struct status *status);
 
-/** message_clear() - free what the members own, not @message itself. */
+/** message_clear() - free what the members own, but not @message itself. */
 void
 message_clear(struct message *message);
 
--- a/tests/standing/wire_test.c
+++ b/tests/standing/wire_test.c
@@ -128,7 +128,7 @@
     check_error("\x93\x01\x03\xa1x", 5, "number");
     check_error("\x95\x01\x03\x01\x01\xff", 6, "epoch");
     check_error("\x96\x01\x03\x01\x01\x01\x01", 7, "supports");
-    check_error("\x97\x01\x03\x01\x01\x01\xc2\x01", 8, "entries too many");
+    check_error("\x97\x01\x03\x01\x01\x01\xc2\x01", 8, "has extra entries");
     check_error("\x94\x01\x0a\xa0\x01", 5, "team");
     check_error("\x94\x01\x0a\xa2x\x00\x01", 7, "team");
     check_error("\x94\x01\x0a\xa2\xc3\x28\x01", 7, "team");
--- a/wire/frame.c
+++ b/wire/frame.c
@@ -65,7 +65,7 @@
     size_t content_bytes = GUINT32_FROM_BE(header);
     if (content_bytes > reader->max_bytes) {
         status_set(status, STATUS_TOO_LARGE,
-                   "frame of %zu bytes is over the bound of %zu",
+                   "frame of %zu bytes exceeds the limit of %zu",
                    content_bytes, reader->max_bytes);
         return false;
     }
--- a/wire/message.c
+++ b/wire/message.c
@@ -5,14 +5,15 @@
 #include "msgpack_bounds.h"
 
 enum {
-    MESSAGE_MAX_OBJECTS = 1 << 16,
+    MESSAGE_OBJECTS_MAX = 1 << 16,
     ENVELOPE_FIELDS = 2,
     USAGE_FIELDS = 6,
 };
 
 /**
- * struct fields - the array a message is read from, in order
- * @status: holds the first fault
+ * struct fields - sequential reader of a msgpack array
+ * @next: index of the next item
+ * @status: receives the first error
  */
 struct fields {
     const msgpack_object *items;
@@ -22,7 +23,7 @@
 };
 
 static bool
-fault(struct fields *fields, const char *name, const char *reason)
+field_error(struct fields *fields, const char *name, const char *reason)
 {
     if (status_ok(fields->status)) {
         status_set(fields->status, STATUS_INVALID, "message field %s %s", name,
@@ -35,7 +36,7 @@
 next_field(struct fields *fields, const char *name)
 {
     if (fields->next >= fields->n_items) {
-        fault(fields, name, "is missing");
+        field_error(fields, name, "is missing");
         return NULL;
     }
     return &fields->items[fields->next++];
@@ -50,7 +51,7 @@
         return false;
     }
     if (item->type != MSGPACK_OBJECT_POSITIVE_INTEGER || item->via.u64 > max) {
-        return fault(fields, name, "is not an integer in range");
+        return field_error(fields, name, "is not an integer in range");
     }
     *value = item->via.u64;
     return true;
@@ -75,7 +76,7 @@
         return false;
     }
     if (item->type != MSGPACK_OBJECT_BOOLEAN) {
-        return fault(fields, name, "is not a boolean");
+        return field_error(fields, name, "is not a boolean");
     }
     *value = item->via.boolean;
     return true;
@@ -90,15 +91,15 @@
         return false;
     }
     if (item->type != MSGPACK_OBJECT_STR) {
-        return fault(fields, name, "is not a text");
+        return field_error(fields, name, "is not a string");
     }
     const msgpack_object_str *text = &item->via.str;
     if (text->size > max_bytes) {
-        return fault(fields, name, "has a length out of range");
+        return field_error(fields, name, "has a length out of range");
     }
-    /* Also refuses NUL bytes within the text. */
+    /* Also rejects NUL bytes within the text. */
     if (!g_utf8_validate_len(text->ptr, text->size, NULL)) {
-        return fault(fields, name, "is not valid UTF-8");
+        return field_error(fields, name, "is not valid UTF-8");
     }
     /* The pointer of an empty text may be NULL. */
     *value = text->size == 0 ? g_strdup("") : g_strndup(text->ptr, text->size);
@@ -114,7 +115,7 @@
     }
     if ((*value)[0] == '\0') {
         g_clear_pointer(value, g_free);
-        return fault(fields, name, "has a length out of range");
+        return field_error(fields, name, "has a length out of range");
     }
     return true;
 }
@@ -129,7 +130,7 @@
     }
     if (item->type != MSGPACK_OBJECT_BIN ||
         item->via.bin.size != MESSAGE_NONCE_BYTES) {
-        return fault(fields, name, "is not a byte string of 32 bytes");
+        return field_error(fields, name, "is not a byte string of 32 bytes");
     }
     memcpy(value, item->via.bin.ptr, MESSAGE_NONCE_BYTES);
     return true;
@@ -144,10 +145,10 @@
         return false;
     }
     if (item->type != MSGPACK_OBJECT_ARRAY) {
-        return fault(fields, name, "is not an array");
+        return field_error(fields, name, "is not an array");
     }
     if (item->via.array.size > max_items) {
-        return fault(fields, name, "has too many entries");
+        return field_error(fields, name, "has too many entries");
     }
     *inner = (struct fields){
         .items = item->via.array.ptr,
@@ -161,7 +162,7 @@
 at_end(struct fields *fields, const char *name)
 {
     if (fields->next != fields->n_items) {
-        return fault(fields, name, "has entries too many");
+        return field_error(fields, name, "has extra entries");
     }
     return true;
 }
@@ -198,12 +199,12 @@
     struct fields part;
     char *name = NULL;
     char *text = NULL;
-    bool whole =
+    bool complete =
         read_array(parts, "part", 2, &part) &&
         read_text(&part, "part name", MESSAGE_TEXT_MAX_BYTES, &name) &&
         read_text(&part, "part text", MESSAGE_DOCUMENT_MAX_BYTES, &text) &&
         at_end(&part, "part");
-    if (!whole) {
+    if (!complete) {
         g_free(name);
         g_free(text);
         return false;
@@ -298,7 +299,7 @@
     case MESSAGE_PERMIT_REQUEST:
         return decode_permit_request(fields, &message->as.permit_request);
     }
-    return fault(fields, "type", "is not known");
+    return field_error(fields, "type", "is unknown");
 }
 
 static bool
@@ -310,7 +311,7 @@
         return false;
     }
     if (version != MESSAGE_VERSION) {
-        return fault(fields, "version", "is not supported");
+        return field_error(fields, "version", "is not supported");
     }
     if (!read_uint(fields, "type", UINT8_MAX, &type)) {
         return false;
@@ -324,12 +325,12 @@
        struct status *status)
 {
     if (size_bytes > MESSAGE_MAX_BYTES) {
-        status_set(status, STATUS_TOO_LARGE, "message of %zu bytes",
-                   size_bytes);
+        status_set(status, STATUS_TOO_LARGE,
+                   "message of %zu bytes exceeds the size limit", size_bytes);
         return false;
     }
     size_t used_bytes = 0;
-    if (!msgpack_bounds_hold(bytes, size_bytes, MESSAGE_MAX_OBJECTS) ||
+    if (!msgpack_bounds_hold(bytes, size_bytes, MESSAGE_OBJECTS_MAX) ||
         msgpack_unpack_next(unpacked, (const char *)bytes, size_bytes,
                             &used_bytes) != MSGPACK_UNPACK_SUCCESS ||
         unpacked->data.type != MSGPACK_OBJECT_ARRAY ||
--- a/wire/message_encode.c
+++ b/wire/message_encode.c
@@ -14,7 +14,7 @@
     msgpack_pack_bin_with_body(packer, bytes, MESSAGE_NONCE_BYTES);
 }
 
-/* Starts the outer array; @n_fields follow. */
+/* Starts the message array; the caller packs @n_fields fields after it. */
 static void
 pack_envelope(msgpack_packer *packer, enum message_type type, size_t n_fields)
 {
--- a/wire/msgpack_bounds.c
+++ b/wire/msgpack_bounds.c
@@ -1,10 +1,10 @@
 #include "msgpack_bounds.h"
 
 /**
- * struct token - one object header
- * @header_bytes: the header with its length field
- * @payload_bytes: text or number that follows
- * @children: objects that follow
+ * struct token - header of one msgpack object
+ * @header_bytes: size of the header including its length field
+ * @payload_bytes: size of the text, byte string or number after the header
+ * @children: number of objects in the array or map
  */
 struct token {
     size_t header_bytes;
@@ -47,27 +47,32 @@
 read_long_token(const uint8_t *bytes, size_t size_bytes)
 {
     static const uint8_t number_bytes[] = {4, 8, 1, 2, 4, 8, 1, 2, 4, 8};
-    uint8_t head = bytes[0];
-    if (head >= 0xc4 && head <= 0xc6) {
-        return read_sized(bytes, size_bytes, (size_t)1 << (head - 0xc4), 0);
+    uint8_t first_byte = bytes[0];
+    if (first_byte >= 0xc4 && first_byte <= 0xc6) {
+        return read_sized(bytes, size_bytes, (size_t)1 << (first_byte - 0xc4),
+                          0);
     }
-    if (head >= 0xc7 && head <= 0xc9) {
-        return read_sized(bytes, size_bytes, (size_t)1 << (head - 0xc7), 1);
+    if (first_byte >= 0xc7 && first_byte <= 0xc9) {
+        return read_sized(bytes, size_bytes, (size_t)1 << (first_byte - 0xc7),
+                          1);
     }
-    if (head >= 0xca && head <= 0xd3) {
-        return (struct token){1, number_bytes[head - 0xca], 0};
+    if (first_byte >= 0xca && first_byte <= 0xd3) {
+        return (struct token){1, number_bytes[first_byte - 0xca], 0};
     }
-    if (head >= 0xd4 && head <= 0xd8) {
-        return (struct token){1, ((uint64_t)1 << (head - 0xd4)) + 1, 0};
+    if (first_byte >= 0xd4 && first_byte <= 0xd8) {
+        return (struct token){1, ((uint64_t)1 << (first_byte - 0xd4)) + 1, 0};
     }
-    if (head >= 0xd9 && head <= 0xdb) {
-        return read_sized(bytes, size_bytes, (size_t)1 << (head - 0xd9), 0);
+    if (first_byte >= 0xd9 && first_byte <= 0xdb) {
+        return read_sized(bytes, size_bytes, (size_t)1 << (first_byte - 0xd9),
+                          0);
     }
-    if (head == 0xdc || head == 0xdd) {
-        return read_container(bytes, size_bytes, head == 0xdc ? 2 : 4, 1);
+    if (first_byte == 0xdc || first_byte == 0xdd) {
+        return read_container(bytes, size_bytes, first_byte == 0xdc ? 2 : 4,
+                              1);
     }
-    if (head == 0xde || head == 0xdf) {
-        return read_container(bytes, size_bytes, head == 0xde ? 2 : 4, 2);
+    if (first_byte == 0xde || first_byte == 0xdf) {
+        return read_container(bytes, size_bytes, first_byte == 0xde ? 2 : 4,
+                              2);
     }
     return (struct token){1, 0, 0};
 }
@@ -75,15 +80,15 @@
 static struct token
 read_token(const uint8_t *bytes, size_t size_bytes)
 {
-    uint8_t head = bytes[0];
-    if (head >= 0x80 && head <= 0x8f) {
-        return (struct token){1, 0, (head & 0x0f) * 2};
+    uint8_t first_byte = bytes[0];
+    if (first_byte >= 0x80 && first_byte <= 0x8f) {
+        return (struct token){1, 0, (first_byte & 0x0f) * 2};
     }
-    if (head >= 0x90 && head <= 0x9f) {
-        return (struct token){1, 0, head & 0x0f};
+    if (first_byte >= 0x90 && first_byte <= 0x9f) {
+        return (struct token){1, 0, first_byte & 0x0f};
     }
-    if (head >= 0xa0 && head <= 0xbf) {
-        return (struct token){1, head & 0x1f, 0};
+    if (first_byte >= 0xa0 && first_byte <= 0xbf) {
+        return (struct token){1, first_byte & 0x1f, 0};
     }
     return read_long_token(bytes, size_bytes);
 }
--- a/wire/msgpack_bounds.h
+++ b/wire/msgpack_bounds.h
@@ -1,4 +1,4 @@
-/* Bounds the objects that a msgpack text announces, before it is unpacked. */
+/* Checks the lengths in msgpack data before it is unpacked. */
 #ifndef WIRE_MSGPACK_BOUNDS_H
 #define WIRE_MSGPACK_BOUNDS_H
 
@@ -7,11 +7,11 @@
 #include <stdint.h>
 
 /**
- * msgpack_bounds_hold() - whether @bytes is one object with at most
- * @max_objects objects in it, each announced length within @size_bytes
+ * msgpack_bounds_hold() - whether @bytes is exactly one object with at most
+ * @max_objects objects in total and every length within @size_bytes
  *
- * The unpacker allocates what an array header announces, so headers are
- * checked against the bytes that are there first.
+ * The unpacker allocates as many entries as an array header states, so the
+ * headers are first checked against the number of bytes received.
  */
 bool
 msgpack_bounds_hold(const uint8_t *bytes, size_t size_bytes,
