--- a/bench/bench_path.c
+++ b/bench/bench_path.c
@@ -7,26 +7,26 @@
 
 enum {
     CALLERS = 16,
-    IDEMPOTENT = 1000,
-    NOT_IDEMPOTENT = 0,
+    IDEMPOTENT_PERMILLE = 1000,
+    NOT_IDEMPOTENT_PERMILLE = 0,
 };
 
 static struct fleet *fleet;
 static char *key;
 
-/** struct path_load - one run of callers */
+/** struct path_load - parameters of one run of the load generator */
 struct path_load {
     const char *target;
     const char *key;
     bool direct;
     uint32_t callers;
-    /* Arrivals per second whatever becomes of earlier ones, or 0. */
+    /* Open-loop requests per second, or 0. */
     uint32_t rate_per_s;
     uint32_t idempotent_permille;
     const char *body;
 };
 
-/* Callers of one target; refused ones go on at once. */
+/* Runs callers of one target that continue at once after a refusal. */
 static JsonNode *
 run_load(const struct path_load *load)
 {
@@ -59,7 +59,7 @@
 }
 
 static double
-rate(JsonNode *results)
+done_per_s(JsonNode *results)
 {
     double done = (double)fleet_result(results, "alpha", "done");
     double elapsed_ms = (double)fleet_result(results, NULL, "elapsed_ms");
@@ -68,12 +68,12 @@
 }
 
 static double
-relay_rate(uint32_t idempotent_permille)
+relay_done_per_s(uint32_t idempotent_permille)
 {
     char *host = host_targets(1);
-    char *target =
-        fleet_relay_start(fleet, host, idempotent_permille == NOT_IDEMPOTENT);
-    double value = rate(run_load(&(struct path_load){
+    char *target = fleet_relay_start(
+        fleet, host, idempotent_permille == NOT_IDEMPOTENT_PERMILLE);
+    double value = done_per_s(run_load(&(struct path_load){
         .target = target,
         .key = key,
         .direct = true,
@@ -90,66 +90,67 @@
 bench_throughput(const char *gateway, const char *name,
                  uint32_t idempotent_permille)
 {
-    double relay = relay_rate(idempotent_permille);
-    double through = rate(run_load(&(struct path_load){
+    double relay_per_s = relay_done_per_s(idempotent_permille);
+    double gateway_per_s = done_per_s(run_load(&(struct path_load){
         .target = gateway,
         .key = key,
         .callers = CALLERS,
         .idempotent_permille = idempotent_permille,
         .body = "run_ms=0",
     }));
-    fprintf(stderr, "%s: relay %.0f/s, egretd %.0f/s\n", name, relay, through);
-    bench_figure(name, through / relay, "of relay", 0.6, true);
-    return through;
+    fprintf(stderr, "%s: relay %.0f/s, egretd %.0f/s\n", name, relay_per_s,
+            gateway_per_s);
+    bench_report(name, gateway_per_s / relay_per_s, "of relay", 0.6, true);
+    return gateway_per_s;
 }
 
-/* Half load is half of what one gateway was just measured to carry. */
+/* Latency at half of the throughput that was measured before. */
 static void
-bench_latency(const char *gateway, double full_per_s)
+bench_latency(const char *gateway, double throughput_per_s)
 {
     char *hosts = host_targets(8);
-    uint32_t rate_per_s = (uint32_t)(full_per_s / 2);
-    JsonNode *direct = run_load(&(struct path_load){
+    uint32_t rate_per_s = (uint32_t)(throughput_per_s / 2);
+    JsonNode *direct_results = run_load(&(struct path_load){
         .target = hosts,
         .key = key,
         .direct = true,
         .rate_per_s = rate_per_s,
-        .idempotent_permille = IDEMPOTENT,
+        .idempotent_permille = IDEMPOTENT_PERMILLE,
         .body = "run_ms=20",
     });
-    JsonNode *through = run_load(&(struct path_load){
+    JsonNode *gateway_results = run_load(&(struct path_load){
         .target = gateway,
         .key = key,
         .rate_per_s = rate_per_s,
-        .idempotent_permille = IDEMPOTENT,
+        .idempotent_permille = IDEMPOTENT_PERMILLE,
         .body = "run_ms=20",
     });
-    bench_figure("added_latency_p50",
-                 fleet_result_double(through, "alpha", "p50_ms") -
-                     fleet_result_double(direct, "alpha", "p50_ms"),
+    bench_report("added_latency_p50",
+                 fleet_result_double(gateway_results, "alpha", "p50_ms") -
+                     fleet_result_double(direct_results, "alpha", "p50_ms"),
                  "ms", 1, false);
-    bench_figure("added_latency_p99",
-                 fleet_result_double(through, "alpha", "p99_ms") -
-                     fleet_result_double(direct, "alpha", "p99_ms"),
+    bench_report("added_latency_p99",
+                 fleet_result_double(gateway_results, "alpha", "p99_ms") -
+                     fleet_result_double(direct_results, "alpha", "p99_ms"),
                  "ms", 5, false);
-    json_node_unref(direct);
-    json_node_unref(through);
+    json_node_unref(direct_results);
+    json_node_unref(gateway_results);
     g_free(hosts);
 }
 
 static double
-cpu_us_per_request(const char *gateway, const char *shown_key,
+cpu_us_per_request(const char *gateway, const char *presented_key,
                    const char *member)
 {
-    struct bench_account before = bench_account_read(fleet, 0);
+    struct bench_usage before = bench_usage_read(fleet, 0);
     JsonNode *results = run_load(&(struct path_load){
         .target = gateway,
-        .key = shown_key,
+        .key = presented_key,
         .callers = CALLERS,
-        .idempotent_permille = IDEMPOTENT,
+        .idempotent_permille = IDEMPOTENT_PERMILLE,
         .body = "run_ms=0",
     });
-    struct bench_account after = bench_account_read(fleet, 0);
+    struct bench_usage after = bench_usage_read(fleet, 0);
     double n = (double)fleet_result(results, "alpha", member);
     json_node_unref(results);
     return (double)(after.cpu_ms - before.cpu_ms) * 1000 / n;
@@ -158,14 +159,15 @@
 static void
 bench_refusal(const char *gateway)
 {
-    double served = cpu_us_per_request(gateway, key, "done");
-    double refused = cpu_us_per_request(
+    double served_us = cpu_us_per_request(gateway, key, "done");
+    double refused_us = cpu_us_per_request(
         gateway,
         "egk.aaaaaaaaaaaa.AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA",
         "not_run");
-    fprintf(stderr, "refusal: served %.1f us, refused %.1f us\n", served,
-            refused);
-    bench_figure("refusal_cost", refused / served, "of served", 0.1, false);
+    fprintf(stderr, "refusal: served %.1f us, refused %.1f us\n", served_us,
+            refused_us);
+    bench_report("refusal_cost", refused_us / served_us, "of served", 0.1,
+                 false);
 }
 
 void
@@ -181,10 +183,11 @@
     });
     key = fleet_key(fleet, "alpha");
     char *gateway = g_strdup_printf("127.0.0.1:%u", fleet->http_ports[0]);
-    double full_per_s =
-        bench_throughput(gateway, "throughput_reused_connections", IDEMPOTENT);
-    bench_latency(gateway, full_per_s);
-    bench_throughput(gateway, "throughput_new_connections", NOT_IDEMPOTENT);
+    double throughput_per_s = bench_throughput(
+        gateway, "throughput_reused_connections", IDEMPOTENT_PERMILLE);
+    bench_latency(gateway, throughput_per_s);
+    bench_throughput(gateway, "throughput_new_connections",
+                     NOT_IDEMPOTENT_PERMILLE);
     bench_refusal(gateway);
     g_free(gateway);
     g_free(key);
--- a/bench/bench_account.c
+++ b/bench/bench_usage.c
@@ -6,9 +6,9 @@
 
 enum {
     MS_PER_S = 1000,
-    /* Fields of /proc/PID/stat after the program's name. */
-    STAT_UTIME = 11,
-    STAT_STIME = 12,
+    /* Indices of the fields of /proc/PID/stat after the program's name. */
+    STAT_UTIME_FIELD = 11,
+    STAT_STIME_FIELD = 12,
 };
 
 static bool
@@ -28,8 +28,8 @@
         return 0;
     }
     char **fields = g_strsplit(strrchr(text, ')') + 2, " ", -1);
-    int64_t ticks = g_ascii_strtoll(fields[STAT_UTIME], NULL, 10) +
-                    g_ascii_strtoll(fields[STAT_STIME], NULL, 10);
+    int64_t ticks = g_ascii_strtoll(fields[STAT_UTIME_FIELD], NULL, 10) +
+                    g_ascii_strtoll(fields[STAT_STIME_FIELD], NULL, 10);
     g_strfreev(fields);
     g_free(text);
     return ticks * MS_PER_S / sysconf(_SC_CLK_TCK);
@@ -51,15 +51,18 @@
 static int64_t
 number_after(const char *line, const char *name)
 {
-    const char *at = strstr(line, name);
-    return at == NULL ? 0 : g_ascii_strtoll(at + strlen(name), NULL, 10);
+    const char *position = strstr(line, name);
+    return position == NULL
+               ? 0
+               : g_ascii_strtoll(position + strlen(name), NULL, 10);
 }
 
-/* Each socket is a line that names its process and a line of counts. */
+/* ss prints two lines per socket: one that names its process, and one with
+ * its counters. */
 static int64_t
 read_socket_bytes(const char *pid)
 {
-    char *wanted = g_strdup_printf("pid=%s,", pid);
+    char *pid_text = g_strdup_printf("pid=%s,", pid);
     char *text = NULL;
     int64_t bytes = 0;
     GSubprocess *child =
@@ -71,14 +74,14 @@
     }
     char **lines = g_strsplit(text == NULL ? "" : text, "\n", -1);
     for (char **line = lines; line[0] != NULL && line[1] != NULL; line++) {
-        if (strstr(line[0], wanted) != NULL) {
+        if (strstr(line[0], pid_text) != NULL) {
             bytes += number_after(line[1], "bytes_sent:") +
                      number_after(line[1], "bytes_received:");
         }
     }
     g_strfreev(lines);
     g_free(text);
-    g_free(wanted);
+    g_free(pid_text);
     return bytes;
 }
 
@@ -97,11 +100,11 @@
     return bytes;
 }
 
-struct bench_account
-bench_account_read(struct fleet *fleet, uint32_t i)
+struct bench_usage
+bench_usage_read(struct fleet *fleet, uint32_t i)
 {
     const char *pid = g_subprocess_get_identifier(fleet->gateways[i]->child);
-    return (struct bench_account){
+    return (struct bench_usage){
         .cpu_ms = read_cpu_ms(pid),
         .rss_kb = read_rss_kb(pid),
         .bytes = read_socket_bytes(pid) + read_store_bytes(fleet, i),
--- a/bench/capacity.h
+++ b/bench/capacity.h
@@ -1,4 +1,4 @@
-/* What the parts of the capacity bench share. */
+/* Shared declarations of the capacity benchmark. */
 #ifndef BENCH_CAPACITY_H
 #define BENCH_CAPACITY_H
 
@@ -10,25 +10,27 @@
     CAPACITY_KEYS_PER_TEAM = 3,
 };
 
-/** struct capacity_size - a fleet's size; data centres are 7 at each. */
+/** struct capacity_size - size of a fleet, with 7 data centres at any size */
 struct capacity_size {
     uint32_t teams;
     uint32_t hosts;
     uint32_t pools;
 };
 
-/** capacity_config() - a configuration of @size, to be freed. */
+/** capacity_config() - generate a configuration of @size; the caller frees it.
+ */
 char *
 capacity_config(const struct capacity_size *size);
 
-/** capacity_hosts() - the platform's list of @size hosts, of which @failing
- * fail their check; to be freed. */
+/** capacity_hosts() - generate a host list of @size, of which the first
+ * @failing hosts fail their health check; the caller frees it. */
 char *
 capacity_hosts(const struct capacity_size *size, uint32_t failing);
 
 /**
- * struct capacity_daemon - a daemon and its route to the store
- * @peer_ports: of all gateways, @n_peers; none for a controller
+ * struct capacity_daemon - a daemon to measure
+ * @route: name of its proxy route to the store
+ * @peer_ports: peer ports of all @n_peers gateways; none for a controller
  */
 struct capacity_daemon {
     const char *pid;
@@ -38,16 +40,16 @@
 };
 
 /**
- * struct capacity_account - a daemon's costs up to now
+ * struct capacity_usage - resources that a daemon has used since its start
  * @cpu_ms: from /proc/PID/stat
- * @rss_kb: from /proc/PID/status, VmRSS
- * @peak_kb: VmHWM
- * @store_in_bytes: from the store, as the proxy on the way counted them
- * @store_out_bytes: to the store
- * @peer_in_bytes: on the links between gateways, from TCP_INFO
- * @peer_out_bytes: the same, sent
+ * @rss_kb: VmRSS of /proc/PID/status
+ * @peak_kb: VmHWM of /proc/PID/status
+ * @store_in_bytes: received from the store, as counted by the proxy
+ * @store_out_bytes: sent to the store, as counted by the proxy
+ * @peer_in_bytes: received on the links between gateways, from TCP_INFO
+ * @peer_out_bytes: sent on the links between gateways, from TCP_INFO
  */
-struct capacity_account {
+struct capacity_usage {
     int64_t cpu_ms;
     int64_t rss_kb;
     int64_t peak_kb;
@@ -57,19 +59,20 @@
     int64_t peer_out_bytes;
 };
 
-/** capacity_read() - read the account of @daemon. */
-struct capacity_account
-capacity_read(struct fleet *fleet, const struct capacity_daemon *daemon);
+/** capacity_usage_read() - read the resource usage of @daemon. */
+struct capacity_usage
+capacity_usage_read(struct fleet *fleet, const struct capacity_daemon *daemon);
 
-/** capacity_bytes() - all of an account's bytes, both ways. */
+/** capacity_usage_bytes() - sum of all bytes, in both directions. */
 int64_t
-capacity_bytes(const struct capacity_account *account);
+capacity_usage_bytes(const struct capacity_usage *usage);
 
-/** capacity_route_bytes() - both ways through @route of the proxy. */
+/** capacity_route_bytes() - bytes through @route of the proxy, in both
+ * directions. */
 int64_t
 capacity_route_bytes(struct fleet *fleet, const char *route);
 
-/** struct capacity_calls - what the store has served, by kind */
+/** struct capacity_calls - calls that the store has served, by kind */
 struct capacity_calls {
     int64_t gets;
     int64_t watches;
@@ -79,11 +82,13 @@
     int64_t bytes;
 };
 
-/** capacity_state_bytes() - values below @prefix in the store. */
+/** capacity_state_bytes() - total size of the values below @prefix in the
+ * store, and the size of the largest one. */
 int64_t
 capacity_state_bytes(struct fleet *fleet, const char *prefix,
                      int64_t *largest_bytes);
 
+/** capacity_read_calls() - read the statistics of the store. */
 struct capacity_calls
 capacity_read_calls(struct fleet *fleet);
 
--- a/bench/capacity_bench.c
+++ b/bench/capacity_bench.c
@@ -1,7 +1,7 @@
-/* What one gateway and one fleet controller cost beside a store that holds
- * state of three sizes, with 3 entry hosts or as many as the argument says.
- * Exits with 1 when a bound is missed at today's size;
- * at the larger ones a miss is only shown. */
+/* Measures the resource usage of one gateway and one fleet controller for
+ * fleets of three sizes, with 3 entry hosts or as many as the argument says.
+ * Exits with 1 when a bound is missed at the smallest size, that of today's
+ * fleet; at the larger sizes a miss is only reported. */
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,35 +11,35 @@
 
 enum {
     ENTRY_HOSTS_DEFAULT = 3,
-    /* Settled once the store sees few writes from all daemons together. */
-    SETTLE_MIN_MS = 4000,
-    SETTLE_MAX_MS = 42000,
-    SETTLE_STEP_MS = 2000,
-    SETTLED_PUTS_PER_S = 12,
-    /* As long as a watch waits, so that each is asked once. */
-    REST_MS = 10000,
-    CHANGES = 60,
+    /* Steady state: few writes to the store from all daemons together. */
+    STEADY_WAIT_MIN_MS = 4000,
+    STEADY_WAIT_MAX_MS = 42000,
+    STEADY_SAMPLE_MS = 2000,
+    STEADY_PUTS_PER_S = 12,
+    /* As long as a watch waits, so that each watch is repeated once. */
+    IDLE_MS = 10000,
+    CONFIG_CHANGES = 60,
     CHANGES_MS = 10000,
-    FORCED = 3,
+    WAITED_CHANGES = 3,
     LIST_CHANGES = 4,
     LIST_CHANGE_MS = 1000,
     SIZES = 3,
-    FIGURES_MAX = 64,
+    SERIES_MAX = 64,
 };
 
 #define BOUND_NONE 0.0
 #define BOUND_MB 32.0
-#define BOUND_BYTES 4096.0
+#define BOUND_BYTES_PER_S 4096.0
 #define BOUND_CPU_PERCENT 2.5
-#define BOUND_FORCE_MS 3000.0
-#define BOUND_VALUE 1000000.0
+#define BOUND_ACTIVE_MS 3000.0
+#define BOUND_VALUE_BYTES 1000000.0
 
-/* Of the target's size; smaller fleets have their part of it. A host that
- * fails, restarts or is maintained leaves the list's live hosts and returns.
- */
-#define DAY_S 86400.0
-#define DAY_CONFIG_CHANGES 2600.0
-#define DAY_LIST_CHANGES (2.0 * (63 + 430 + 5700 / 35.0))
+/* At the largest size; scaled by the number of hosts for smaller fleets. A
+ * host that fails, restarts or is maintained changes the host list twice: it
+ * leaves the live hosts and returns. */
+#define SECONDS_PER_DAY 86400.0
+#define CONFIG_CHANGES_PER_DAY 2600.0
+#define LIST_CHANGES_PER_DAY (2.0 * (63 + 430 + 5700 / 35.0))
 
 static const struct capacity_size sizes[SIZES] = {
     {.teams = 6, .hosts = 50, .pools = 5},
@@ -47,17 +47,17 @@
     {.teams = 670, .hosts = 5700, .pools = 56},
 };
 
-/** struct capacity_series - a figure at each size, in order of first use */
+/** struct capacity_series - a measured value at each size */
 struct capacity_series {
     char name[64];
     const char *unit;
     double values[SIZES];
 };
 
-static struct capacity_series series[FIGURES_MAX];
+static struct capacity_series series[SERIES_MAX];
 static uint32_t n_series;
-static uint32_t entry_hosts = ENTRY_HOSTS_DEFAULT;
-static bool today_kept = true;
+static uint32_t n_entry_hosts = ENTRY_HOSTS_DEFAULT;
+static bool smallest_size_met = true;
 
 static struct capacity_series *
 find_series(const char *name, const char *unit)
@@ -68,14 +68,14 @@
         }
     }
     struct capacity_series *added = &series[n_series++];
-    g_assert(n_series <= FIGURES_MAX);
+    g_assert(n_series <= SERIES_MAX);
     g_strlcpy(added->name, name, sizeof(added->name));
     added->unit = unit;
     return added;
 }
 
 static void
-figure(uint32_t size, const char *name, double value, const char *unit,
+report(uint32_t size, const char *name, double value, const char *unit,
        double bound)
 {
     find_series(name, unit)->values[size] = value;
@@ -83,16 +83,17 @@
            " \"unit\": \"%s\"",
            name, sizes[size].teams, value, unit);
     if (bound != BOUND_NONE) {
-        bool kept = value <= bound;
-        today_kept = today_kept && (kept || size > 0);
+        bool met = value <= bound;
+        smallest_size_met = smallest_size_met && (met || size > 0);
         printf(", \"bound\": \"<= %.4g\", \"ok\": %s", bound,
-               kept ? "true" : "false");
+               met ? "true" : "false");
     }
     printf("%s}\n", size > 0 ? ", \"target\": true" : "");
     fflush(stdout);
 }
 
-/* Least squares over the number of hosts; teams grow in step with them. */
+/* Prints a least-squares fit over the number of hosts; the number of teams
+ * grows in proportion to it. */
 static void
 print_fit(const struct capacity_series *fitted)
 {
@@ -108,70 +109,70 @@
         sxy += x * fitted->values[i];
     }
     double slope = (SIZES * sxy - sx * sy) / (SIZES * sxx - sx * sx);
-    double at_none = (sy - slope * sx) / SIZES;
+    double intercept = (sy - slope * sx) / SIZES;
     double residual = 0;
     for (uint32_t i = 0; i < SIZES; i++) {
-        double error = fitted->values[i] - at_none - slope * sizes[i].hosts;
+        double error = fitted->values[i] - intercept - slope * sizes[i].hosts;
         residual = fmax(residual, fabs(error));
     }
     printf("{\"name\": \"capacity_%s_per_1000_hosts\", \"value\": %.4g,"
            " \"unit\": \"%s\", \"at_0\": %.4g, \"residual\": %.3g}\n",
-           fitted->name, slope * 1000, fitted->unit, at_none, residual);
+           fitted->name, slope * 1000, fitted->unit, intercept, residual);
 }
 
 static void
-daemon_figure(uint32_t size, const char *daemon, const char *what,
-              double value, const char *unit, double bound)
+report_for_daemon(uint32_t size, const char *daemon, const char *what,
+                  double value, const char *unit, double bound)
 {
     char *name = g_strdup_printf("%s_%s", daemon, what);
-    figure(size, name, value, unit, bound);
+    report(size, name, value, unit, bound);
     g_free(name);
 }
 
-/** struct measured - a daemon's accounts around each phase */
+/** struct measured - usage of a daemon before and after each phase */
 struct measured {
     const char *name;
     struct capacity_daemon daemon;
-    struct capacity_account rest[2];
-    struct capacity_account changes[2];
-    struct capacity_account lists[2];
+    struct capacity_usage idle[2];
+    struct capacity_usage changes[2];
+    struct capacity_usage host_lists[2];
 };
 
-/** struct rate - costs per second */
-struct rate {
+/** struct cost - processor time and bytes, per second or per event */
+struct cost {
     double cpu_ms;
     double bytes;
 };
 
-static struct rate
-rate_between(const struct capacity_account accounts[2], double seconds)
+static struct cost
+cost_per_s(const struct capacity_usage usages[2], double seconds)
 {
-    return (struct rate){
-        .cpu_ms = (double)(accounts[1].cpu_ms - accounts[0].cpu_ms) / seconds,
-        .bytes = (double)(capacity_bytes(&accounts[1]) -
-                          capacity_bytes(&accounts[0])) /
+    return (struct cost){
+        .cpu_ms = (double)(usages[1].cpu_ms - usages[0].cpu_ms) / seconds,
+        .bytes = (double)(capacity_usage_bytes(&usages[1]) -
+                          capacity_usage_bytes(&usages[0])) /
                  seconds,
     };
 }
 
-/* What @n events cost above rest. */
-static struct rate
-per_event(const struct capacity_account accounts[2], double seconds,
-          const struct rate *rest, uint32_t n)
+/* Cost of each of @n events, in addition to @idle. */
+static struct cost
+cost_per_event(const struct capacity_usage usages[2], double seconds,
+               const struct cost *idle, uint32_t n)
 {
-    struct rate rate = rate_between(accounts, seconds);
-    return (struct rate){
-        .cpu_ms = fmax(0, (rate.cpu_ms - rest->cpu_ms) * seconds / n),
-        .bytes = fmax(0, (rate.bytes - rest->bytes) * seconds / n),
+    struct cost cost = cost_per_s(usages, seconds);
+    return (struct cost){
+        .cpu_ms = fmax(0, (cost.cpu_ms - idle->cpu_ms) * seconds / n),
+        .bytes = fmax(0, (cost.bytes - idle->bytes) * seconds / n),
     };
 }
 
 static void
 report_bytes(uint32_t size, const struct measured *measured)
 {
-    const struct capacity_account *from = &measured->rest[0];
-    const struct capacity_account *to = &measured->rest[1];
-    double seconds = REST_MS / 1000.0;
+    const struct capacity_usage *from = &measured->idle[0];
+    const struct capacity_usage *to = &measured->idle[1];
+    double seconds = IDLE_MS / 1000.0;
     const struct {
         const char *what;
         int64_t bytes;
@@ -182,8 +183,9 @@
         {"rest_peers_out", to->peer_out_bytes - from->peer_out_bytes},
     };
     for (size_t i = 0; i < (measured->daemon.n_peers > 0 ? 4 : 2); i++) {
-        daemon_figure(size, measured->name, rows[i].what,
-                      (double)rows[i].bytes / seconds, "bytes/s", BOUND_NONE);
+        report_for_daemon(size, measured->name, rows[i].what,
+                          (double)rows[i].bytes / seconds, "bytes/s",
+                          BOUND_NONE);
     }
 }
 
@@ -192,46 +194,49 @@
               const double seconds[2])
 {
     const char *name = measured->name;
-    const struct capacity_account *last = &measured->lists[1];
-    struct rate rest = rate_between(measured->rest, REST_MS / 1000.0);
-    struct rate change =
-        per_event(measured->changes, seconds[0], &rest, CHANGES);
-    struct rate list =
-        per_event(measured->lists, seconds[1], &rest, LIST_CHANGES);
-    double part = (double)sizes[size].hosts / sizes[SIZES - 1].hosts;
-    double changes_per_s = DAY_CONFIG_CHANGES * part / DAY_S;
-    double lists_per_s = DAY_LIST_CHANGES * part / DAY_S;
+    const struct capacity_usage *last = &measured->host_lists[1];
+    struct cost idle = cost_per_s(measured->idle, IDLE_MS / 1000.0);
+    struct cost change =
+        cost_per_event(measured->changes, seconds[0], &idle, CONFIG_CHANGES);
+    struct cost list_change =
+        cost_per_event(measured->host_lists, seconds[1], &idle, LIST_CHANGES);
+    double fraction = (double)sizes[size].hosts / sizes[SIZES - 1].hosts;
+    double changes_per_s = CONFIG_CHANGES_PER_DAY * fraction / SECONDS_PER_DAY;
+    double lists_per_s = LIST_CHANGES_PER_DAY * fraction / SECONDS_PER_DAY;
     report_bytes(size, measured);
-    daemon_figure(size, name, "rest_rss",
-                  (double)measured->rest[1].rss_kb / 1024, "MB", BOUND_MB);
-    daemon_figure(size, name, "last_rss", (double)last->rss_kb / 1024, "MB",
-                  BOUND_MB);
-    daemon_figure(size, name, "peak_rss", (double)last->peak_kb / 1024, "MB",
-                  BOUND_MB);
-    daemon_figure(size, name, "rest_bytes", rest.bytes, "bytes/s",
-                  BOUND_BYTES);
-    daemon_figure(size, name, "rest_cpu", rest.cpu_ms / 10, "percent",
-                  BOUND_CPU_PERCENT);
-    daemon_figure(size, name, "change_bytes", change.bytes, "bytes",
-                  BOUND_NONE);
-    daemon_figure(size, name, "change_cpu", change.cpu_ms, "ms", BOUND_NONE);
-    daemon_figure(size, name, "list_bytes", list.bytes, "bytes", BOUND_NONE);
-    daemon_figure(size, name, "list_cpu", list.cpu_ms, "ms", BOUND_NONE);
-    daemon_figure(size, name, "day_bytes",
-                  rest.bytes + change.bytes * changes_per_s +
-                      list.bytes * lists_per_s,
-                  "bytes/s", BOUND_BYTES);
-    daemon_figure(size, name, "day_cpu",
-                  (rest.cpu_ms + change.cpu_ms * changes_per_s +
-                   list.cpu_ms * lists_per_s) /
-                      10,
-                  "percent", BOUND_CPU_PERCENT);
+    report_for_daemon(size, name, "rest_rss",
+                      (double)measured->idle[1].rss_kb / 1024, "MB", BOUND_MB);
+    report_for_daemon(size, name, "last_rss", (double)last->rss_kb / 1024,
+                      "MB", BOUND_MB);
+    report_for_daemon(size, name, "peak_rss", (double)last->peak_kb / 1024,
+                      "MB", BOUND_MB);
+    report_for_daemon(size, name, "rest_bytes", idle.bytes, "bytes/s",
+                      BOUND_BYTES_PER_S);
+    report_for_daemon(size, name, "rest_cpu", idle.cpu_ms / 10, "percent",
+                      BOUND_CPU_PERCENT);
+    report_for_daemon(size, name, "change_bytes", change.bytes, "bytes",
+                      BOUND_NONE);
+    report_for_daemon(size, name, "change_cpu", change.cpu_ms, "ms",
+                      BOUND_NONE);
+    report_for_daemon(size, name, "list_bytes", list_change.bytes, "bytes",
+                      BOUND_NONE);
+    report_for_daemon(size, name, "list_cpu", list_change.cpu_ms, "ms",
+                      BOUND_NONE);
+    report_for_daemon(size, name, "day_bytes",
+                      idle.bytes + change.bytes * changes_per_s +
+                          list_change.bytes * lists_per_s,
+                      "bytes/s", BOUND_BYTES_PER_S);
+    report_for_daemon(size, name, "day_cpu",
+                      (idle.cpu_ms + change.cpu_ms * changes_per_s +
+                       list_change.cpu_ms * lists_per_s) /
+                          10,
+                      "percent", BOUND_CPU_PERCENT);
 }
 
 static void
 report_store(uint32_t size, const struct capacity_calls calls[2])
 {
-    double seconds = REST_MS / 1000.0;
+    double seconds = IDLE_MS / 1000.0;
     const struct {
         const char *name;
         const char *unit;
@@ -245,13 +250,13 @@
         {"store_rest_bytes", "bytes/s", calls[1].bytes - calls[0].bytes},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        figure(size, rows[i].name, (double)rows[i].count / seconds,
+        report(size, rows[i].name, (double)rows[i].count / seconds,
                rows[i].unit, BOUND_NONE);
     }
 }
 
 static double
-since_s(int64_t start_ms)
+seconds_since(int64_t start_ms)
 {
     return (double)(fleet_now_ms() - start_ms) / 1000;
 }
@@ -262,16 +267,16 @@
     char *team = g_strdup_printf("team-%u", i % (sizes[size].teams - 1));
     char *output = fleet_ctl(fleet, "key", "issue", team, wait, NULL);
     if (output == NULL) {
-        fprintf(stderr, "no key for %s\n", team);
+        fprintf(stderr, "cannot issue a key for %s\n", team);
         exit(EXIT_FAILURE);
     }
     g_free(output);
     g_free(team);
 }
 
-/* The operator's commands get a route to the store of their own. */
+/* Adds a proxy route to the store that only egretctl uses. */
 static uint16_t
-route_commands(struct fleet *fleet)
+add_command_route(struct fleet *fleet)
 {
     char *body = g_strdup_printf("{\"name\": \"store-command\","
                                  " \"target\": \"127.0.0.1:%u\"}",
@@ -285,7 +290,8 @@
     return port;
 }
 
-/* Of the commands that have ended, since nothing else ends meanwhile. */
+/* Processor time of all ended child processes. During the measurement only
+ * egretctl commands end. */
 static double
 children_cpu_ms(void)
 {
@@ -296,37 +302,38 @@
 }
 
 static void
-run_changes(struct fleet *fleet, uint32_t size)
+run_config_changes(struct fleet *fleet, uint32_t size)
 {
     uint16_t store_port = fleet->store_port;
-    fleet->store_port = route_commands(fleet);
+    fleet->store_port = add_command_route(fleet);
     double cpu_ms = children_cpu_ms();
     int64_t start_ms = fleet_now_ms();
-    for (uint32_t i = 0; i < CHANGES; i++) {
-        int64_t due_ms = start_ms + (int64_t)i * CHANGES_MS / CHANGES;
+    for (uint32_t i = 0; i < CONFIG_CHANGES; i++) {
+        int64_t due_ms = start_ms + (int64_t)i * CHANGES_MS / CONFIG_CHANGES;
         fleet_sleep_ms(MAX(0, due_ms - fleet_now_ms()));
         issue_key(fleet, size, i, NULL);
     }
     cpu_ms = children_cpu_ms() - cpu_ms;
     fleet->store_port = store_port;
-    figure(size, "changes_took", since_s(start_ms), "s", BOUND_NONE);
-    figure(size, "command_cpu", cpu_ms / CHANGES, "ms", BOUND_NONE);
-    figure(size, "command_bytes",
-           (double)capacity_route_bytes(fleet, "store-command") / CHANGES,
+    report(size, "changes_took", seconds_since(start_ms), "s", BOUND_NONE);
+    report(size, "command_cpu", cpu_ms / CONFIG_CHANGES, "ms", BOUND_NONE);
+    report(size, "command_bytes",
+           (double)capacity_route_bytes(fleet, "store-command") /
+               CONFIG_CHANGES,
            "bytes", BOUND_NONE);
     fleet_sleep_ms(MAX(0, start_ms + CHANGES_MS - fleet_now_ms()));
 }
 
 static void
-run_forced(struct fleet *fleet, uint32_t size)
+run_waited_changes(struct fleet *fleet, uint32_t size)
 {
     double worst_s = 0;
-    for (uint32_t i = 0; i < FORCED; i++) {
+    for (uint32_t i = 0; i < WAITED_CHANGES; i++) {
         int64_t start_ms = fleet_now_ms();
         issue_key(fleet, size, i, "--wait");
-        worst_s = fmax(worst_s, since_s(start_ms));
+        worst_s = fmax(worst_s, seconds_since(start_ms));
     }
-    figure(size, "in_force", worst_s * 1000, "ms", BOUND_FORCE_MS);
+    report(size, "in_force", worst_s * 1000, "ms", BOUND_ACTIVE_MS);
 }
 
 static void
@@ -338,13 +345,13 @@
                       &status));
     g_free(hosts);
     if (status != SOUP_STATUS_OK) {
-        fprintf(stderr, "the host list was refused\n");
+        fprintf(stderr, "the store refused the host list\n");
         exit(EXIT_FAILURE);
     }
 }
 
 static void
-run_lists(struct fleet *fleet, uint32_t size)
+run_host_list_changes(struct fleet *fleet, uint32_t size)
 {
     for (uint32_t i = 0; i < LIST_CHANGES; i++) {
         put_hosts(fleet, size, i % 2 == 0 ? 1 : 0);
@@ -362,10 +369,10 @@
         char *prefix = g_strdup_printf("egretglade/%s/", kinds[i]);
         char *name = g_strdup_printf("state_%s", kinds[i]);
         int64_t bytes = capacity_state_bytes(fleet, prefix, &largest_bytes);
-        figure(size, name, (double)bytes, "bytes", BOUND_NONE);
+        report(size, name, (double)bytes, "bytes", BOUND_NONE);
         g_free(name);
         name = g_strdup_printf("state_%s_largest", kinds[i]);
-        figure(size, name, (double)largest_bytes, "bytes", BOUND_VALUE);
+        report(size, name, (double)largest_bytes, "bytes", BOUND_VALUE_BYTES);
         g_free(name);
         g_free(prefix);
     }
@@ -375,9 +382,9 @@
 read_both(struct fleet *fleet, struct measured measured[2], size_t offset)
 {
     for (uint32_t i = 0; i < 2; i++) {
-        struct capacity_account *account =
-            (struct capacity_account *)((char *)&measured[i] + offset);
-        *account = capacity_read(fleet, &measured[i].daemon);
+        struct capacity_usage *usage =
+            (struct capacity_usage *)((char *)&measured[i] + offset);
+        *usage = capacity_usage_read(fleet, &measured[i].daemon);
     }
 }
 
@@ -385,33 +392,33 @@
     read_both(fleet, measured, offsetof(struct measured, member))
 
 static void
-settle(struct fleet *fleet, uint32_t size)
+wait_for_steady_state(struct fleet *fleet, uint32_t size)
 {
     int64_t start_ms = fleet_now_ms();
-    bool settled = false;
-    fleet_sleep_ms(SETTLE_MIN_MS);
-    while (!settled && fleet_now_ms() - start_ms < SETTLE_MAX_MS) {
+    bool steady = false;
+    fleet_sleep_ms(STEADY_WAIT_MIN_MS);
+    while (!steady && fleet_now_ms() - start_ms < STEADY_WAIT_MAX_MS) {
         int64_t puts = capacity_read_calls(fleet).puts;
-        fleet_sleep_ms(SETTLE_STEP_MS);
+        fleet_sleep_ms(STEADY_SAMPLE_MS);
         puts = capacity_read_calls(fleet).puts - puts;
-        settled = puts * 1000 <= (int64_t)SETTLED_PUTS_PER_S * SETTLE_STEP_MS;
+        steady = puts * 1000 <= (int64_t)STEADY_PUTS_PER_S * STEADY_SAMPLE_MS;
     }
-    figure(size, "settled", since_s(start_ms), "s", BOUND_NONE);
+    report(size, "settled", seconds_since(start_ms), "s", BOUND_NONE);
 }
 
 static struct fleet *
-start(uint32_t size, struct measured measured[2])
+start_measured_fleet(uint32_t size, struct measured measured[2])
 {
-    char *name = g_strdup_printf("bench-capacity-%u", entry_hosts);
+    char *name = g_strdup_printf("bench-capacity-%u", n_entry_hosts);
     char *config = capacity_config(&sizes[size]);
     struct fleet *fleet = fleet_start(&(struct fleet_options){
         .name = name,
-        .gateways = entry_hosts,
+        .gateways = n_entry_hosts,
         .layout = "pool-0:2",
         .dcs = "split-1",
         .config = config,
         .direct_backends = true,
-        .routed_controllers = entry_hosts,
+        .routed_controllers = n_entry_hosts,
     });
     g_free(config);
     g_free(name);
@@ -421,7 +428,7 @@
                        g_subprocess_get_identifier(fleet->gateways[0]->child),
                    .route = "store-0",
                    .peer_ports = fleet->peer_ports,
-                   .n_peers = entry_hosts},
+                   .n_peers = n_entry_hosts},
     };
     measured[1] = (struct measured){
         .name = "controller",
@@ -430,7 +437,7 @@
                    .route = "store-controller-0"},
     };
     put_hosts(fleet, size, 0);
-    settle(fleet, size);
+    wait_for_steady_state(fleet, size);
     return fleet;
 }
 
@@ -440,25 +447,25 @@
     struct measured measured[2];
     struct capacity_calls calls[2];
     double seconds[2];
-    struct fleet *fleet = start(size, measured);
-    READ_BOTH(fleet, measured, rest[0]);
+    struct fleet *fleet = start_measured_fleet(size, measured);
+    READ_BOTH(fleet, measured, idle[0]);
     calls[0] = capacity_read_calls(fleet);
-    fleet_sleep_ms(REST_MS);
+    fleet_sleep_ms(IDLE_MS);
     calls[1] = capacity_read_calls(fleet);
-    READ_BOTH(fleet, measured, rest[1]);
+    READ_BOTH(fleet, measured, idle[1]);
     report_store(size, calls);
     report_state(fleet, size);
     int64_t start_ms = fleet_now_ms();
     READ_BOTH(fleet, measured, changes[0]);
-    run_changes(fleet, size);
+    run_config_changes(fleet, size);
     READ_BOTH(fleet, measured, changes[1]);
-    seconds[0] = since_s(start_ms);
-    run_forced(fleet, size);
+    seconds[0] = seconds_since(start_ms);
+    run_waited_changes(fleet, size);
     start_ms = fleet_now_ms();
-    READ_BOTH(fleet, measured, lists[0]);
-    run_lists(fleet, size);
-    READ_BOTH(fleet, measured, lists[1]);
-    seconds[1] = since_s(start_ms);
+    READ_BOTH(fleet, measured, host_lists[0]);
+    run_host_list_changes(fleet, size);
+    READ_BOTH(fleet, measured, host_lists[1]);
+    seconds[1] = seconds_since(start_ms);
     for (uint32_t i = 0; i < 2; i++) {
         report_daemon(size, &measured[i], seconds);
     }
@@ -468,13 +475,13 @@
 int
 main(int argc, char **argv)
 {
-    guint64 wanted = ENTRY_HOSTS_DEFAULT;
+    guint64 n_wanted = ENTRY_HOSTS_DEFAULT;
     if (argc > 1 && !g_ascii_string_to_unsigned(
-                        argv[1], 10, 1, FLEET_GATEWAYS_MAX, &wanted, NULL)) {
-        fprintf(stderr, "not a number of entry hosts: %s\n", argv[1]);
+                        argv[1], 10, 1, FLEET_GATEWAYS_MAX, &n_wanted, NULL)) {
+        fprintf(stderr, "invalid number of entry hosts: %s\n", argv[1]);
         return EXIT_FAILURE;
     }
-    entry_hosts = (uint32_t)wanted;
+    n_entry_hosts = (uint32_t)n_wanted;
     for (uint32_t size = 0; size < SIZES; size++) {
         if (!measure(size)) {
             return EXIT_FAILURE;
@@ -483,5 +490,5 @@
     for (uint32_t i = 0; i < n_series; i++) {
         print_fit(&series[i]);
     }
-    return today_kept ? EXIT_SUCCESS : EXIT_FAILURE;
+    return smallest_size_met ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/bench/capacity_state.c
+++ b/bench/capacity_state.c
@@ -1,4 +1,4 @@
-/* Stand-in state of a wanted size: configuration and host list. */
+/* Generates a configuration and a host list of a given size. */
 #include "capacity.h"
 #include "common/config.h"
 #include "common/key.h"
@@ -8,7 +8,7 @@
     REGIONS = 3,
     RACK_HOSTS = 20,
     QUEUES_PER_POOL = 2,
-    /* Nothing listens there. */
+    /* Port on which nothing listens. */
     CLOSED_PORT = 9,
 };
 
@@ -48,7 +48,7 @@
     }
 }
 
-/* The open queue is what the start of the fleet asks for. */
+/* fleet_start() requires the queue "open". */
 static void
 add_queues(GString *text, const struct capacity_size *size)
 {
--- a/bench/gateway_bench.h
+++ b/bench/gateway_bench.h
@@ -1,4 +1,4 @@
-/* What the parts of the gateway's bench share. */
+/* Shared declarations of the gateway benchmarks. */
 #ifndef BENCH_GATEWAY_BENCH_H
 #define BENCH_GATEWAY_BENCH_H
 
@@ -8,26 +8,26 @@
 #include "../tests/process/process_fleet.h"
 
 /**
- * struct bench_account - what the kernel counted for a process
- * @bytes: sent and received on sockets that are open now, and through the
+ * struct bench_usage - resource usage of a process
+ * @bytes: bytes sent and received on its open sockets, plus those through the
  *         proxy to the store
  */
-struct bench_account {
+struct bench_usage {
     int64_t cpu_ms;
     int64_t rss_kb;
     int64_t bytes;
 };
 
-/** bench_account_read() - account of gateway @i. */
-struct bench_account
-bench_account_read(struct fleet *fleet, uint32_t i);
+/** bench_usage_read() - read the resource usage of gateway @i. */
+struct bench_usage
+bench_usage_read(struct fleet *fleet, uint32_t i);
 
-/** bench_figure() - print a figure and whether it keeps its bound. */
+/** bench_report() - print a measured value and whether it meets its bound. */
 void
-bench_figure(const char *name, double value, const char *unit, double bound,
+bench_report(const char *name, double value, const char *unit, double bound,
              bool at_least);
 
-/** bench_path() - latency, throughput and the cost of refusals. */
+/** bench_path() - measure latency, throughput and the cost of refusals. */
 void
 bench_path(void);
 
