--- a/bench/fleet_bench.c
+++ b/bench/fleet_bench.c
@@ -1,5 +1,6 @@
-/* Figures of the fleet controller: roll-out, moves, buffer, data centres and
- * planning cost. One JSON line each; fails when a bound is missed. */
+/* Benchmarks of the fleet controller in simulation: roll-out time, moves, cost
+ * of the buffer, loss of a data centre and processor time of planning. Prints
+ * one JSON line per measured value; exits with 1 when one misses its bound. */
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,30 +9,30 @@
 #include "fleet_sim.h"
 
 enum {
-    STEP_MS = 1000,
+    STEP_DEFAULT_MS = 1000,
     DRAIN_MS = 60000,
     REBOOT_MS = 300000,
     HOST_SLOTS = 8,
-    DAY_S = 86400,
+    SECONDS_PER_DAY = 86400,
 };
 
-static bool all_ok = true;
+static bool all_met = true;
 
 static void
 report(const char *name, double value, const char *unit, double bound,
-       bool below)
+       bool at_most)
 {
-    bool ok = below ? value <= bound : value >= bound;
-    all_ok &= ok;
+    bool met = at_most ? value <= bound : value >= bound;
+    all_met &= met;
     printf("{\"name\": \"%s\", \"value\": %.4g, \"unit\": \"%s\","
            " \"bound\": %.4g, \"ok\": %s}\n",
-           name, value, unit, bound, ok ? "true" : "false");
+           name, value, unit, bound, met ? "true" : "false");
     fflush(stdout);
 }
 
-/* A figure without a stated target. */
+/* Reports a measured value that has no bound. */
 static void
-show(const char *name, double value, const char *unit)
+report_unbounded(const char *name, double value, const char *unit)
 {
     printf("{\"name\": \"%s\", \"value\": %.4g, \"unit\": \"%s\","
            " \"bound\": null, \"ok\": true}\n",
@@ -50,7 +51,7 @@
         .racks_per_dc = 20,
         .hosts_per_rack = 4,
         .racks_to_pools = true,
-        .step_ms = STEP_MS,
+        .step_ms = STEP_DEFAULT_MS,
         .reboot_ms = REBOOT_MS,
         .drain_ms = DRAIN_MS,
         .down_ms = 600000,
@@ -67,34 +68,36 @@
 }
 
 static void
-end_sim(struct fleet_sim *sim)
+finish_sim(struct fleet_sim *sim)
 {
     struct config *config = sim->options.config;
     if (sim->violations > 0) {
-        printf("%u budgets broken\n", sim->violations);
-        all_ok = false;
+        printf("%u violations of availability budgets\n", sim->violations);
+        all_met = false;
     }
     fleet_sim_destroy(sim);
     fleet_sim_config_free(config);
 }
 
-/* Time in which hosts @at_once can pass through drain, reboot and proof. */
+/* Shortest time in which @hosts pass through drain, reboot and proving period
+ * with @n_concurrent of them at a time. */
 static double
-lower_bound_s(const struct fleet_sim *sim, uint32_t hosts, uint32_t at_once)
+roll_out_lower_bound_s(const struct fleet_sim *sim, uint32_t hosts,
+                       uint32_t n_concurrent)
 {
     double cycle_ms = (double)(sim->options.drain_ms + sim->options.reboot_ms +
                                sim->options.timings.recovery_ms);
-    return ceil((double)hosts / at_once) * cycle_ms / 1000;
+    return ceil((double)hosts / n_concurrent) * cycle_ms / 1000;
 }
 
 static double
-roll_out_s(struct fleet_sim *sim)
+simulate_roll_out_s(struct fleet_sim *sim)
 {
     run_seconds(sim, 10);
     uint64_t wave = fleet_sim_start_wave(sim);
     int64_t start_ms = sim->now_ms;
     while (fleet_sim_wave(sim, wave)->state != WAVE_DONE &&
-           sim->now_ms - start_ms < (int64_t)DAY_S * 1000) {
+           sim->now_ms - start_ms < (int64_t)SECONDS_PER_DAY * 1000) {
         fleet_sim_step(sim);
     }
     return (double)(sim->now_ms - start_ms) / 1000;
@@ -102,53 +105,60 @@
 
 enum {
     POOL_HOSTS = 48,
-    POOL_BUDGET = 36,
-    RACK_HOSTS = 4,
+    POOL_MIN_AVAILABLE_HOSTS = 36,
+    HOSTS_PER_RACK = 4,
 };
 
-/* Four pools of 48 hosts and a spare one; 12 may be out, 4 of them are the
- * reserve for a rack. */
+/* Four pools of 48 hosts and a spare one. 12 hosts of a pool may be
+ * unavailable; 4 of these are reserved for the failure of a rack. */
 static void
 bench_roll_out(void)
 {
-    struct config *config = fleet_sim_config(3, 4, POOL_BUDGET);
+    struct config *config = fleet_sim_config(3, 4, POOL_MIN_AVAILABLE_HOSTS);
     struct fleet_sim_options options = options_for(1, config);
     struct fleet_sim *sim = fleet_sim_create(&options);
-    double spent_s = roll_out_s(sim);
-    uint32_t slack = POOL_HOSTS - POOL_BUDGET;
+    double spent_s = simulate_roll_out_s(sim);
+    uint32_t slack = POOL_HOSTS - POOL_MIN_AVAILABLE_HOSTS;
     report("rollout_time_per_lower_bound",
-           spent_s / lower_bound_s(sim, POOL_HOSTS, slack - RACK_HOSTS),
+           spent_s /
+               roll_out_lower_bound_s(sim, POOL_HOSTS, slack - HOSTS_PER_RACK),
            "ratio", 1.25, true);
-    show("rollout_time_per_bound_without_reserve",
-         spent_s / lower_bound_s(sim, POOL_HOSTS, slack), "ratio");
-    show("store_writes_per_maintained_host",
-         (double)sim->writes / sim->n_hosts, "writes");
-    end_sim(sim);
+    report_unbounded("rollout_time_per_bound_without_reserve",
+                     spent_s / roll_out_lower_bound_s(sim, POOL_HOSTS, slack),
+                     "ratio");
+    report_unbounded("store_writes_per_maintained_host",
+                     (double)sim->writes / sim->n_hosts, "writes");
+    finish_sim(sim);
 }
 
 static void
 bench_roll_out_with_failures(void)
 {
-    double worst = 0;
+    double worst_ratio = 0;
     for (uint64_t seed = 1; seed <= 20; seed++) {
-        struct config *config = fleet_sim_config(3, 4, POOL_BUDGET);
+        struct config *config =
+            fleet_sim_config(3, 4, POOL_MIN_AVAILABLE_HOSTS);
         struct fleet_sim_options options = options_for(seed, config);
-        /* A host fails 63 / 5,700 times a day, a rack weekly in 1,425. */
-        double fail_ppm = 63.0 / 5700 / DAY_S * 1e6;
-        double rack_ppm = 1.0 / 7 / 1425 / DAY_S * 1e6;
-        /* The chance of a step is below a millionth: steps of some seconds
-         * make it whole. */
+        /* 63 host failures per day in 5,700 hosts, and one rack failure per
+         * week in 1,425 racks. */
+        double fail_ppm = 63.0 / 5700 / SECONDS_PER_DAY * 1e6;
+        double rack_ppm = 1.0 / 7 / 1425 / SECONDS_PER_DAY * 1e6;
+        /* The probability per second is below one in a million, the unit of
+         * the options: use steps of several seconds. */
         options.step_ms = 8000;
         options.host_fail_ppm = (uint32_t)ceil(fail_ppm * 8);
         options.rack_fail_ppm = (uint32_t)ceil(rack_ppm * 8);
         struct fleet_sim *sim = fleet_sim_create(&options);
-        double spent_s = roll_out_s(sim);
-        uint32_t at_once = POOL_HOSTS - POOL_BUDGET - RACK_HOSTS;
-        worst = MAX(worst, spent_s / lower_bound_s(sim, POOL_HOSTS, at_once));
-        end_sim(sim);
+        double spent_s = simulate_roll_out_s(sim);
+        uint32_t n_concurrent =
+            POOL_HOSTS - POOL_MIN_AVAILABLE_HOSTS - HOSTS_PER_RACK;
+        worst_ratio =
+            MAX(worst_ratio, spent_s / roll_out_lower_bound_s(sim, POOL_HOSTS,
+                                                              n_concurrent));
+        finish_sim(sim);
     }
-    report("rollout_time_per_lower_bound_with_failures", worst, "ratio", 1.5,
-           true);
+    report("rollout_time_per_lower_bound_with_failures", worst_ratio, "ratio",
+           1.5, true);
 }
 
 static void
@@ -172,12 +182,12 @@
     }
     report("moves_per_pool_hour_alternating", moves / (4.0 * (double)hours),
            "moves", 1, true);
-    end_sim(sim);
+    finish_sim(sim);
 }
 
-/** struct pool_work - slots served and idle over time */
+/** struct pool_work - slot-seconds demanded, served and idle */
 struct pool_work {
-    double asked;
+    double demanded;
     double served;
     double idle;
 };
@@ -186,13 +196,14 @@
 add_work(struct pool_work *work, double demand, double hosts, double step_s)
 {
     double slots = hosts * HOST_SLOTS;
-    work->asked += demand * step_s;
+    work->demanded += demand * step_s;
     work->served += MIN(demand, slots) * step_s;
     work->idle += MAX(0, slots - demand) * step_s;
 }
 
-/* Four pools whose peaks come at different hours of the day. The fixed pools
- * are sized for their own peaks; both serve the same demand. */
+/* Four pools whose demand peaks at different hours of the day. Compares
+ * managed pools with fixed ones that are sized for their own peaks, under the
+ * same demand. */
 static void
 bench_buffer(void)
 {
@@ -203,15 +214,16 @@
     struct fleet_sim *sim = fleet_sim_create(&options);
     struct pool_work managed = {0};
     struct pool_work fixed = {0};
-    double peak = 100;
-    double fixed_hosts = ceil(peak / (HOST_SLOTS * 0.85));
-    for (int64_t s = 0; s < 2 * DAY_S; s += 10) {
+    double peak_slots = 100;
+    double fixed_hosts = ceil(peak_slots / (HOST_SLOTS * 0.85));
+    for (int64_t s = 0; s < 2 * SECONDS_PER_DAY; s += 10) {
         for (uint32_t p = 0; p < 4; p++) {
-            double turn = (double)s / DAY_S + p / 4.0;
-            sim->demand_slots[p] = peak * (0.6 + 0.4 * sin(turn * 2 * G_PI));
+            double phase_days = (double)s / SECONDS_PER_DAY + p / 4.0;
+            sim->demand_slots[p] =
+                peak_slots * (0.6 + 0.4 * sin(phase_days * 2 * G_PI));
         }
         fleet_sim_step(sim);
-        for (uint32_t p = 0; p < 4 && s >= DAY_S; p++) {
+        for (uint32_t p = 0; p < 4 && s >= SECONDS_PER_DAY; p++) {
             uint32_t hosts = fleet_sim_available(sim, config->pools[p].name);
             add_work(&managed, sim->demand_slots[p], hosts, 10);
             add_work(&fixed, sim->demand_slots[p], fixed_hosts, 10);
@@ -221,27 +233,28 @@
            1, true);
     report("buffer_served_per_fixed_pools", managed.served / fixed.served,
            "ratio", 0.99, false);
-    show("buffer_idle_host_hours_per_day", managed.idle / HOST_SLOTS / 3600,
-         "host-hours");
-    end_sim(sim);
+    report_unbounded("buffer_idle_host_hours_per_day",
+                     managed.idle / HOST_SLOTS / 3600, "host-hours");
+    finish_sim(sim);
 }
 
-/* Fixed pools keep the hosts they started with. */
+/* Available hosts of a fixed pool, which keeps its initial hosts. */
 static uint32_t
 fixed_available(const struct fleet_sim *sim, const char *pool)
 {
     uint32_t available = 0;
     for (uint32_t i = 0; i < sim->n_hosts; i++) {
         const struct sim_host *host = &sim->hosts[i];
-        bool out = sim->options.config->dcs[0].state == DC_OUT_OF_SERVICE &&
-                   g_str_equal(host->dc, "d0");
-        available += !out && g_str_equal(host->initial_pool, pool);
+        bool out_of_service =
+            sim->options.config->dcs[0].state == DC_OUT_OF_SERVICE &&
+            g_str_equal(host->dc, "d0");
+        available += !out_of_service && g_str_equal(host->initial_pool, pool);
     }
     return available;
 }
 
-/* Four data centres, five pools of eight and a spare one; the first data
- * centre is out for two of four hours. */
+/* Four data centres, five pools of eight hosts and a spare one. The first data
+ * centre is out of service for two of the four measured hours. */
 static void
 bench_data_centre(void)
 {
@@ -272,15 +285,16 @@
     }
     report("dc_work_per_fixed_pools", managed.served / fixed.served, "ratio",
            1, false);
-    show("dc_work_per_demand", managed.served / managed.asked, "ratio");
-    show("dc_work_per_demand_fixed_pools", fixed.served / fixed.asked,
-         "ratio");
-    show("dc_moves", moves, "moves");
-    end_sim(sim);
+    report_unbounded("dc_work_per_demand", managed.served / managed.demanded,
+                     "ratio");
+    report_unbounded("dc_work_per_demand_fixed_pools",
+                     fixed.served / fixed.demanded, "ratio");
+    report_unbounded("dc_moves", moves, "moves");
+    finish_sim(sim);
 }
 
 static double
-cpu_ms(void)
+process_cpu_ms(void)
 {
     struct timespec now;
     clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &now);
@@ -295,11 +309,12 @@
     return left < right ? -1 : left > right;
 }
 
-/* Median of passes in the middle of a wave with every pool at work. */
+/* Median processor time of a planning pass in the middle of a maintenance
+ * wave that works on every pool. */
 static double
-pass_ms(uint32_t racks_per_dc, uint32_t n_pools)
+planning_pass_ms(uint32_t racks_per_dc, uint32_t n_pools)
 {
-    uint32_t hosts = 7 * racks_per_dc * RACK_HOSTS;
+    uint32_t hosts = 7 * racks_per_dc * HOSTS_PER_RACK;
     struct config *config =
         fleet_sim_config(7, n_pools, hosts / (n_pools + 1) * 3 / 4);
     struct fleet_sim_options options = options_for(1, config);
@@ -309,32 +324,35 @@
     run_seconds(sim, 30);
     fleet_sim_start_wave(sim);
     run_seconds(sim, 100);
-    double spent[21];
-    for (size_t i = 0; i < G_N_ELEMENTS(spent); i++) {
+    double spent_ms[21];
+    for (size_t i = 0; i < G_N_ELEMENTS(spent_ms); i++) {
         fleet_sim_step(sim);
-        double start_ms = cpu_ms();
+        double start_ms = process_cpu_ms();
         fleet_sim_plan(sim);
-        spent[i] = cpu_ms() - start_ms;
+        spent_ms[i] = process_cpu_ms() - start_ms;
     }
-    qsort(spent, G_N_ELEMENTS(spent), sizeof(spent[0]), compare_doubles);
-    end_sim(sim);
-    return spent[G_N_ELEMENTS(spent) / 2];
+    qsort(spent_ms, G_N_ELEMENTS(spent_ms), sizeof(spent_ms[0]),
+          compare_doubles);
+    finish_sim(sim);
+    return spent_ms[G_N_ELEMENTS(spent_ms) / 2];
 }
 
 static void
-bench_pass(void)
+bench_planning_pass(void)
 {
-    double small = pass_ms(20, 6);
-    double middle = pass_ms(102, 28);
-    double large = pass_ms(204, 55);
-    show("plan_pass_ms_560_hosts_7_pools", small, "ms");
-    show("plan_pass_ms_2856_hosts_29_pools", middle, "ms");
+    double small = planning_pass_ms(20, 6);
+    double middle = planning_pass_ms(102, 28);
+    double large = planning_pass_ms(204, 55);
+    report_unbounded("plan_pass_ms_560_hosts_7_pools", small, "ms");
+    report_unbounded("plan_pass_ms_2856_hosts_29_pools", middle, "ms");
     report("plan_pass_ms_5712_hosts_56_pools", large, "ms", 20, true);
-    show("plan_pass_slope_us_per_host", (large - small) * 1e3 / (5712 - 560),
-         "us");
+    report_unbounded("plan_pass_slope_us_per_host",
+                     (large - small) * 1e3 / (5712 - 560), "us");
 }
 
-/* All 5,700 hosts in one wave, with the failures of a day and a week. */
+/* All 5,712 hosts in one maintenance wave, with 63 host failures per day in
+ * 5,700 hosts and with rack failures, which are more frequent than weekly: one
+ * in a million per rack and step is the least that the options can express. */
 static void
 bench_roll_out_at_target(void)
 {
@@ -342,15 +360,16 @@
     struct fleet_sim_options options = options_for(1, config);
     options.racks_per_dc = 204;
     options.step_ms = 10000;
-    options.host_fail_ppm = (uint32_t)ceil(63.0 / 5700 / DAY_S * 10 * 1e6);
+    options.host_fail_ppm =
+        (uint32_t)ceil(63.0 / 5700 / SECONDS_PER_DAY * 10 * 1e6);
     options.rack_fail_ppm = 1;
     struct fleet_sim *sim = fleet_sim_create(&options);
-    double spent_s = roll_out_s(sim);
+    double spent_s = simulate_roll_out_s(sim);
     report("rollout_hours_5712_hosts", spent_s / 3600, "hours", 5 * 7 * 24,
            true);
     uint32_t held_out = g_hash_table_size(fleet_sim_wave(sim, 1)->held_out);
-    show("rollout_held_out_5712_hosts", held_out, "hosts");
-    end_sim(sim);
+    report_unbounded("rollout_held_out_5712_hosts", held_out, "hosts");
+    finish_sim(sim);
 }
 
 int
@@ -361,7 +380,7 @@
     bench_alternating_demand();
     bench_buffer();
     bench_data_centre();
-    bench_pass();
+    bench_planning_pass();
     bench_roll_out_at_target();
-    return all_ok ? EXIT_SUCCESS : EXIT_FAILURE;
+    return all_met ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/bench/fleet_store_bench.c
+++ b/bench/fleet_store_bench.c
@@ -1,5 +1,5 @@
-/* What a controller costs at 5,700 hosts and 56 pools: store calls, bytes,
- * processor and memory, measured on a running process. */
+/* Measures store calls, bytes, processor time and memory of one fleet
+ * controller process at 5,700 hosts and 56 pools. */
 #include <stdio.h>
 #include <unistd.h>
 
@@ -9,22 +9,25 @@
 enum {
     N_POOLS = 56,
     RACKS_PER_DC = 475,
-    ADOPT_MS = 60000,
+    ADOPT_TIMEOUT_MS = 60000,
     MEASURE_MS = 30000,
-    CONTROLLERS = 7,
+    N_CONTROLLERS = 7,
 };
 
 static void
 report(const char *name, double value, const char *unit, double bound)
 {
-    bool ok = value <= bound;
+    bool met = value <= bound;
     printf("{\"name\": \"%s\", \"value\": %.4g, \"unit\": \"%s\","
            " \"bound\": %.4g, \"ok\": %s}\n",
-           name, value, unit, bound, ok ? "true" : "false");
-    CU_ASSERT(ok);
+           name, value, unit, bound, met ? "true" : "false");
+    CU_ASSERT(met);
 }
 
-/** struct usage - counts since the start of a process and the store */
+/**
+ * struct usage - usage of the controller since its start
+ * @reads, @writes, @bytes: calls to the store and their bytes, from the store
+ */
 struct usage {
     int64_t reads;
     int64_t writes;
@@ -49,7 +52,8 @@
     return pages * (double)sysconf(_SC_PAGESIZE) / 1e6;
 }
 
-/* Fields 14 and 15 of the stat file, after the name in parentheses. */
+/* Fields 14 and 15 of /proc/PID/stat, utime and stime; the fields are counted
+ * from the end of the program's name in parentheses. */
 static double
 cpu_s(const char *pid)
 {
@@ -68,7 +72,7 @@
 }
 
 static struct usage
-take_usage(const struct fleet_process *fleet)
+read_usage(const struct fleet_process *fleet)
 {
     const struct store_process *store = &fleet->store_process;
     const char *pid = g_subprocess_get_identifier(fleet->controllers[0]);
@@ -85,7 +89,7 @@
 }
 
 static bool
-adopted(struct fleet_process *fleet)
+all_hosts_adopted(struct fleet_process *fleet)
 {
     return g_hash_table_size(fleet->records) == fleet->n_hosts;
 }
@@ -110,20 +114,21 @@
                                     .n_controllers = 1,
                                     .racks_per_dc = RACKS_PER_DC,
                                 });
-    CU_ASSERT(fleet_process_run(&fleet, ADOPT_MS, adopted));
+    CU_ASSERT(fleet_process_run(&fleet, ADOPT_TIMEOUT_MS, all_hosts_adopted));
     fleet_process_stop_sampling(&fleet);
     fleet_process_run(&fleet, 3000, NULL);
-    struct usage before = take_usage(&fleet);
+    struct usage before = read_usage(&fleet);
     fleet_process_run(&fleet, MEASURE_MS, NULL);
-    struct usage after = take_usage(&fleet);
+    struct usage after = read_usage(&fleet);
     double seconds = MEASURE_MS / 1000.0;
     printf("\n");
-    /* A tenth of two thousand reads and of several hundred writes. */
+    /* The bounds are a tenth of 2,000 reads/s and of several hundred writes/s
+     * that the store is expected to serve. */
     report("fleet_store_reads_per_second_7_controllers",
-           CONTROLLERS * (double)(after.reads - before.reads) / seconds,
+           N_CONTROLLERS * (double)(after.reads - before.reads) / seconds,
            "calls/s", 200);
     report("fleet_store_writes_per_second_7_controllers",
-           CONTROLLERS * (double)(after.writes - before.writes) / seconds,
+           N_CONTROLLERS * (double)(after.writes - before.writes) / seconds,
            "calls/s", 30);
     report("fleet_store_bytes_per_second",
            (double)(after.bytes - before.bytes) / seconds, "B/s", 4096);
--- a/bench/http_loop_bench.c
+++ b/bench/http_loop_bench.c
@@ -1,6 +1,6 @@
 /*
- * What one answered request costs a server with many open connections:
- * libsoup on GLib's loop against evhttp on libevent's.
+ * Compares the processor time per request of a server with many open
+ * connections: libsoup on GLib's main loop, and evhttp on libevent's.
  *
  * Prints one JSON line per library and number of connections.
  */
@@ -22,14 +22,14 @@
     FIRST_PORT = 23100,
     REQUESTS = 20000,
     CONNECTIONS_MAX = 600,
-    CONNECT_TRIES = 200,
-    TRY_US = 10000,
-    ANSWER_BYTES = 1024,
+    CONNECT_ATTEMPTS_MAX = 200,
+    CONNECT_RETRY_US = 10000,
+    RESPONSE_MAX_BYTES = 1024,
 };
 
 static void
-soup_answer(SoupServer *server, SoupServerMessage *message, const char *path,
-            GHashTable *query, void *ctx)
+soup_respond(SoupServer *server, SoupServerMessage *message, const char *path,
+             GHashTable *query, void *ctx)
 {
     (void)server;
     (void)path;
@@ -42,14 +42,14 @@
 serve_soup(int port)
 {
     SoupServer *server = soup_server_new(NULL, NULL);
-    soup_server_add_handler(server, NULL, soup_answer, NULL, NULL);
+    soup_server_add_handler(server, NULL, soup_respond, NULL, NULL);
     soup_server_listen_local(server, (guint)port, SOUP_SERVER_LISTEN_IPV4_ONLY,
                              NULL);
     g_main_loop_run(g_main_loop_new(NULL, FALSE));
 }
 
 static void
-event_answer(void *ctx, struct http_exchange *exchange)
+event_respond(void *ctx, struct http_exchange *exchange)
 {
     (void)ctx;
     http_exchange_reply(exchange, 503, NULL);
@@ -61,7 +61,7 @@
     char address[32];
     snprintf(address, sizeof(address), "127.0.0.1:%d", port);
     struct event_base *base = event_base_new();
-    http_server_create(base, address, event_answer, NULL);
+    http_server_create(base, address, event_respond, NULL);
     event_base_dispatch(base);
 }
 
@@ -73,35 +73,36 @@
         .sin_port = htons((uint16_t)port),
         .sin_addr.s_addr = htonl(INADDR_LOOPBACK),
     };
-    for (int i = 0; i < CONNECT_TRIES; i++) {
+    for (int i = 0; i < CONNECT_ATTEMPTS_MAX; i++) {
         int fd = socket(AF_INET, SOCK_STREAM, 0);
         if (connect(fd, (struct sockaddr *)&address, sizeof(address)) == 0) {
             return fd;
         }
         close(fd);
-        usleep(TRY_US);
+        usleep(CONNECT_RETRY_US);
     }
     return -1;
 }
 
 static void
-ask(int fd)
+send_request(int fd)
 {
     static const char request[] =
         "GET /queue/0123456789abcdef HTTP/1.1\r\nHost: jobs.example\r\n\r\n";
-    char answer[ANSWER_BYTES];
-    size_t got = 0;
+    char response[RESPONSE_MAX_BYTES];
+    size_t received = 0;
     if (write(fd, request, sizeof(request) - 1) < 0) {
         return;
     }
-    while (got < sizeof(answer) - 1) {
-        ssize_t bytes = read(fd, answer + got, sizeof(answer) - 1 - got);
+    while (received < sizeof(response) - 1) {
+        ssize_t bytes =
+            read(fd, response + received, sizeof(response) - 1 - received);
         if (bytes <= 0) {
             return;
         }
-        got += (size_t)bytes;
-        answer[got] = '\0';
-        if (strstr(answer, "\r\n\r\n") != NULL) {
+        received += (size_t)bytes;
+        response[received] = '\0';
+        if (strstr(response, "\r\n\r\n") != NULL) {
             return;
         }
     }
@@ -120,7 +121,7 @@
         fds[i] = connect_to(port);
     }
     for (int i = 0; i < REQUESTS; i++) {
-        ask(fds[i % connections]);
+        send_request(fds[i % connections]);
     }
     kill(pid, SIGKILL);
     struct rusage usage;
