--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Runs every bench program, prints their figures as JSON lines and as a table,
-# keeps them under bench/results, and fails when one misses its bound.
+# Runs all benchmarks, prints the measured values as JSON lines and as a table,
+# stores them in bench/results, and fails when one misses its bound.
 set -u
 build=$(cd "$1" && pwd)
 commit=$(git rev-parse --short HEAD)
@@ -37,7 +37,8 @@
     printf '%-46s %14s %-12s %-14s %s\n' "$name" "$value" "$unit" "$bound" \
         "$kept"
 done
-# Misses at sizes above today's are shown, but don't fail.
+# Values at sizes larger than today's fleet may miss their bounds: these are
+# counted, but don't fail the run.
 target=$(grep '"ok": false' "$results" | grep -c '"target": true')
 missed=$(grep '"ok": false' "$results" | grep -vc '"target": true')
 total=$(wc -l <"$results")
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,8 @@
 #!/bin/sh
-# Starts a small fleet on 127.0.0.1, sends the work of skela's teams through
-# it and checks what became of it against the backend servers' own records.
-# HOLD=1 leaves the fleet up and prints lines to try.
+# Starts a small fleet on 127.0.0.1 with the configuration examples/skela.json,
+# sends requests of its teams through it and checks their outcomes against the
+# records of the backend servers. HOLD=1 leaves the fleet running and prints
+# commands to try.
 set -eu
 build=$(cd "$1" && pwd)
 run=$build/demo-run
@@ -9,7 +10,7 @@
 daemons=""
 standins=""
 
-# The daemons go first, so that they can take their leave of the store.
+# Stops the daemons before the store, from which they deregister.
 stop_all() {
     for group in "$daemons" "$standins"; do
         for pid in $group; do
@@ -25,7 +26,7 @@
 trap stop_all EXIT
 trap 'exit 130' INT TERM
 
-# start NAME PROGRAM ARGUMENTS...: in the background, output to NAME.log
+# start NAME PROGRAM ARGUMENTS...: run in the background, log to NAME.log
 start() {
     name=$1
     shift
@@ -36,7 +37,8 @@
     esac
 }
 
-# wait_for SECONDS COMMAND...: until the command succeeds
+# wait_for SECONDS COMMAND...: repeat the command until it succeeds, or exit
+# after SECONDS
 wait_for() {
     tries=$(($1 * 10))
     shift
@@ -50,7 +52,7 @@
     done
 }
 
-# write_settings FILE NAME DC HTTP_PORT PEER_PORT
+# write_settings FILE NAME DC HTTP_PORT PEER_PORT: settings of a daemon
 write_settings() {
     cat >"$1" <<END
 {
@@ -62,7 +64,8 @@
 END
 }
 
-# plan_team TEAM QUEUES CONCURRENCY IDEMPOTENT_PERMILLE BODY CONTENDS
+# plan_team TEAM QUEUES CONCURRENCY IDEMPOTENT_PERMILLE BODY CONTENDS: issue a
+# key for the team and print its entry in the load plan
 plan_team() {
     key=$(ctl key issue "$1")
     printf '%s{"team": "%s", "key": "%s", "queues": [%s], "ids": true,\n' \
--- a/scripts/demo_jobs.sh
+++ b/scripts/demo_jobs.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Emulates the prepared platform on 127.0.0.1, starts three entry hosts,
-# sends jobs of both deployments through them and checks every start.
+# Starts an emulator of the prepared platform on 127.0.0.1 and three entry
+# hosts, sends jobs of both deployments through them and checks every start.
 set -eu
 build=$(cd "$1" && pwd)
 run=$build/demo-jobs-run
--- a/scripts/run_tests.sh
+++ b/scripts/run_tests.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Runs every test, lets only the tests named in KNOWN-RED.txt fail, and ends
-# with the line "N passed, N failed".
+# Runs all tests. Failures of the tests that KNOWN-RED.txt names are counted
+# as skipped; any other failure fails the run. Ends with the line
+# "N passed, N failed, N skipped".
 set -u
 build=$1
 log=$build/meson-logs/testlog.txt
@@ -16,7 +17,7 @@
     result=${line##*[[:space:]]}
     name=${line%[[:space:]]*}
     name=${name##* }
-    # A run with a promise broken on purpose has to fail.
+    # Tests that break an invariant on purpose are expected to fail.
     if [ "$result" = OK ] || [ "$result" = EXPECTEDFAIL ]; then
         passed=$((passed + 1))
     elif grep -q "^test: $name\$" KNOWN-RED.txt 2>/dev/null; then
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,7 +1,9 @@
 #!/bin/sh
-# Plays soak runs: the seeds of soak/regressions.txt, then SEEDS seeds from
-# FIRST on (by default the time of day), a few at a time. Ends with the line
-# "N passed, N failed"; logs of failed seeds stay in BUILD/soak-runs.
+# usage: soak.sh BUILD [SEEDS [FIRST]]
+# Runs the soak test with the seeds of soak/regressions.txt, then with SEEDS
+# consecutive seeds from FIRST on (default: the current time), AT_ONCE of them
+# in parallel. Ends with the line "N passed, N failed"; logs of failed seeds
+# stay in BUILD/soak-runs.
 set -u
 build=$1
 seeds=${2:-50}
@@ -18,7 +20,7 @@
     i=$((i + 1))
 done
 export build runs
-# Each slot has ports of its own.
+# Each parallel slot uses its own range of ports.
 xargs -P "$at_once" --process-slot-var=slot -I{} sh -c '
     port=$((26000 + slot * 100))
     if "$build/soak/soak" "$build" "$port" {} >"$runs/{}.log" 2>&1; then
