--- a/common/config.c
+++ b/common/config.c
@@ -59,7 +59,7 @@
     g_free(config);
 }
 
-/* Every kind of entry starts with its name. */
+/* Every entry type has its name (or id) as first member. */
 static int
 compare_names(const void *a, const void *b)
 {
--- a/common/config_check.c
+++ b/common/config_check.c
@@ -7,8 +7,8 @@
 };
 
 /**
- * struct check - a check under way
- * @names: names seen of the kind under examination, with their place
+ * struct check - a configuration check in progress
+ * @names: names of the current kind of entry, with their location
  */
 struct check {
     const struct config *config;
@@ -18,7 +18,7 @@
 };
 
 static void
-add(const struct check *check, char *path, const char *reason)
+add_finding(const struct check *check, char *path, const char *reason)
 {
     findings_add(check->findings, check->file, path, "%s", reason);
     g_free(path);
@@ -37,7 +37,7 @@
     }
     else {
         findings_add(check->findings, check->file, path,
-                     "repeats \"%s\" of %s", name, first);
+                     "duplicates \"%s\" at %s", name, first);
         g_free(path);
     }
 }
@@ -52,18 +52,18 @@
                      g_strdup_printf("$.data_centres[%zu].name", i));
     }
     if (config->dcs != NULL && config->n_dcs == 0) {
-        add(check, g_strdup("$.data_centres"), "must not be empty");
+        add_finding(check, g_strdup("$.data_centres"), "must not be empty");
     }
 }
 
 static size_t
-count_dcs_in(const struct config *config)
+count_dcs_in_service(const struct config *config)
 {
-    size_t n_in = 0;
+    size_t n_in_service = 0;
     for (size_t i = 0; i < config->n_dcs; i++) {
-        n_in += config->dcs[i].state == DC_IN_SERVICE;
+        n_in_service += config->dcs[i].state == DC_IN_SERVICE;
     }
-    return n_in;
+    return n_in_service;
 }
 
 static void
@@ -71,23 +71,26 @@
 {
     const struct config_pool *pool = &check->config->pools[i];
     uint64_t per_dc_total = (uint64_t)pool->min_available_per_dc_hosts *
-                            count_dcs_in(check->config);
+                            count_dcs_in_service(check->config);
     if (pool->min_hosts > pool->max_hosts) {
-        add(check, g_strdup_printf("$.pools[%zu].min_hosts", i),
-            "must not be above max_hosts");
+        add_finding(check, g_strdup_printf("$.pools[%zu].min_hosts", i),
+                    "must not be above max_hosts");
     }
     if (pool->min_available_hosts > pool->max_hosts) {
-        add(check, g_strdup_printf("$.pools[%zu].min_available_hosts", i),
-            "can't be kept: it is above max_hosts");
+        add_finding(check,
+                    g_strdup_printf("$.pools[%zu].min_available_hosts", i),
+                    "can't be met: it is above max_hosts");
     }
     else if (!pool->spare && pool->min_available_hosts > pool->min_hosts) {
-        add(check, g_strdup_printf("$.pools[%zu].min_available_hosts", i),
-            "can't be kept: it is above min_hosts");
+        add_finding(check,
+                    g_strdup_printf("$.pools[%zu].min_available_hosts", i),
+                    "can't be met: it is above min_hosts");
     }
     if (per_dc_total > pool->max_hosts) {
-        add(check,
+        add_finding(
+            check,
             g_strdup_printf("$.pools[%zu].min_available_per_dc_hosts", i),
-            "can't be kept: over all data centres it is above max_hosts");
+            "can't be met: the total of all data centres is above max_hosts");
     }
 }
 
@@ -103,7 +106,7 @@
     }
 }
 
-/* Name tables are built once, so that a check stays linear. */
+/* Name tables are built once, so that the check takes linear time. */
 static GHashTable *
 index_pools(const struct config *config)
 {
@@ -144,17 +147,17 @@
         check_unique(check, queue->name,
                      g_strdup_printf("$.queues[%zu].name", i));
         if (queue->pool != NULL && pool == NULL) {
-            add(check, g_strdup_printf("$.queues[%zu].pool", i),
-                "names no pool");
+            add_finding(check, g_strdup_printf("$.queues[%zu].pool", i),
+                        "names an unknown pool");
         }
         if (pool != NULL && pool->spare) {
-            add(check, g_strdup_printf("$.queues[%zu].pool", i),
-                "names a spare pool, which takes no queue");
+            add_finding(check, g_strdup_printf("$.queues[%zu].pool", i),
+                        "names a spare pool, which can't have queues");
         }
         if (queue->open_team != NULL &&
             !g_hash_table_contains(teams, queue->open_team)) {
-            add(check, g_strdup_printf("$.queues[%zu].open_team", i),
-                "names no team");
+            add_finding(check, g_strdup_printf("$.queues[%zu].open_team", i),
+                        "names an unknown team");
         }
     }
     g_hash_table_unref(pools);
@@ -174,7 +177,7 @@
     }
     if (shares_permille > SHARES_TOTAL_PERMILLE) {
         findings_add(check->findings, check->file, "$.teams",
-                     "shares come to %" PRIu64 " permille, above %d",
+                     "shares total %" PRIu64 " permille, more than %d",
                      shares_permille, SHARES_TOTAL_PERMILLE);
     }
 }
--- a/common/config_read.c
+++ b/common/config_read.c
@@ -66,7 +66,7 @@
     const char *name = json_read_string(place, member, required);
     if (name != NULL && !config_name_valid(name)) {
         add_finding(place, member,
-                    "must have 1 to 63 lower-case letters, digits and inner "
+                    "must be 1 to 63 lower-case letters, digits and inner "
                     "hyphens");
         return NULL;
     }
@@ -168,11 +168,12 @@
     const char *hash = json_read_string(place, "sha256", true);
     key->expires_s = json_read_int(place, "expires_s", 0, INT64_MAX, 0, false);
     if (id != NULL && !is_key_id(id)) {
-        add_finding(place, "id", "must have letters, digits, '-' and '_'");
+        add_finding(place, "id",
+                    "must be at most 64 letters, digits, '-' and '_'");
     }
     if (hash != NULL && !is_hash(hash)) {
         add_finding(place, "sha256",
-                    "must have 64 lower-case hexadecimal digits");
+                    "must be 64 lower-case hexadecimal digits");
     }
     else if (hash != NULL) {
         memcpy(key->hash_hex, hash, CONFIG_HASH_HEX_BYTES + 1);
@@ -181,8 +182,9 @@
 }
 
 /*
- * Reads the array @member into newly made entries of @entry_bytes each. An
- * entry that is no object stays empty, so that places keep their numbers.
+ * Reads the array @member into new entries of @entry_bytes each. An element
+ * that is not an object leaves an empty entry, so that the array indexes in
+ * findings match the document.
  */
 static void *
 read_entries(const struct json_place *place, const char *member, bool required,
--- a/common/daemon.c
+++ b/common/daemon.c
@@ -23,13 +23,13 @@
         return 0;
     case ARGP_KEY_ARG:
         if (arguments->file != NULL) {
-            argp_error(state, "only one settings file is taken");
+            argp_error(state, "more than one settings file given");
         }
         arguments->file = value;
         return 0;
     case ARGP_KEY_END:
         if (arguments->file == NULL) {
-            argp_error(state, "the settings file is missing");
+            argp_error(state, "no settings file given");
         }
         return 0;
     default:
--- a/common/event_log.c
+++ b/common/event_log.c
@@ -11,13 +11,14 @@
 #include <unistd.h>
 
 enum {
-    /* Keeps the cost of writing under a tenth of a quarter core. */
-    LINES_PER_SECOND = 200,
-    /* Of all kinds together, beyond the first few of each kind: those tell
-     * what is rare. */
-    LINES_ALL_PER_SECOND = 400,
-    LINES_FIRST = 20,
-    LINE_BYTES = 1000,
+    /* Per event name; keeps the cost of writing below a tenth of a quarter
+     * core. */
+    EVENT_LINES_PER_S_MAX = 200,
+    /* Total of all events. The first lines of each event in a second are
+     * exempt, so that rare events are not dropped. */
+    TOTAL_LINES_PER_S_MAX = 400,
+    EXEMPT_LINES_PER_S = 20,
+    LINE_MAX_BYTES = 1000,
 };
 
 struct budget {
@@ -27,7 +28,7 @@
 
 static char node_name[64];
 static GHashTable *budgets;
-static struct budget budget_all;
+static struct budget total_budget;
 static uint64_t dropped;
 
 void
@@ -53,15 +54,15 @@
     if (budget->second != second) {
         *budget = (struct budget){.second = second};
     }
-    if (budget_all.second != second) {
-        budget_all = (struct budget){.second = second};
+    if (total_budget.second != second) {
+        total_budget = (struct budget){.second = second};
     }
-    if (budget->lines >= LINES_PER_SECOND) {
+    if (budget->lines >= EVENT_LINES_PER_S_MAX) {
         return false;
     }
     budget->lines++;
-    return budget->lines <= LINES_FIRST ||
-           budget_all.lines++ < LINES_ALL_PER_SECOND;
+    return budget->lines <= EXEMPT_LINES_PER_S ||
+           total_budget.lines++ < TOTAL_LINES_PER_S_MAX;
 }
 
 static bool
@@ -73,7 +74,7 @@
 static void
 report_dropped(int64_t unix_ms)
 {
-    char line[LINE_BYTES];
+    char line[LINE_MAX_BYTES];
     int bytes = snprintf(line, sizeof(line),
                          "{\"t\":%" G_GINT64_FORMAT
                          ",\"node\":\"%s\",\"event\":\"log_dropped\","
@@ -100,7 +101,7 @@
     if (dropped > 0) {
         report_dropped(unix_ms);
     }
-    char line[LINE_BYTES];
+    char line[LINE_MAX_BYTES];
     int bytes = snprintf(
         line, sizeof(line),
         "{\"t\":%" G_GINT64_FORMAT ",\"node\":\"%s\",\"event\":\"%s\"%s",
@@ -110,7 +111,7 @@
     bytes += vsnprintf(line + bytes, sizeof(line) - (size_t)bytes - 3, fields,
                        args);
     va_end(args);
-    if (bytes > LINE_BYTES - 4) {
+    if (bytes > LINE_MAX_BYTES - 4) {
         dropped++;
         return;
     }
--- a/common/fleet_timings.c
+++ b/common/fleet_timings.c
@@ -6,14 +6,18 @@
     TIME_MAX_MS = 604800000,
 };
 
-/** struct timing - one member of the object */
+/**
+ * struct timing - one member of the "fleet" settings object
+ * @name: name of the setting
+ * @offset: offset of the member of struct fleet_timings
+ */
 struct timing {
     const char *name;
     size_t offset;
     int64_t default_ms;
 };
 
-static const struct timing timings_known[] = {
+static const struct timing timing_table[] = {
     {"tick_ms", offsetof(struct fleet_timings, tick_ms), 1000},
     {"turn_ms", offsetof(struct fleet_timings, stagger_max_ms), 3000},
     {"list_stale_ms", offsetof(struct fleet_timings, list_stale_ms), 5000},
@@ -44,8 +48,8 @@
 fleet_timings_default(void)
 {
     struct fleet_timings timings;
-    for (size_t i = 0; i < G_N_ELEMENTS(timings_known); i++) {
-        *member_of(&timings, &timings_known[i]) = timings_known[i].default_ms;
+    for (size_t i = 0; i < G_N_ELEMENTS(timing_table); i++) {
+        *member_of(&timings, &timing_table[i]) = timing_table[i].default_ms;
     }
     return timings;
 }
@@ -54,9 +58,9 @@
 fleet_timings_read(const struct json_place *place)
 {
     struct fleet_timings timings;
-    const char *names[G_N_ELEMENTS(timings_known) + 1] = {NULL};
-    for (size_t i = 0; i < G_N_ELEMENTS(timings_known); i++) {
-        const struct timing *timing = &timings_known[i];
+    const char *names[G_N_ELEMENTS(timing_table) + 1] = {NULL};
+    for (size_t i = 0; i < G_N_ELEMENTS(timing_table); i++) {
+        const struct timing *timing = &timing_table[i];
         names[i] = timing->name;
         *member_of(&timings, timing) = json_read_int(
             place, timing->name, 1, TIME_MAX_MS, timing->default_ms, false);
--- a/common/json_read.c
+++ b/common/json_read.c
@@ -165,7 +165,7 @@
     GList *names = json_object_get_members(place->object);
     for (GList *link = names; link != NULL; link = link->next) {
         if (!g_strv_contains(members, link->data)) {
-            add_member_finding(place, link->data, "is not a known member");
+            add_member_finding(place, link->data, "unknown member");
         }
     }
     g_list_free(names);
--- a/common/key.c
+++ b/common/key.c
@@ -14,7 +14,7 @@
 
 enum {
     ALPHABET_MASK = 63,
-    /* An id is typed by operators: lower-case letters and digits only. */
+    /* Operators type ids: only lower-case letters and digits. */
     ID_ALPHABET_MASK = 31,
 };
 
@@ -46,7 +46,7 @@
 }
 
 static bool
-is_key_text(const char *text, size_t size_bytes)
+has_key_alphabet(const char *text, size_t size_bytes)
 {
     for (size_t i = 0; i < size_bytes; i++) {
         if (text[i] == '\0' || strchr(alphabet, text[i]) == NULL) {
@@ -64,8 +64,8 @@
     }
     const char *start = text + strlen(KEY_PREFIX);
     if (strlen(start) != KEY_ID_BYTES + 1 + KEY_SECRET_BYTES ||
-        start[KEY_ID_BYTES] != '.' || !is_key_text(start, KEY_ID_BYTES) ||
-        !is_key_text(start + KEY_ID_BYTES + 1, KEY_SECRET_BYTES)) {
+        start[KEY_ID_BYTES] != '.' || !has_key_alphabet(start, KEY_ID_BYTES) ||
+        !has_key_alphabet(start + KEY_ID_BYTES + 1, KEY_SECRET_BYTES)) {
         return false;
     }
     memcpy(id, start, KEY_ID_BYTES);
--- a/common/log.c
+++ b/common/log.c
@@ -8,9 +8,9 @@
 #include <time.h>
 
 enum {
-    LINE_BYTES = 1024,
-    QUOTE_BYTES = 200,
-    QUOTE_BUFFERS = 8,
+    LINE_MAX_BYTES = 1024,
+    QUOTE_MAX_BYTES = 200,
+    QUOTE_BUFFER_COUNT = 8,
 };
 
 static log4c_category_t *category;
@@ -27,7 +27,7 @@
 format_event(const log4c_layout_t *layout, const log4c_logging_event_t *event)
 {
     (void)layout;
-    static char line[LINE_BYTES + 128];
+    static char line[LINE_MAX_BYTES + 128];
     char stamp[32];
     struct tm utc;
     gmtime_r(&event->evt_timestamp.tv_sec, &utc);
@@ -51,7 +51,7 @@
     return fputs(event->evt_rendered_msg, stderr);
 }
 
-/* log4c's own stream type writes its name before every line. */
+/* log4c's stream appender writes its own name before every line. */
 static const log4c_appender_type_t appender_type = {
     .name = "egret_stderr",
     .append = append_line,
@@ -94,7 +94,7 @@
     if (!log_enabled(level)) {
         return;
     }
-    char text[LINE_BYTES];
+    char text[LINE_MAX_BYTES];
     int used = snprintf(text, sizeof(text), "event=%s ", event);
     va_list args;
     va_start(args, format);
@@ -111,13 +111,13 @@
             return false;
         }
     }
-    return text[0] != '\0' && strlen(text) < QUOTE_BYTES;
+    return text[0] != '\0' && strlen(text) < QUOTE_MAX_BYTES;
 }
 
 const char *
 log_quote(const char *text)
 {
-    static char buffers[QUOTE_BUFFERS][QUOTE_BYTES];
+    static char buffers[QUOTE_BUFFER_COUNT][QUOTE_MAX_BYTES];
     static unsigned next;
     if (text == NULL) {
         return "-";
@@ -125,10 +125,10 @@
     if (is_plain(text)) {
         return text;
     }
-    char *out = buffers[next++ % QUOTE_BUFFERS];
+    char *out = buffers[next++ % QUOTE_BUFFER_COUNT];
     size_t used = 0;
     out[used++] = '"';
-    for (const char *c = text; *c != '\0' && used < QUOTE_BYTES - 2; c++) {
+    for (const char *c = text; *c != '\0' && used < QUOTE_MAX_BYTES - 2; c++) {
         bool safe = g_ascii_isprint(*c) && *c != '"';
         out[used++] = safe ? *c : '?';
     }
--- a/common/request_auth.c
+++ b/common/request_auth.c
@@ -17,7 +17,7 @@
         g_hmac_new(G_CHECKSUM_SHA256, (const guchar *)secret, strlen(secret));
     const char *texts[] = {nonce, method, path, extra == NULL ? "" : extra};
     for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
-        /* The NUL keeps neighbouring texts apart. */
+        /* The NUL is included to separate adjacent texts. */
         g_hmac_update(hmac, (const guchar *)texts[i],
                       (gssize)strlen(texts[i]) + 1);
     }
--- a/common/settings.c
+++ b/common/settings.c
@@ -10,7 +10,7 @@
     SECRET_MIN_BYTES = 16,
 };
 
-static const char *const members[] = {
+static const char *const setting_names[] = {
     "name",
     "dc",
     "address",
@@ -45,7 +45,7 @@
     GInetAddress *parsed = g_inet_address_new_from_string(address);
     if (parsed == NULL) {
         findings_add(place->findings, place->file, "$.address",
-                     "must be an IP number, is \"%s\"", address);
+                     "must be an IP address, got \"%s\"", address);
         return;
     }
     g_object_unref(parsed);
@@ -63,7 +63,7 @@
     if (uri == NULL || g_strcmp0(g_uri_get_scheme(uri), "http") != 0) {
         char *path = g_strdup_printf("$.%s", member);
         findings_add(place->findings, place->file, path,
-                     "must be an http:// URL, is \"%s\"", text);
+                     "must be an http:// URL, got \"%s\"", text);
         g_free(path);
     }
     g_clear_error(&error);
@@ -84,7 +84,7 @@
         }
     }
     findings_add(place->findings, place->file, "$.log_level",
-                 "must be error, warn, info or debug, is \"%s\"", text);
+                 "must be error, warn, info or debug, got \"%s\"", text);
     return LOG_LEVEL_INFO;
 }
 
@@ -95,7 +95,7 @@
 }
 
 static void
-read_times(const struct json_place *place, struct settings *settings)
+read_timeouts(const struct json_place *place, struct settings *settings)
 {
     settings->quorum_lease_ms = read_ms(place, "support_ms", 2000);
     settings->heartbeat_ms = read_ms(place, "heartbeat_ms", 500);
@@ -111,7 +111,7 @@
 }
 
 static void
-read_bounds(const struct json_place *place, struct settings *settings)
+read_limits(const struct json_place *place, struct settings *settings)
 {
     settings->max_header_bytes =
         json_read_int(place, "max_header_bytes", 1024, 1 << 20, 32768, false);
@@ -145,7 +145,7 @@
         .findings = findings,
     };
     struct settings *settings = g_new0(struct settings, 1);
-    json_reject_unknown_members(&place, members);
+    json_reject_unknown_members(&place, setting_names);
     settings->name = g_strdup(json_read_string(&place, "name", true));
     settings->dc = g_strdup(json_read_string(&place, "dc", true));
     settings->address = g_strdup(json_read_string(&place, "address", true));
@@ -162,8 +162,8 @@
     settings->secret_file =
         g_strdup(json_read_string(&place, "secret_file", true));
     settings->log_level = read_level(&place);
-    read_times(&place, settings);
-    read_bounds(&place, settings);
+    read_timeouts(&place, settings);
+    read_limits(&place, settings);
     settings->fleet = read_fleet(&place);
     json_node_unref(root);
     if (findings_count(findings) > before) {
@@ -203,7 +203,7 @@
     g_strstrip(text);
     if (strlen(text) < SECRET_MIN_BYTES) {
         findings_add(findings, settings->secret_file, "$",
-                     "must hold at least %d characters", SECRET_MIN_BYTES);
+                     "must have at least %d bytes", SECRET_MIN_BYTES);
         g_free(text);
         return NULL;
     }
--- a/common/supervisor.c
+++ b/common/supervisor.c
@@ -55,7 +55,7 @@
 }
 
 static bool
-start_rest(struct supervisor *supervisor, struct status *status)
+start_remaining(struct supervisor *supervisor, struct status *status)
 {
     while (supervisor->n_running < supervisor->children->len) {
         struct supervisor_child *child =
@@ -74,7 +74,7 @@
 bool
 supervisor_start(struct supervisor *supervisor, struct status *status)
 {
-    if (start_rest(supervisor, status)) {
+    if (start_remaining(supervisor, status)) {
         return true;
     }
     stop_down_to(supervisor, 0);
@@ -94,7 +94,7 @@
     for (guint i = 0; i < supervisor->children->len; i++) {
         if (g_str_equal(child_at(supervisor, i)->name, name)) {
             stop_down_to(supervisor, i);
-            return start_rest(supervisor, status);
+            return start_remaining(supervisor, status);
         }
     }
     status_set(status, STATUS_NOT_FOUND, "no part is named %s", name);
--- a/include/common/config.h
+++ b/include/common/config.h
@@ -1,4 +1,5 @@
-/* The operators' configuration: what egretglade is asked to keep true. */
+/* The configuration that operators apply: data centres, pools, queues, teams
+ * and their targets. */
 #ifndef COMMON_CONFIG_H
 #define COMMON_CONFIG_H
 
@@ -14,13 +15,13 @@
     CONFIG_HASH_HEX_BYTES = 64,
 };
 
-/** enum service_unit - what a team's share is counted in */
+/** enum service_unit - unit in which the shares of teams are measured */
 enum service_unit {
     SERVICE_UNIT_TASK,
     SERVICE_UNIT_SLOT_TIME,
 };
 
-/** enum dc_state - whether operators let work start in a data centre */
+/** enum dc_state - whether work may start in a data centre */
 enum dc_state {
     DC_IN_SERVICE,
     DC_OUT_OF_SERVICE,
@@ -35,13 +36,14 @@
 /**
  * struct config_pool - targets of a pool
  * @name: unique name
- * @spare: whether the pool only feeds others; takes no queue
- * @min_available_hosts: hosts that no voluntary disruption may undercut
- * @min_available_per_dc_hosts: the same within each data centre that is in
- * @host_slots: tasks one host runs at a time
+ * @spare: whether the pool only supplies hosts to other pools; no queue may
+ *         use it
+ * @min_available_hosts: available hosts that voluntary disruptions must leave
+ * @min_available_per_dc_hosts: the same for each data centre in service
+ * @host_slots: tasks one host runs concurrently
  * @host_connections: connections one host accepts
- * @min_hosts: size below which the pool is never planned
- * @max_hosts: size above which it is never planned
+ * @min_hosts: smallest planned size of the pool
+ * @max_hosts: largest planned size of the pool
  */
 struct config_pool {
     char *name;
@@ -55,14 +57,14 @@
 };
 
 /**
- * struct config_queue - targets of a class of work
- * @pool: pool whose hosts run it
- * @open_team: team that work without a key counts for; NULL when a key is
- *             required
- * @urgent: served before queues that are not
- * @start_deadline_ms: time within which work has to start
- * @max_run_ms: longest run; the lease handed to the backend server
- * @max_queued: waiting tasks of one team on one gateway
+ * struct config_queue - targets of a queue
+ * @pool: pool whose hosts run its tasks
+ * @open_team: team to which tasks submitted without a key are accounted; NULL
+ *             when a key is required
+ * @urgent: served before queues that are not urgent
+ * @start_deadline_ms: time within which a task must start
+ * @max_run_ms: longest run time; the lease granted to the backend server
+ * @max_queued: limit of waiting tasks per team and gateway
  * @max_body_bytes: largest request body
  */
 struct config_queue {
@@ -77,11 +79,11 @@
 };
 
 /**
- * struct config_key - a team's key as it is stored
+ * struct config_key - stored form of a team's API key
  * @id: public part of the key
- * @hash_hex: SHA-256 of the whole key text, lower-case hexadecimal
- * @expires_s: wall time in seconds since 1970 after which the key is
- *             refused; 0 for never
+ * @hash_hex: SHA-256 of the complete key text, lower-case hexadecimal
+ * @expires_s: wall time in seconds since 1970 after which the key is rejected;
+ *             0 for never
  */
 struct config_key {
     char *id;
@@ -91,8 +93,9 @@
 
 /**
  * struct config_team - targets of a team
- * @share_permille: part of all service the team is due when all is full
- * @max_running: most tasks it may have running across the fleet
+ * @share_permille: share of all service that the team is entitled to when
+ *                  demand exceeds capacity
+ * @max_running: limit of its running tasks across the fleet
  */
 struct config_team {
     char *name;
@@ -102,7 +105,7 @@
     size_t n_keys;
 };
 
-/** struct config_key_entry - a key with its owner, for look-ups by id */
+/** struct config_key_entry - a key and its team, for look-up by id */
 struct config_key_entry {
     const struct config_key *key;
     const struct config_team *team;
@@ -110,7 +113,7 @@
 
 /**
  * struct config - one generation of the configuration
- * @generation: number given by the store's compare-and-swap; only rises
+ * @generation: generation number; increases with every published change
  * @dcs, @pools, @queues, @teams: sorted by name
  * @key_index: every key of every team, sorted by id
  */
@@ -130,9 +133,9 @@
 };
 
 /**
- * config_parse() - read and check a whole configuration document
+ * config_parse() - read and validate a complete configuration document
  * @root: the document
- * @file: its name, for findings
+ * @file: document name for findings
  * @findings: receives every problem found
  *
  * Returns: the configuration, or NULL when findings were added.
@@ -140,7 +143,7 @@
 struct config *
 config_parse(JsonNode *root, const char *file, struct findings *findings);
 
-/** config_to_json() - the whole document, members in a fixed order. */
+/** config_to_json() - the complete document, with a fixed member order. */
 JsonNode *
 config_to_json(const struct config *config);
 
@@ -158,7 +161,7 @@
 config_find_team(const struct config *config, const char *name);
 
 /**
- * config_find_key() - team and key by the key's public id
+ * config_find_key() - key and its team by the key's public id
  * @team: set to the owner when found
  *
  * Returns: the key, or NULL.
@@ -167,7 +170,8 @@
 config_find_key(const struct config *config, const char *key_id,
                 const struct config_team **team);
 
-/** config_name_valid() - lower-case letters, digits and inner hyphens. */
+/** config_name_valid() - whether @name is 1 to 63 lower-case letters, digits
+ * and inner hyphens. */
 bool
 config_name_valid(const char *name);
 
--- a/include/common/counters.h
+++ b/include/common/counters.h
@@ -13,12 +13,12 @@
 counters_destroy(struct counters *counters);
 
 /**
- * counters_slot() - find or make a value
+ * counters_slot() - find or create a value
  * @name: metric name, such as "egret_tasks_total"
  * @labels: label text without braces, such as "team=\"a\"", or NULL
  *
- * Returns: pointer that stays valid as long as @counters; callers on hot
- * paths keep it and add to it directly.
+ * Returns: pointer that is valid as long as @counters; callers on hot paths
+ * cache it and add to it directly.
  */
 int64_t *
 counters_slot(struct counters *counters, const char *name, const char *labels);
--- a/include/common/daemon.h
+++ b/include/common/daemon.h
@@ -1,4 +1,4 @@
-/* Command line that both daemons share. */
+/* Command line shared by the daemons. */
 #ifndef COMMON_DAEMON_H
 #define COMMON_DAEMON_H
 
@@ -8,7 +8,7 @@
  * struct daemon_program - what differs between the daemons
  * @name: program name
  * @doc: one sentence for --help
- * @run: serves until it is told to stop; returns the exit status
+ * @run: serves until the process is asked to stop; returns the exit status
  */
 struct daemon_program {
     const char *name;
--- a/include/common/event_log.h
+++ b/include/common/event_log.h
@@ -1,21 +1,23 @@
-/* One JSON line per decision on standard output; bounded, never blocks. */
+/* Structured event log on standard output: one JSON line per event, with
+ * limited line rates; never blocks. */
 #ifndef COMMON_EVENT_LOG_H
 #define COMMON_EVENT_LOG_H
 
 #include <stdint.h>
 
-/** event_log_open() - @node names this process in every line. */
+/** event_log_open() - start the log; @node identifies this process in every
+ * line. */
 void
 event_log_open(const char *node);
 
 /**
  * event_log() - write one line
- * @event: kind of line; each kind has a budget of lines a second
+ * @event: event name; the lines of each event are limited per second
  * @fields: printf format of further members, '"name":value' pairs, or ""
  *
- * All kinds together have a budget as well, beyond the first lines of each.
- * What passes a budget or finds the pipe full is dropped and counted; a
- * line "log_dropped" tells the count.
+ * The total of all events is limited too, not counting the first lines of
+ * each event in a second. A line that exceeds a limit or finds the pipe full
+ * is dropped and counted; a "log_dropped" line reports the count.
  */
 void
 event_log(const char *event, const char *fields, ...)
--- a/include/common/findings.h
+++ b/include/common/findings.h
@@ -1,4 +1,4 @@
-/* Findings about a document, collected with their place. */
+/* Collects the problems found in a document, with their location. */
 #ifndef COMMON_FINDINGS_H
 #define COMMON_FINDINGS_H
 
@@ -7,8 +7,8 @@
 
 /**
  * struct finding - one problem in a document
- * @file: document the problem is in
- * @path: place in the document, such as "$.teams[2].share_percent"
+ * @file: name of the document
+ * @path: location in the document, such as "$.teams[2].share_percent"
  * @reason: what is wrong and what is expected
  */
 struct finding {
--- a/include/common/fleet_timings.h
+++ b/include/common/fleet_timings.h
@@ -1,4 +1,4 @@
-/* Delays of the fleet controller, the "fleet" object of its settings. */
+/* Times of the fleet controller, the "fleet" object of its settings. */
 #ifndef COMMON_FLEET_TIMINGS_H
 #define COMMON_FLEET_TIMINGS_H
 
@@ -7,25 +7,29 @@
 #include "common/json_read.h"
 
 /**
- * struct fleet_timings - delays of the controller's decisions
+ * struct fleet_timings - intervals and timeouts of the controller's decisions
  * @tick_ms: interval between planning passes
- * @stagger_max_ms: longest time a controller leaves a step to another one
+ * @stagger_max_ms: longest delay of a step, which lets another controller
+ *                  carry it out first
  * @list_stale_ms: age of the host list above which nothing is decided
  * @demand_poll_ms: interval between reads of the gateways' demand
- * @demand_stale_ms: age above which a gateway's demand doesn't count
- * @drain_margin_ms: time from writing "draining" until no gateway starts
- *                   anything there any more
+ * @demand_stale_ms: age above which a gateway's demand is ignored
+ * @drain_margin_ms: time after writing "draining" until no gateway starts work
+ *                   on the host any more
  * @fail_after_ms: time unhealthy after which a host is recorded as failed
  * @recovery_ms: time healthy after which a returning host counts as available
  * @reboot_timeout_ms: longest reboot
- * @suspect_hold_ms: time a host that failed all its tasks stays out
- * @wave_skip_ms: time failed after which a wave ends without a host
- * @load_wait_max_ms: longest time a wave waits for a queue to become quiet
- * @surplus_hold_ms: time a pool has to be too large before it gives a host
- * back
- * @demand_smoothing_ms: time constant of the demand's moving average
- * @record_retention_ms: time a failed host has to be off the list before its
- * record is removed
+ * @suspect_hold_ms: time a host that failed all its tasks stays out of service
+ *                   before it is rebooted
+ * @wave_skip_ms: time failed or unhealthy after which a maintenance wave may
+ *                complete without the host
+ * @load_wait_max_ms: longest time a maintenance wave waits for lower demand
+ * @surplus_hold_ms: time a pool must have surplus hosts before it releases one
+ * @demand_smoothing_ms: time constant of the moving average of the demand
+ * @record_retention_ms: time a failed host must be missing from the host list
+ *                       before its record is removed
+ *
+ * The names of the members in the settings are listed in fleet_timings.c.
  */
 struct fleet_timings {
     int64_t tick_ms;
@@ -45,7 +49,7 @@
     int64_t record_retention_ms;
 };
 
-/** fleet_timings_default() - delays for a fleet of real hosts. */
+/** fleet_timings_default() - default times, for a fleet of real hosts. */
 struct fleet_timings
 fleet_timings_default(void);
 
--- a/include/common/json_read.h
+++ b/include/common/json_read.h
@@ -9,7 +9,7 @@
 #include "common/findings.h"
 
 /**
- * struct json_place - an object under examination and where it stands
+ * struct json_place - a JSON object to read and its location
  * @object: the JSON object; NULL makes every read return its default
  * @file: document name for findings
  * @path: path of @object in the document, "$" for the root
@@ -22,11 +22,12 @@
     struct findings *findings;
 };
 
-/** json_read_file() - parse a file; NULL and a finding on failure. */
+/** json_read_file() - parse a file; NULL with a finding on failure. */
 JsonNode *
 json_read_file(const char *file, struct findings *findings);
 
-/** json_read_text() - parse @size_bytes of text; NULL and a finding. */
+/** json_read_text() - parse @size_bytes of text; NULL with a finding on
+ * failure. */
 JsonNode *
 json_read_text(const char *text, int64_t size_bytes, const char *file,
                struct findings *findings);
@@ -56,8 +57,8 @@
 json_read_object(const struct json_place *place, const char *member,
                  bool required);
 
-/** json_reject_unknown_members() - one finding per member not in NULL-ended
- * @members. */
+/** json_reject_unknown_members() - add a finding for each member that is not
+ * in the NULL-terminated @members. */
 void
 json_reject_unknown_members(const struct json_place *place,
                             const char *const *members);
--- a/include/common/json_write.h
+++ b/include/common/json_write.h
@@ -1,4 +1,4 @@
-/* Short forms for writing JSON documents. */
+/* Helpers for writing JSON documents. */
 #ifndef COMMON_JSON_WRITE_H
 #define COMMON_JSON_WRITE_H
 
@@ -23,13 +23,13 @@
 void
 json_write_bool(JsonBuilder *builder, const char *member, bool value);
 
-/** json_write_finish() - text of the built document, to be freed with
- * g_free(); frees @builder. @size_bytes may be NULL. */
+/** json_write_finish() - text of the document, to be freed with g_free();
+ * frees @builder. @size_bytes may be NULL. */
 char *
 json_write_finish(JsonBuilder *builder, size_t *size_bytes);
 
-/** json_write_sorted_names() - keys of a table of strings in order; free
- * with g_free(). */
+/** json_write_sorted_names() - sorted keys of a table with string keys; free
+ * the array with g_free(). */
 char **
 json_write_sorted_names(GHashTable *table);
 
--- a/include/common/key.h
+++ b/include/common/key.h
@@ -1,4 +1,4 @@
-/* Keys that callers show: "egk.<id>.<secret>". */
+/* API keys of teams, which callers send with requests: "egk.<id>.<secret>". */
 #ifndef COMMON_KEY_H
 #define COMMON_KEY_H
 
@@ -13,11 +13,12 @@
     KEY_TEXT_MAX_BYTES = 64,
 };
 
-/** key_generate() - fresh random key text into @text; false on failure. */
+/** key_generate() - write a new random key to @text; false on failure. */
 bool
 key_generate(char text[KEY_TEXT_MAX_BYTES + 1]);
 
-/** key_parse_id() - public id of @text into @id; false when malformed. */
+/** key_parse_id() - write the public id of key @text to @id; false when @text
+ * is malformed. */
 bool
 key_parse_id(const char *text, char id[KEY_ID_BYTES + 1]);
 
--- a/include/common/log.h
+++ b/include/common/log.h
@@ -1,4 +1,4 @@
-/* Structured log lines over log4c. */
+/* Log lines of key=value pairs, written through log4c. */
 #ifndef COMMON_LOG_H
 #define COMMON_LOG_H
 
@@ -26,18 +26,18 @@
 /**
  * log_line() - write one line of key=value pairs
  * @event: value of the first pair, "event=..."
- * @format: printf format of the further pairs; callers pass text from
- *          outside through log_quote()
+ * @format: printf format of the further pairs; text from outside the process
+ *          must be passed through log_quote()
  */
 void
 log_line(enum log_level level, const char *event, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
 
 /**
- * log_quote() - make a value safe for one line
+ * log_quote() - quote a value so that it stays one value in one line
  *
- * Returns: @text if it holds only plain characters, else a quoted copy in
- * one of a few static buffers that later calls use again.
+ * Returns: @text if it needs no quotes, else a quoted copy in one of a few
+ * static buffers, which later calls reuse.
  */
 const char *
 log_quote(const char *text);
--- a/include/common/ms_clock.h
+++ b/include/common/ms_clock.h
@@ -1,4 +1,4 @@
-/* Millisecond clock, injected wherever time is read. */
+/* Millisecond clock, passed to all code that reads the time. */
 #ifndef COMMON_MS_CLOCK_H
 #define COMMON_MS_CLOCK_H
 
--- a/include/common/random.h
+++ b/include/common/random.h
@@ -1,4 +1,4 @@
-/* Seeded random numbers, injected wherever chance decides. */
+/* Seeded random numbers, passed to all code that needs randomness. */
 #ifndef COMMON_RANDOM_H
 #define COMMON_RANDOM_H
 
--- a/include/common/request_auth.h
+++ b/include/common/request_auth.h
@@ -9,7 +9,7 @@
  * request_auth_sign() - value for the "Egret-Auth" header
  * @secret: shared secret
  * @method, @path: of the request
- * @extra: further text the signature covers, or NULL
+ * @extra: additional text to sign, or NULL
  *
  * Returns: "<nonce>:<hex HMAC-SHA-256>", to be freed with g_free().
  */
@@ -17,8 +17,8 @@
 request_auth_sign(const char *secret, const char *method, const char *path,
                   const char *extra);
 
-/** request_auth_verify() - whether @value was made with the same secret and
- * texts; constant time. */
+/** request_auth_verify() - whether @value was signed with the same secret and
+ * texts; compares in constant time. */
 bool
 request_auth_verify(const char *secret, const char *method, const char *path,
                     const char *extra, const char *value);
--- a/include/common/settings.h
+++ b/include/common/settings.h
@@ -10,28 +10,29 @@
 #include "common/log.h"
 
 /**
- * struct settings - what a process is told about its place
+ * struct settings - settings of a process
  * @name: host name for logs and status
  * @dc: data centre the process runs in
- * @address: IP number that others reach the process by
- * @http_port: port for callers and health checks; 0 lets the kernel choose
- * @peer_port: port for links between entry hosts
+ * @address: IP address at which others reach the process
+ * @http_port: port for clients and health checks; 0 lets the kernel choose
+ * @peer_port: port for links between gateways
  * @store_url: base URL of the platform's key-value service
  * @hosts_url: base URL of the platform's host list
  * @secret_file: file with the secret shared by the project's processes
- * @log_level: lines above it are not written
- * @quorum_lease_ms: longest time a gateway may start work after its last proof
- *              of standing
+ * @log_level: least severe level that is logged
+ * @quorum_lease_ms: length of the quorum lease: time after a renewal or a
+ *                   majority of grants during which a gateway may start work
+ *                   (setting support_ms)
  * @heartbeat_ms: interval between heartbeats to peers
  * @store_timeout_ms: deadline of one store call
- * @watch_wait_ms: longest time one watch call waits at the store
+ * @watch_wait_ms: longest wait of one long-poll request to the store
  * @connect_timeout_ms: deadline of a connection to a backend server
  * @max_header_bytes: largest request header accepted
  * @max_body_bytes: largest request body accepted
- * @max_inflight: requests held by this gateway at once
+ * @max_inflight: limit of concurrent requests on this gateway
  * @shutdown_ms: longest graceful shutdown
- * @id_retention_ms: how long the outcome of a request id is kept
- * @fleet: delays of the fleet controller
+ * @id_retention_ms: how long the outcome of a request id is retained
+ * @fleet: times of the fleet controller
  */
 struct settings {
     char *name;
@@ -56,14 +57,16 @@
     struct fleet_timings fleet;
 };
 
-/** settings_read() - read and check @file; NULL when findings were added. */
+/** settings_read() - read and validate @file; NULL when findings were added.
+ */
 struct settings *
 settings_read(const char *file, struct findings *findings);
 
 void
 settings_destroy(struct settings *settings);
 
-/** settings_read_secret() - content of the secret file; NULL and finding. */
+/** settings_read_secret() - content of the secret file; NULL with a finding
+ * on failure. */
 char *
 settings_read_secret(const struct settings *settings,
                      struct findings *findings);
--- a/include/common/status.h
+++ b/include/common/status.h
@@ -1,4 +1,4 @@
-/* Status codes with the last message. */
+/* Status code and message of an operation. */
 #ifndef COMMON_STATUS_H
 #define COMMON_STATUS_H
 
@@ -14,11 +14,11 @@
  * @STATUS_INVALID: the input is malformed
  * @STATUS_NOT_FOUND: no such object
  * @STATUS_CONFLICT: a concurrent change won; read again
- * @STATUS_DENIED: authentication or permission failed
- * @STATUS_UNAVAILABLE: the other side certainly did not act
- * @STATUS_UNKNOWN: the other side may or may not have acted
- * @STATUS_TOO_LARGE: a size bound was exceeded
- * @STATUS_INTERNAL: a defect or a failing system call
+ * @STATUS_DENIED: authentication or authorization failed
+ * @STATUS_UNAVAILABLE: the other side definitely did not carry out the request
+ * @STATUS_UNKNOWN: the other side may or may not have carried out the request
+ * @STATUS_TOO_LARGE: a size limit was exceeded
+ * @STATUS_INTERNAL: a bug or a failed system call
  */
 enum status_code {
     STATUS_OK,
--- a/include/common/supervisor.h
+++ b/include/common/supervisor.h
@@ -1,4 +1,4 @@
-/* Starts the parts of a process in order and stops them in reverse. */
+/* Starts the components of a process in order and stops them in reverse. */
 #ifndef COMMON_SUPERVISOR_H
 #define COMMON_SUPERVISOR_H
 
@@ -7,10 +7,10 @@
 #include "common/status.h"
 
 /**
- * struct supervisor_child - one part of a process
- * @name: for logs
- * @start: brings it up; on failure fills the status and returns false
- * @stop: takes it down and releases it; called only after a good start
+ * struct supervisor_child - one component of a process
+ * @name: name for logs
+ * @start: starts it; on failure sets the status and returns false
+ * @stop: stops and frees it; called only after a successful start
  * @ctx: passed to both
  */
 struct supervisor_child {
@@ -25,7 +25,7 @@
 struct supervisor *
 supervisor_create(void);
 
-/** supervisor_destroy() - stop what runs, then free. */
+/** supervisor_destroy() - stop the running children, then free. */
 void
 supervisor_destroy(struct supervisor *supervisor);
 
@@ -34,8 +34,8 @@
 supervisor_add(struct supervisor *supervisor,
                const struct supervisor_child *child);
 
-/** supervisor_start() - start children in order; on failure those already
- * up are stopped and @status names the child. */
+/** supervisor_start() - start children in order; on failure the children
+ * already started are stopped and @status has the cause. */
 bool
 supervisor_start(struct supervisor *supervisor, struct status *status);
 
@@ -51,7 +51,7 @@
 supervisor_restart(struct supervisor *supervisor, const char *name,
                    struct status *status);
 
-/** supervisor_as_child() - @supervisor as a child of another one. */
+/** supervisor_as_child() - wrap @supervisor as a child of another one. */
 struct supervisor_child
 supervisor_as_child(struct supervisor *supervisor, const char *name);
 
