--- a/core/dispatch_forward.c
+++ b/core/dispatch_forward.c
@@ -2,7 +2,7 @@
 #include "dispatch_state.h"
 
 enum {
-    LANE_LOOK_AHEAD = 8,
+    LANE_LOOK_AHEAD_TASKS = 8,
 };
 
 static uint32_t
@@ -43,7 +43,7 @@
 first_in_lane(const struct lane *lane)
 {
     const GList *link = lane->tasks.head;
-    for (int i = 0; i < LANE_LOOK_AHEAD && link != NULL; i++) {
+    for (int i = 0; i < LANE_LOOK_AHEAD_TASKS && link != NULL; i++) {
         if (task_may_forward(link->data)) {
             return link->data;
         }
--- a/core/dispatch_hosts.c
+++ b/core/dispatch_hosts.c
@@ -152,7 +152,7 @@
         pool->slots = 0;
         pool->hosts = 0;
         pool->hosts_accepting = 0;
-        pool->hosts_dc_out = 0;
+        pool->hosts_dc_out_of_service = 0;
         pool->outlier.hosts = 0;
     }
 }
@@ -173,7 +173,8 @@
     host->counted = false;
     pool->hosts++;
     pool->outlier.hosts++;
-    pool->hosts_dc_out += host->dc != NULL && host->dc->out_of_service;
+    pool->hosts_dc_out_of_service +=
+        host->dc != NULL && host->dc->out_of_service;
     host_update(dispatch, host);
 }
 
--- a/core/dispatch_next.c
+++ b/core/dispatch_next.c
@@ -39,8 +39,8 @@
         return REASON_TEAM_LIMIT;
     }
     if (pool->hosts_accepting == 0) {
-        return pool->hosts_dc_out > 0 ? REASON_DC_OUT_OF_SERVICE
-                                      : REASON_NO_HOST;
+        return pool->hosts_dc_out_of_service > 0 ? REASON_DC_OUT_OF_SERVICE
+                                                 : REASON_NO_HOST;
     }
     return REASON_NO_CAPACITY;
 }
--- a/core/dispatch_reserve.c
+++ b/core/dispatch_reserve.c
@@ -34,8 +34,8 @@
 {
     double run_ms = estimate_mean_ms(&pool->run[1]);
     double load = pool->urgent_arrivals * run_ms / ARRIVAL_WINDOW_MS;
-    double least = 1.0 / live_gateways(dispatch);
-    return MAX(load + RESERVE_DEVIATIONS * sqrt(load), least);
+    double load_min = 1.0 / live_gateways(dispatch);
+    return MAX(load + RESERVE_DEVIATIONS * sqrt(load), load_min);
 }
 
 /* Slots that normal tasks of this gateway are expected to free within half of
@@ -49,9 +49,9 @@
         return 0;
     }
     uint32_t normal = pool->running - pool->urgent_running;
-    double back =
+    double freed =
         normal * (double)pool->urgent_deadline_ms / 2 / MAX(run_ms, 1);
-    return MAX(back - RESERVE_DEVIATIONS * sqrt(back), 0);
+    return MAX(freed - RESERVE_DEVIATIONS * sqrt(freed), 0);
 }
 
 void
@@ -62,8 +62,8 @@
         return;
     }
     decay_arrivals(dispatch, pool);
-    double most = pool->slots * RESERVE_MAX_PERCENT / 100.0;
+    double reserve_max = pool->slots * RESERVE_MAX_PERCENT / 100.0;
     double need = urgent_load(dispatch, pool) - expected_freed_slots(pool);
-    need = CLAMP(need, 0, most);
+    need = CLAMP(need, 0, reserve_max);
     pool->reserve = MAX(need - pool->urgent_running, 0);
 }
--- a/core/dispatch_share.c
+++ b/core/dispatch_share.c
@@ -68,6 +68,10 @@
     }
 }
 
+/* Whether the team may start a task under its share. Its lag raises or lowers
+ * its due slots, so that earlier deviations are compensated within about
+ * catch_up_ms(). While the team runs fewer than its due slots its lag grows;
+ * if it may not start yet, the time from which it may is scheduled. */
 bool
 pool_team_may_start(struct dispatch *dispatch, struct pool_team *pool_team)
 {
--- a/core/dispatch_state.h
+++ b/core/dispatch_state.h
@@ -83,7 +83,7 @@
     uint32_t slots;
     uint32_t hosts;
     uint32_t hosts_accepting;
-    uint32_t hosts_dc_out;
+    uint32_t hosts_dc_out_of_service;
     uint32_t running;
     uint32_t peers_running;
     uint32_t queued;
--- a/core/jobs/host_plan.c
+++ b/core/jobs/host_plan.c
@@ -23,8 +23,8 @@
     /* A host that can't be emptied for a move in this time stays where it
      * is. */
     INTENT_TIMEOUT_MS = 6000,
-    /* A move only pays off if its host stays off at least this long, so a
-     * surplus has to last this long before hosts are returned. */
+    /* A move pays off only if the pool does without the host for at least this
+     * long, so a shorter surplus is waited out. */
     SURPLUS_MIN_MS = 1500,
 };
 
--- a/core/jobs/job.c
+++ b/core/jobs/job.c
@@ -11,11 +11,11 @@
 
 void
 resources_add(struct resources *total, const struct resources *by,
-              int64_t times)
+              int64_t factor)
 {
-    total->cpu_milli += by->cpu_milli * times;
-    total->mem_mb += by->mem_mb * times;
-    total->gpus += by->gpus * times;
+    total->cpu_milli += by->cpu_milli * factor;
+    total->mem_mb += by->mem_mb * factor;
+    total->gpus += by->gpus * factor;
 }
 
 struct job *
--- a/core/jobs/place.c
+++ b/core/jobs/place.c
@@ -10,8 +10,9 @@
 #include "scheduler_state.h"
 
 /* Service tasks of one step are moved one after the other when a host is
- * emptied, so they are spread: each other one on a backend server costs as
- * much as a fifth of its capacity. */
+ * emptied, so they are spread: each task of the step that a backend server
+ * runs lowers its score as much as a fifth of its capacity in use raises it.
+ */
 static const double SPREAD_WEIGHT = 0.2;
 
 struct placer {
@@ -326,7 +327,7 @@
            const struct queue_config *queue, uint32_t occurrence,
            uint32_t step_index)
 {
-    /* A job outlives the queue it came through. */
+    /* The queue may have been removed since the job was submitted. */
     const char *pool = queue == NULL ? job->pool : queue->pool;
     struct step_progress *progress =
         job_step_progress(job, occurrence, step_index);
@@ -364,7 +365,7 @@
 {
     const struct queue_config *queue =
         fleet_config_queue(placer->sched->config, job->queue);
-    /* A job outlives the queue it came through. */
+    /* The queue may have been removed since the job was submitted. */
     const char *pool = queue == NULL ? job->pool : queue->pool;
     if (job->inherited &&
         g_hash_table_contains(placer->unreconciled_pools, pool)) {
--- a/core/jobs/pool_load.c
+++ b/core/jobs/pool_load.c
@@ -1,7 +1,7 @@
 /*
- * Demand on pools, for queues that in turn request several times their average
- * for a few seconds: it is computed from recent arrivals and remaining work,
- * never from long averages.
+ * Demand on pools. Queues peak one after the other, each at several times its
+ * average for a few seconds, so demand is computed from recent arrivals and
+ * remaining work, never from long averages.
  */
 #include "core/jobs/scheduler.h"
 
@@ -20,13 +20,14 @@
     READY_HORIZON_MS = 500,
 };
 
-/* Fraction of a host that tasks of uneven sizes fill. */
-static const double HOST_FILL_FRACTION = 0.85;
+/* Fraction of a host's capacity that tasks of uneven sizes can use. */
+static const double HOST_USABLE_FRACTION = 0.85;
 /* Fraction of the random variation of the recent rate that a rise has to
- * exceed: a host too many costs less than waiting clients. */
+ * exceed. It is below 1 because a host too many costs less than callers that
+ * wait. */
 static const double RISE_NOISE_FACTOR = 0.65;
-/* Lower bound of the allowed fraction, so that a policy that allows very few
- * backend servers doesn't take more hosts than that. */
+/* Lower bound of the allowed fraction: a policy that allows fewer backend
+ * servers than this gets no further hosts for it. */
 static const double ALLOWED_FRACTION_MIN = 0.2;
 
 static double
@@ -181,7 +182,8 @@
 static double
 hosts_for(double need, int64_t per_host)
 {
-    return per_host == 0 ? 0 : need / ((double)per_host * HOST_FILL_FRACTION);
+    return per_host == 0 ? 0
+                         : need / ((double)per_host * HOST_USABLE_FRACTION);
 }
 
 int64_t
--- a/core/jobs/scheduler_state.h
+++ b/core/jobs/scheduler_state.h
@@ -12,7 +12,7 @@
      * waits for its end before it restarts the runs of an unresponsive backend
      * server, and that wait has to end within about 10 s of the fault. */
     LEASE_MAX_MS = 8500,
-    /* A report request waits at most this long for news. It also renews the
+    /* A report request waits at most this long for changes. It also renews the
      * lease, so this bounds the time between renewals. */
     REPORT_WAIT_MS = 800,
     /* Least time between two report requests to a backend server, so that
--- a/core/jobs/throttle.c
+++ b/core/jobs/throttle.c
@@ -62,10 +62,10 @@
     }
     throttle->ceiling_percent = throttle->cpu_limit_percent;
     throttle->ceiling_until_ms = now_ms + CEILING_RETENTION_MS;
-    double kept = factor_to_aim(worst_ratio) *
-                  (worst_ratio > 1 ? OVER_TARGET_FACTOR : 1);
+    double factor = factor_to_aim(worst_ratio) *
+                    (worst_ratio > 1 ? OVER_TARGET_FACTOR : 1);
     throttle->cpu_limit_percent =
-        (int32_t)(throttle->cpu_limit_percent * kept);
+        (int32_t)(throttle->cpu_limit_percent * factor);
     if (throttle->cpu_limit_percent < LIMIT_MIN_PERCENT) {
         throttle->cpu_limit_percent = 0;
     }
--- a/core/maintenance_plan.c
+++ b/core/maintenance_plan.c
@@ -133,8 +133,8 @@
     return racks;
 }
 
-/* Whether the demand allows to take @host out. After load_wait_max_ms of
- * waiting, hosts are taken out one at a time in spite of the demand. */
+/* Whether the demand allows @host to be disrupted. After load_wait_max_ms of
+ * waiting, hosts are disrupted one at a time in spite of the demand. */
 static bool
 load_allows(struct fleet_pass *pass, struct pass_pool *pool,
             const struct pass_host *host)
--- a/core/members.c
+++ b/core/members.c
@@ -359,7 +359,7 @@
     members->proposal = proposal;
     proposal->epoch = members->record->epoch + 1;
     *action = (struct members_action){
-        .step = MEMBERS_PROPOSE,
+        .kind = MEMBERS_PROPOSE,
         .reason = reason,
         .incarnation = incarnation,
         .proposal = proposal,
@@ -399,7 +399,7 @@
         return false;
     }
     *action = (struct members_action){
-        .step = MEMBERS_DELETE_RENEWAL,
+        .kind = MEMBERS_DELETE_RENEWAL,
         .reason = "clear",
         .incarnation = entry->incarnation,
         .version = peer->renewal_version,
--- a/core/permits.c
+++ b/core/permits.c
@@ -265,8 +265,8 @@
 grant_requests(const struct permits *permits, struct permits_record *next,
                const struct permits_fleet *fleet, uint32_t running)
 {
-    uint32_t least = next->limit >= fleet->n_live ? 1 : 0;
-    uint32_t own_min = MAX(MAX(wanted_permits(permits), running), least);
+    uint32_t min_held = next->limit >= fleet->n_live ? 1 : 0;
+    uint32_t own_min = MAX(MAX(wanted_permits(permits), running), min_held);
     for (guint i = 0; i < permits->requests->len; i++) {
         const struct permits_request *request =
             &g_array_index(permits->requests, struct permits_request, i);
@@ -407,8 +407,8 @@
     if (permits->version == 0 || permits->releasing || is_blocked(permits)) {
         return 0;
     }
-    uint32_t least = permits->record->limit >= fleet->n_live ? 1 : 0;
-    uint32_t target = MAX(wanted_permits(permits), least);
+    uint32_t min_held = permits->record->limit >= fleet->n_live ? 1 : 0;
+    uint32_t target = MAX(wanted_permits(permits), min_held);
     uint32_t held = held_here(permits);
     return target > held ? target - held : 0;
 }
--- a/core/pool_moves.c
+++ b/core/pool_moves.c
@@ -201,7 +201,7 @@
 }
 
 static void
-fill_short_pools(struct fleet_pass *pass)
+grow_short_pools(struct fleet_pass *pass)
 {
     bool *tried = g_new0(bool, pass->n_pools + 1);
     GPtrArray *donors = g_ptr_array_new();
@@ -305,7 +305,7 @@
 void
 pool_moves_plan(struct fleet_pass *pass)
 {
-    fill_short_pools(pass);
+    grow_short_pools(pass);
     release_surplus(pass);
     for (size_t i = 0; i < pass->n_pools; i++) {
         report_findings(pass, &pass->pools[i]);
--- a/core/pool_needs.c
+++ b/core/pool_needs.c
@@ -4,8 +4,8 @@
 #include "core/fleet_pass.h"
 
 enum {
-    /* A pool gets hosts while demand exceeds the first share of its slots,
-     * and gives hosts back while demand would stay below the second. */
+    /* Demand as a share of the pool's slots: above the first a pool gets
+     * hosts; while it would stay below the second, it gives hosts back. */
     GROW_PERCENT = 85,
     SHRINK_PERCENT = 60,
     /* Hosts beyond the disruption budget, so that maintenance is possible. */
--- a/core/routing.c
+++ b/core/routing.c
@@ -6,7 +6,7 @@
     /* A host's report loses weight with age; from this age on only the mean
      * of the pool is used. */
     REPORT_MAX_AGE_MS = 1000,
-    /* Random picks until one that still has a free slot. */
+    /* Random picks to find a host that still has a free slot. */
     PICKS_MAX = 4,
     /* Full hosts that are checked again with each choice. */
     FULL_HOSTS_PER_CHOICE = 2,
--- a/egretd/permit_accounts.c
+++ b/egretd/permit_accounts.c
@@ -13,7 +13,8 @@
     STORE_CALLS_PER_HEARTBEAT_MAX = 16,
     RELEASE_CALLS_PER_HEARTBEAT_MAX = 128,
     RELEASE_TIMEOUT_MS = 3000,
-    /* Between requests to peers for permits that no task here needs now. */
+    /* Interval of requests to peers for permits that no task here needs
+     * now. */
     IDLE_REQUEST_INTERVAL_MS = 30 * 1000,
 };
 
@@ -351,7 +352,8 @@
     g_free(key);
 }
 
-/* Returns a live holder other than this gateway: each in turn. */
+/* Returns a registered gateway other than this one that holds permits;
+ * successive calls return each in turn. */
 static const char *
 choose_holder(struct permit_account *account)
 {
@@ -425,14 +427,14 @@
 permit_accounts_handle_request(struct permit_accounts *accounts,
                                const char *peer, const struct message *message)
 {
-    const struct message_permit_request *want = &message->as.permit_request;
+    const struct message_permit_request *request = &message->as.permit_request;
     struct permit_account *account =
-        g_hash_table_lookup(accounts->by_name, want->team);
+        g_hash_table_lookup(accounts->by_name, request->team);
     if (account == NULL ||
         !permit_accounts_is_member(accounts, accounts->incarnation)) {
         return;
     }
-    permits_peer_request(account->permits, peer, want->permits);
+    permits_peer_request(account->permits, peer, request->permits);
     struct permits_fleet fleet = permit_accounts_fleet(accounts);
     advance_account(account, &fleet);
 }
--- a/egretd/permit_accounts_internal.h
+++ b/egretd/permit_accounts_internal.h
@@ -48,8 +48,9 @@
  * @scan_due: teams, members or reclaims changed since the last scan began, or
  *            it failed
  * @scan_started_ms: when the last scan began
- * @unknown_holders: holders that are no members as far as known here; looked
- *                   up in the members record at the store
+ * @unknown_holders: incarnations that hold permits and that this gateway does
+ *                   not know as members; looked up in the members record at
+ * the store
  * @checking_holders: that read is pending
  * @release_by_ms: @on_released is called by then, whatever is still held
  */
--- a/egretd/registration_members.c
+++ b/egretd/registration_members.c
@@ -7,7 +7,7 @@
 #include "store/store_keys.h"
 
 enum {
-    /* Between reads in case the watch misses a change. */
+    /* Interval of reads in case the watch misses a change. */
     POLL_INTERVAL_MS = 10 * 1000,
 };
 
@@ -201,7 +201,7 @@
                       &action)) {
         return;
     }
-    if (action.step == MEMBERS_DELETE_RENEWAL) {
+    if (action.kind == MEMBERS_DELETE_RENEWAL) {
         delete_renewal(registration, &action);
     }
     else if (stored->epoch == members_current(registration->members)->epoch) {
--- a/egretjobd/config_feed.c
+++ b/egretjobd/config_feed.c
@@ -18,7 +18,8 @@
     NEXT_CALL_MS = 20,
     RETRY_MS = 100,
     READ_TIMEOUT_MS = 900,
-    /* Without an answer of the store for this long, the peers are asked. */
+    /* After this time without an answer of the store, the records are read
+     * from peers. */
     PEER_FALLBACK_AFTER_MS = 700,
     PEER_FALLBACK_INTERVAL_MS = 200,
     PEER_LIST_INTERVAL_MS = 5000,
@@ -122,10 +123,10 @@
         else if (g_str_has_prefix(item->key, PLATFORM_WAVE_PREFIX)) {
             struct host_wave wave;
             if (decode_wave(item->value, item->value_bytes, &wave)) {
-                struct host_wave *kept = g_new(struct host_wave, 1);
-                *kept = wave;
-                kept->seen_ms = first_seen_ms(feed, item->key);
-                g_ptr_array_add(feed->waves, kept);
+                struct host_wave *copy = g_new(struct host_wave, 1);
+                *copy = wave;
+                copy->seen_ms = first_seen_ms(feed, item->key);
+                g_ptr_array_add(feed->waves, copy);
             }
         }
     }
@@ -439,22 +440,22 @@
     if (!config_feed_fresh(feed)) {
         return NULL;
     }
-    GString *out_of_service = g_string_new(NULL);
-    g_string_append_printf(out_of_service,
+    GString *text = g_string_new(NULL);
+    g_string_append_printf(text,
                            "{\"age_ms\":%" G_GINT64_FORMAT
                            ",\"as_of\":%" G_GINT64_FORMAT ",\"items\":[",
                            node_now(feed->node) - feed->confirmed_ms,
                            feed->as_of);
     for (guint i = 0; i < feed->items->len; i++) {
         const struct kv_item *item = g_ptr_array_index(feed->items, i);
-        g_string_append(out_of_service, i == 0 ? "{\"key\":" : ",{\"key\":");
-        json_text_add(out_of_service, item->key);
+        g_string_append(text, i == 0 ? "{\"key\":" : ",{\"key\":");
+        json_text_add(text, item->key);
         g_string_append_printf(
-            out_of_service,
+            text,
             ",\"revision\":%" G_GINT64_FORMAT ",\"value\":", item->revision);
-        json_text_add(out_of_service, item->value);
-        g_string_append_c(out_of_service, '}');
+        json_text_add(text, item->value);
+        g_string_append_c(text, '}');
     }
-    g_string_append(out_of_service, "]}");
-    return g_string_free(out_of_service, FALSE);
+    g_string_append(text, "]}");
+    return g_string_free(text, FALSE);
 }
--- a/egretjobd/leadership.c
+++ b/egretjobd/leadership.c
@@ -486,8 +486,8 @@
     (void)result;
 }
 
-/* Tells the next leader for how long leases granted by this one may be
- * open. */
+/* Stores for the next leader how long leases that this one granted may still
+ * run. */
 static void
 store_handover(struct leadership *leadership, int64_t lease_ms)
 {
--- a/include/core/jobs/backend.h
+++ b/include/core/jobs/backend.h
@@ -16,7 +16,7 @@
  *                        same id apart
  * @pool: pool that it serves
  * @address: "ip:port" of its interface
- * @data_centre: data centre that it stands in
+ * @data_centre: data centre that it is in
  * @host: host whose incarnation it is, or NULL if unknown
  * @labels: kind and rack, NULL-terminated; the rack comes last
  * @capacity: resources of the whole backend server
--- a/include/core/jobs/job.h
+++ b/include/core/jobs/job.h
@@ -37,11 +37,12 @@
 resources_fit(const struct resources *available, const struct resources *need);
 
 /**
- * resources_add() - add @times times @by to @total; @times may be negative.
+ * resources_add() - add @by, multiplied by @factor, to @total; @factor may
+ * be negative.
  */
 void
 resources_add(struct resources *total, const struct resources *by,
-              int64_t times);
+              int64_t factor);
 
 /**
  * struct job_step - tasks of a job that may run side by side
--- a/include/core/jobs/scheduler.h
+++ b/include/core/jobs/scheduler.h
@@ -424,7 +424,7 @@
  * @host: its name
  * @pool: its pool
  * @backend_id: backend server that is its current incarnation, may be NULL
- * @data_centre: data centre that it stands in
+ * @data_centre: data centre that it is in
  * @up: it runs and is neither moving nor rebooting
  * @unavailable: it is moving or rebooting, so its last incarnation has ended
  */
--- a/include/core/members.h
+++ b/include/core/members.h
@@ -179,7 +179,7 @@
  * @reason: "join", "leave", "fence", "remove" or "clear", for logs
  */
 struct members_action {
-    enum members_write step;
+    enum members_write kind;
     const char *reason;
     const char *incarnation;
     uint64_t version;
--- a/include/core/request_ids.h
+++ b/include/core/request_ids.h
@@ -89,8 +89,8 @@
 /**
  * enum id_query_result - reply of a gateway to a query about an id. After
  * ID_QUERY_ABSENT and ID_QUERY_OWNER_GONE it no longer runs requests with the
- * id but forwards them to the querier (not if its table is full, which makes
- * the reply ID_QUERY_OWNER_GONE)
+ * id but forwards them to the querier. If its table is too full to remember
+ * that, it replies ID_QUERY_OWNER_GONE and may still run the id later
  * @ID_QUERY_ABSENT: the gateway never saw the id
  * @ID_QUERY_RUNNING: it runs the request; forward the request to wait with it
  * @ID_QUERY_FINISHED: it knows the outcome
--- a/include/egretd/engine.h
+++ b/include/egretd/engine.h
@@ -68,8 +68,8 @@
 /**
  * engine_cancel_by_id() - cancel a request by the id that its team gave it
  *
- * Returns: "cancelled" if it was still queued, "running" if it was told to
- * stop, or "not-found" if it doesn't run through this gateway.
+ * Returns: "cancelled" if it was still queued, "running" if it runs and its
+ * stop was requested, or "not-found" if it doesn't run through this gateway.
  */
 const char *
 engine_cancel_by_id(struct engine *engine, const char *team,
--- a/include/egretd/stopper.h
+++ b/include/egretd/stopper.h
@@ -57,7 +57,8 @@
 stopper_stop(struct stopper *stopper, const struct stop_params *params);
 
 /** stopper_probe() - query the state once, on a new connection. If the
- * backend server doesn't know the attempt, it is told never to start it. */
+ * backend server doesn't know the attempt, it is instructed never to start it.
+ */
 void
 stopper_probe(struct stopper *stopper, const struct stop_params *params);
 
--- a/include/egretjobd/frontend.h
+++ b/include/egretjobd/frontend.h
@@ -16,8 +16,8 @@
 frontend_config_changed(struct frontend *frontend,
                         const struct fleet_config *config);
 
-/** frontend_begin_shutdown() - fail the health check and close each connection
- * after its next reply. */
+/** frontend_begin_shutdown() - close each caller's connection after its next
+ * reply. The health check fails once the node is stopping. */
 void
 frontend_begin_shutdown(struct frontend *frontend);
 
--- a/include/platform/kv.h
+++ b/include/platform/kv.h
@@ -152,7 +152,7 @@
 char *
 kv_txn_encode(const struct kv_txn *txn);
 
-/** kv_commit_encoded() - kv_commit() of what kv_txn_encode() gave. */
+/** kv_commit_encoded() - commit a transaction that kv_txn_encode() encoded. */
 void
 kv_commit_encoded(struct kv *kv, const char *body, struct kv_done done);
 
--- a/tests/standing/model_node.c
+++ b/tests/standing/model_node.c
@@ -358,7 +358,7 @@
     }
     else if (node->created &&
              members_next(node->members, model->now_ms, &action)) {
-        bool clear = action.step == MEMBERS_DELETE_RENEWAL;
+        bool clear = action.kind == MEMBERS_DELETE_RENEWAL;
         if (clear && (model->faults & MODEL_FAULT_RENEWAL_KEPT) != 0) {
             members_renewal_read(node->members, action.incarnation, 0, 0,
                                  model->now_ms, model->now_ms);
