--- a/core/jobs/scheduler_backends.c
+++ b/core/jobs/scheduler_backends.c
@@ -134,13 +134,13 @@
 {
     int64_t open_ms = sched->timings.lease_max_ms * 102 / 100;
     int64_t now_ms = sched_now(sched);
-    bool outage_lately =
+    bool recent_outage =
         sched->outage || (sched->outage_changed_ms != 0 &&
                           now_ms - sched->outage_changed_ms < open_ms);
     /* Leases of the previous leader may last just as long. */
     bool inherited =
         sched->inherited_long_lease && now_ms - sched->takeover_ms < open_ms;
-    return outage_lately || inherited ? sched->timings.lease_max_ms
+    return recent_outage || inherited ? sched->timings.lease_max_ms
                                       : (int64_t)LEASE_MS;
 }
 
--- a/core/jobs/scheduler_runs.c
+++ b/core/jobs/scheduler_runs.c
@@ -32,12 +32,12 @@
 }
 
 static void
-account_run(struct scheduler *sched, struct run *run, int64_t times)
+account_run(struct scheduler *sched, struct run *run, int64_t factor)
 {
     const struct job_step *step = run_step(run);
     struct resources need = backend_need(step);
-    resources_add(&run->backend->used, &need, times);
-    resources_add(sched_team_used(sched, run->job->team), &step->need, times);
+    resources_add(&run->backend->used, &need, factor);
+    resources_add(sched_team_used(sched, run->job->team), &step->need, factor);
 }
 
 struct run *
