--- a/include/common/settings.h
+++ b/include/common/settings.h
@@ -20,9 +20,9 @@
  * @hosts_url: base URL of the platform's host list
  * @secret_file: file with the secret shared by the project's processes
  * @log_level: least severe level that is logged
- * @quorum_lease_ms: length of the quorum lease: time after a renewal or a
- *                   majority of grants during which a gateway may start work
- *                   (setting support_ms)
+ * @quorum_lease_ms: length of the quorum lease: longest time a gateway may
+ *                   start work after it requested its last renewal or its
+ *                   last grants by a majority (setting support_ms)
  * @heartbeat_ms: interval between heartbeats to peers
  * @store_timeout_ms: deadline of one store call
  * @watch_wait_ms: longest wait of one long-poll request to the store
--- a/include/common/supervisor.h
+++ b/include/common/supervisor.h
@@ -11,7 +11,7 @@
  * @name: name for logs
  * @start: starts it; on failure sets the status and returns false
  * @stop: stops and frees it; called only after a successful start
- * @ctx: passed to both
+ * @ctx: passed to @start and @stop
  */
 struct supervisor_child {
     const char *name;
--- a/include/store/store.h
+++ b/include/store/store.h
@@ -53,7 +53,7 @@
  *        during the callback
  * @abandoned: called instead of @done when store_destroy() cancels a call, to
  *             release @ctx; may be NULL
- * @ctx: passed to both
+ * @ctx: passed to @done and @abandoned
  */
 struct store_callback {
     void (*done)(void *ctx, const struct store_result *result);
--- a/store/config_parts.c
+++ b/store/config_parts.c
@@ -101,16 +101,16 @@
 
 /* Concatenates arrays that occur in several parts. */
 static void
-merge_member(JsonObject *whole, const char *member, JsonNode *value)
+merge_member(JsonObject *document, const char *member, JsonNode *value)
 {
-    JsonNode *present = json_object_get_member(whole, member);
-    if (present == NULL || !JSON_NODE_HOLDS_ARRAY(present) ||
+    JsonNode *existing = json_object_get_member(document, member);
+    if (existing == NULL || !JSON_NODE_HOLDS_ARRAY(existing) ||
         !JSON_NODE_HOLDS_ARRAY(value)) {
-        json_object_set_member(whole, member, json_node_copy(value));
+        json_object_set_member(document, member, json_node_copy(value));
         return;
     }
     JsonArray *from = json_node_get_array(value);
-    JsonArray *into = json_node_get_array(present);
+    JsonArray *into = json_node_get_array(existing);
     for (guint i = 0; i < json_array_get_length(from); i++) {
         json_array_add_element(
             into, json_node_copy(json_array_get_element(from, i)));
@@ -118,7 +118,7 @@
 }
 
 static void
-merge_part(JsonObject *whole, const char *name, const char *text,
+merge_part(JsonObject *document, const char *name, const char *text,
            struct findings *findings)
 {
     JsonNode *root = json_read_text(text, -1, name, findings);
@@ -128,7 +128,7 @@
     JsonObject *part = json_node_get_object(root);
     GList *members = json_object_get_members(part);
     for (GList *link = members; link != NULL; link = link->next) {
-        merge_member(whole, link->data,
+        merge_member(document, link->data,
                      json_object_get_member(part, link->data));
     }
     g_list_free(members);
@@ -136,7 +136,7 @@
 }
 
 static void
-verify_and_merge_part(JsonObject *whole, const char *name, const char *key,
+verify_and_merge_part(JsonObject *document, const char *name, const char *key,
                       const char *text, struct findings *findings)
 {
     if (text == NULL) {
@@ -145,7 +145,7 @@
     }
     char *found = config_part_key(name, text);
     if (g_str_equal(found, key)) {
-        merge_part(whole, name, text, findings);
+        merge_part(document, name, text, findings);
     }
     else {
         findings_add(findings, name, "$",
@@ -159,24 +159,24 @@
             struct findings *findings)
 {
     size_t before = findings_count(findings);
-    JsonObject *whole = json_object_new();
-    json_object_set_array_member(whole, MEMBER_TEAMS, json_array_new());
+    JsonObject *document = json_object_new();
+    json_object_set_array_member(document, MEMBER_TEAMS, json_array_new());
     for (GTreeNode *node = g_tree_node_first(head->parts); node != NULL;
          node = g_tree_node_next(node)) {
         const char *name = g_tree_node_key(node);
-        verify_and_merge_part(whole, name, g_tree_node_value(node),
+        verify_and_merge_part(document, name, g_tree_node_value(node),
                               g_tree_lookup(texts, name), findings);
     }
     struct config *config = NULL;
     if (findings_count(findings) == before) {
         JsonNode *root = json_node_new(JSON_NODE_OBJECT);
-        json_node_set_object(root, whole);
+        json_node_set_object(root, document);
         config = config_parse(root, "configuration", findings);
         json_node_unref(root);
     }
     if (config != NULL) {
         config->generation = head->generation;
     }
-    json_object_unref(whole);
+    json_object_unref(document);
     return config;
 }
--- a/store/host_list.c
+++ b/store/host_list.c
@@ -12,12 +12,12 @@
 #define FILTER_NONE "&filter=Node.Node%20%3D%3D%20%22%22"
 
 enum {
-    RETRY_FIRST_MS = 200,
+    RETRY_MIN_MS = 200,
     RETRY_MAX_MS = 2000,
     FINDINGS_LOGGED_MAX = 5,
     /* Above this list size, free heap memory is returned to the system after
      * parsing. */
-    TRIM_BYTES = 65536,
+    TRIM_MIN_BYTES = 65536,
 };
 
 struct host_list {
@@ -39,14 +39,14 @@
 /**
  * struct host_list_call - one HTTP request
  * @list: NULL if the list was destroyed while the request was in progress
- * @waits: a long poll, which only reports whether the list has changed
+ * @long_poll: a long poll, which only reports whether the list has changed
  */
 struct host_list_call {
     struct host_list *list;
     SoupMessage *message;
     GCancellable *cancellable;
     guint deadline_source;
-    bool waits;
+    bool long_poll;
 };
 
 static void
@@ -109,7 +109,7 @@
     list->checksum = checksum;
     list->options.changed(list->options.ctx, &list->view);
     host_list_hosts_free(old, n_old);
-    if (size_bytes > TRIM_BYTES) {
+    if (size_bytes > TRIM_MIN_BYTES) {
         malloc_trim(0);
     }
     return true;
@@ -131,7 +131,7 @@
               GBytes *body)
 {
     uint64_t index = read_index(call->message);
-    if (call->waits && g_bytes_get_size(body) <= sizeof("[]\n")) {
+    if (call->long_poll && g_bytes_get_size(body) <= sizeof("[]\n")) {
         list->index_valid = index != 0 && index == list->index;
         return true;
     }
@@ -169,7 +169,7 @@
                 read_response(list, call, body);
     if (good) {
         list->last_answer_ms = ms_clock_now(&list->options.clock);
-        list->retry_ms = RETRY_FIRST_MS;
+        list->retry_ms = RETRY_MIN_MS;
         list->new_connection = false;
         send_request(list);
     }
@@ -223,7 +223,7 @@
     struct host_list_call *call = g_new0(struct host_list_call, 1);
     call->list = list;
     call->message = message;
-    call->waits = list->index_valid;
+    call->long_poll = list->index_valid;
     call->cancellable = g_cancellable_new();
     int64_t deadline_ms = list->options.wait_ms + list->options.timeout_ms;
     call->deadline_source =
@@ -242,7 +242,7 @@
     list->url = g_strdup(options->url);
     list->options.url = list->url;
     list->session = soup_session_new();
-    list->retry_ms = RETRY_FIRST_MS;
+    list->retry_ms = RETRY_MIN_MS;
     list->last_answer_ms = INT64_MIN;
     send_request(list);
     return list;
--- a/store/host_list_parse.c
+++ b/store/host_list_parse.c
@@ -255,12 +255,12 @@
                 struct findings *findings)
 {
     GArray *found = g_array_new(TRUE, TRUE, sizeof(struct host_list_host));
-    bool whole = parse_elements(text, size_bytes, found, findings);
+    bool complete = parse_elements(text, size_bytes, found, findings);
     size_t n = found->len;
     struct host_list_host *hosts =
         (struct host_list_host *)(void *)g_array_free(found, FALSE);
     *n_hosts = 0;
-    if (!whole) {
+    if (!complete) {
         findings_add(findings, "host list", "$",
                      "must be a complete JSON array");
         host_list_hosts_free(hosts, n);
--- a/wire/message.c
+++ b/wire/message.c
@@ -177,12 +177,13 @@
 }
 
 static bool
-decode_heartbeat(struct fields *fields, struct message_heartbeat *beat)
+decode_heartbeat(struct fields *fields, struct message_heartbeat *heartbeat)
 {
-    return read_uint(fields, "number", UINT64_MAX, &beat->number) &&
-           read_uint(fields, "generation", UINT64_MAX, &beat->generation) &&
-           read_uint(fields, "epoch", UINT64_MAX, &beat->epoch) &&
-           read_bool(fields, "supports", &beat->grants_lease);
+    return read_uint(fields, "number", UINT64_MAX, &heartbeat->number) &&
+           read_uint(fields, "generation", UINT64_MAX,
+                     &heartbeat->generation) &&
+           read_uint(fields, "epoch", UINT64_MAX, &heartbeat->epoch) &&
+           read_bool(fields, "supports", &heartbeat->grants_lease);
 }
 
 static bool
@@ -270,10 +271,10 @@
 
 static bool
 decode_permit_request(struct fields *fields,
-                      struct message_permit_request *want)
+                      struct message_permit_request *request)
 {
-    return read_text(fields, "team", MESSAGE_TEXT_MAX_BYTES, &want->team) &&
-           read_uint32(fields, "permits", &want->permits);
+    return read_text(fields, "team", MESSAGE_TEXT_MAX_BYTES, &request->team) &&
+           read_uint32(fields, "permits", &request->permits);
 }
 
 static bool
--- a/wire/message_encode.c
+++ b/wire/message_encode.c
@@ -34,13 +34,13 @@
 
 static void
 encode_heartbeat(msgpack_packer *packer, enum message_type type,
-                 const struct message_heartbeat *beat)
+                 const struct message_heartbeat *heartbeat)
 {
     pack_envelope(packer, type, 4);
-    msgpack_pack_uint64(packer, beat->number);
-    msgpack_pack_uint64(packer, beat->generation);
-    msgpack_pack_uint64(packer, beat->epoch);
-    if (beat->grants_lease) {
+    msgpack_pack_uint64(packer, heartbeat->number);
+    msgpack_pack_uint64(packer, heartbeat->generation);
+    msgpack_pack_uint64(packer, heartbeat->epoch);
+    if (heartbeat->grants_lease) {
         msgpack_pack_true(packer);
     }
     else {
@@ -89,11 +89,11 @@
 
 static void
 encode_permit_request(msgpack_packer *packer,
-                      const struct message_permit_request *want)
+                      const struct message_permit_request *request)
 {
     pack_envelope(packer, MESSAGE_PERMIT_REQUEST, 2);
-    pack_text(packer, want->team);
-    msgpack_pack_uint32(packer, want->permits);
+    pack_text(packer, request->team);
+    msgpack_pack_uint32(packer, request->permits);
 }
 
 void
