--- a/core/dispatch_peers.c
+++ b/core/dispatch_peers.c
@@ -100,7 +100,7 @@
     }
 }
 
-/* Clears the entries under the peer's index, which another peer may get. */
+/* Clears the entries under the peer's index, which a later peer may reuse. */
 static void
 usage_forget(struct peer *peer)
 {
@@ -121,11 +121,11 @@
     g_hash_table_iter_init(&iter, peer->pools);
     while (g_hash_table_iter_next(&iter, &entry, &value)) {
         struct pool *pool = entry;
-        const struct pool_usage *use = value;
-        pool->peers_running -= use->running;
-        pool->peers_aggregate.running -= use->running;
-        pool->peers_aggregate.queued -= use->queued;
-        pool->peers_aggregate.reserve_milli -= use->reserve_milli;
+        const struct pool_usage *usage = value;
+        pool->peers_running -= usage->running;
+        pool->peers_aggregate.running -= usage->running;
+        pool->peers_aggregate.queued -= usage->queued;
+        pool->peers_aggregate.reserve_milli -= usage->reserve_milli;
     }
     g_hash_table_remove_all(peer->pools);
 }
@@ -196,15 +196,15 @@
     if (pool == NULL || g_hash_table_contains(peer->pools, pool)) {
         return;
     }
-    struct pool_usage *use = g_new0(struct pool_usage, 1);
-    use->running = entry->running;
-    use->queued = entry->queued;
-    use->reserve_milli = (uint32_t)MIN(entry->served_milli, G_MAXINT32);
-    g_hash_table_insert(peer->pools, pool, use);
-    pool->peers_running += use->running;
-    pool->peers_aggregate.running += use->running;
-    pool->peers_aggregate.queued += use->queued;
-    pool->peers_aggregate.reserve_milli += use->reserve_milli;
+    struct pool_usage *usage = g_new0(struct pool_usage, 1);
+    usage->running = entry->running;
+    usage->queued = entry->queued;
+    usage->reserve_milli = (uint32_t)MIN(entry->served_milli, G_MAXINT32);
+    g_hash_table_insert(peer->pools, pool, usage);
+    pool->peers_running += usage->running;
+    pool->peers_aggregate.running += usage->running;
+    pool->peers_aggregate.queued += usage->queued;
+    pool->peers_aggregate.reserve_milli += usage->reserve_milli;
 }
 
 static void
--- a/core/dispatch_state.h
+++ b/core/dispatch_state.h
@@ -346,7 +346,7 @@
 
 /* fair_queue.c */
 void
-pool_team_destroy(void *pool_team);
+pool_team_destroy(void *data);
 struct pool_team *
 pool_team_get(struct pool *pool, struct team *team);
 void
@@ -412,7 +412,7 @@
 void
 wake_all_pools(struct dispatch *dispatch);
 void
-host_destroy(void *host);
+host_destroy(void *data);
 void
 host_fail(struct dispatch *dispatch, struct host *host);
 /* hosts_discount_failures(): the task caused its failures, so they are taken
@@ -432,7 +432,7 @@
 
 /* dispatch_peers.c */
 void
-peer_destroy(void *peer);
+peer_destroy(void *data);
 uint32_t
 live_gateways(const struct dispatch *dispatch);
 void
@@ -447,7 +447,7 @@
 attempt_start(struct dispatch *dispatch, struct task *task, struct host *host,
               bool probe);
 void
-attempt_destroy(void *attempt);
+attempt_destroy(void *data);
 void
 attempts_expire(struct dispatch *dispatch);
 enum reason
@@ -472,7 +472,7 @@
 bool
 task_avoids(const struct task *task, const struct host *host);
 void
-task_destroy(void *task);
+task_destroy(void *data);
 
 /* routing.c */
 struct host *
--- a/core/jobs/drain.c
+++ b/core/jobs/drain.c
@@ -1,7 +1,7 @@
 /*
  * Moves service tasks off backend servers that are draining, such as in a
  * scale-in: one task of a step after the other while the others still serve,
- * instead of all ending at once when the backend server goes.
+ * instead of all ending at once when the backend server leaves.
  */
 #include "core/jobs/scheduler.h"
 
--- a/core/jobs/job.c
+++ b/core/jobs/job.c
@@ -139,15 +139,15 @@
 int64_t
 job_critical_path_ms(const struct job *job)
 {
-    int64_t until_ms[JOB_STEPS_MAX] = {0};
+    int64_t end_ms[JOB_STEPS_MAX] = {0};
     int64_t longest_ms = 0;
     for (uint32_t i = 0; i < job->n_steps; i++) {
-        int64_t from_ms = 0;
+        int64_t start_ms = 0;
         for (uint32_t a = 0; a < job->steps[i].n_after; a++) {
-            from_ms = MAX(from_ms, until_ms[job->steps[i].after[a]]);
+            start_ms = MAX(start_ms, end_ms[job->steps[i].after[a]]);
         }
-        until_ms[i] = from_ms + job->steps[i].estimate_ms;
-        longest_ms = MAX(longest_ms, until_ms[i]);
+        end_ms[i] = start_ms + job->steps[i].estimate_ms;
+        longest_ms = MAX(longest_ms, end_ms[i]);
     }
     return longest_ms;
 }
--- a/core/jobs/order.c
+++ b/core/jobs/order.c
@@ -12,18 +12,18 @@
 static int64_t
 remaining_critical_path_ms(const struct job *job)
 {
-    int64_t until_ms[JOB_STEPS_MAX] = {0};
+    int64_t end_ms[JOB_STEPS_MAX] = {0};
     int64_t longest_ms = 0;
     uint32_t last = job->n_occurrences - 1;
     for (uint32_t i = 0; i < job->n_steps; i++) {
         const struct job_step *step = &job->steps[i];
-        int64_t from_ms = 0;
+        int64_t start_ms = 0;
         for (uint32_t a = 0; a < step->n_after; a++) {
-            from_ms = MAX(from_ms, until_ms[step->after[a]]);
+            start_ms = MAX(start_ms, end_ms[step->after[a]]);
         }
         bool done = job_step_progress(job, last, i)->done >= step->task_count;
-        until_ms[i] = from_ms + (done ? 0 : step->estimate_ms);
-        longest_ms = MAX(longest_ms, until_ms[i]);
+        end_ms[i] = start_ms + (done ? 0 : step->estimate_ms);
+        longest_ms = MAX(longest_ms, end_ms[i]);
     }
     return longest_ms;
 }
--- a/core/jobs/relay_peer.c
+++ b/core/jobs/relay_peer.c
@@ -1,6 +1,6 @@
 /*
- * Choice of the peer that relays store calls, for network cuts that affect
- * some of the peers as well while many calls are in flight.
+ * Chooses the peer that relays store calls. A network cut may affect some of
+ * the peers as well, and many calls may be in flight when a relay fails.
  */
 #include "core/jobs/relay_peer.h"
 
--- a/core/jobs/scheduler.c
+++ b/core/jobs/scheduler.c
@@ -34,9 +34,9 @@
 static void
 team_usage_destroy(void *data)
 {
-    struct team_usage *use = data;
-    g_free(use->team);
-    g_free(use);
+    struct team_usage *usage = data;
+    g_free(usage->team);
+    g_free(usage);
 }
 
 static void
--- a/core/jobs/step_advice.c
+++ b/core/jobs/step_advice.c
@@ -77,7 +77,7 @@
     const struct verdict *verdict =
         advice == NULL ? NULL : g_hash_table_lookup(advice->by_backend, id);
     if (verdict == NULL) {
-        return ADVICE_UNASKED;
+        return ADVICE_NOT_REQUESTED;
     }
     /* Permission to run a step doesn't change; a ticket is for one
      * incarnation. */
--- a/core/routing.c
+++ b/core/routing.c
@@ -45,8 +45,8 @@
     if (age_ms >= REPORT_MAX_AGE_MS) {
         return mean;
     }
-    double fresh = 1.0 - (double)age_ms / REPORT_MAX_AGE_MS;
-    return host->reported_others * fresh + mean * (1.0 - fresh);
+    double weight = 1.0 - (double)age_ms / REPORT_MAX_AGE_MS;
+    return host->reported_others * weight + mean * (1.0 - weight);
 }
 
 static uint32_t
@@ -55,12 +55,12 @@
     if (host->outlier.state == OUTLIER_PROBING) {
         return 1;
     }
-    int64_t back_ms = dispatch->now_ms - host->returned_ms;
-    if (back_ms >= RAMP_MS) {
+    int64_t since_return_ms = dispatch->now_ms - host->returned_ms;
+    if (since_return_ms >= RAMP_MS) {
         return host->slots;
     }
-    int64_t percent =
-        RAMP_START_PERCENT + (100 - RAMP_START_PERCENT) * back_ms / RAMP_MS;
+    int64_t percent = RAMP_START_PERCENT +
+                      (100 - RAMP_START_PERCENT) * since_return_ms / RAMP_MS;
     return MAX(1, (uint32_t)(host->slots * percent / 100));
 }
 
--- a/egretd/peers_internal.h
+++ b/egretd/peers_internal.h
@@ -68,7 +68,7 @@
 struct peer_target *
 peer_target_create(struct peers *peers, const struct peer_address *member);
 void
-peer_target_destroy(void *target);
+peer_target_destroy(void *data);
 
 /** peer_target_tick() - dial if this gateway should and there is no link. */
 void
--- a/egretjobd/leader_store.c
+++ b/egretjobd/leader_store.c
@@ -142,8 +142,8 @@
 }
 
 /* A conflict comes from a new leader, or from an earlier write of this process
- * whose answer was lost. In that case adopts the stored revisions and returns
- * true. */
+ * whose answer was lost. For the latter, adopts the stored revisions and
+ * returns true. */
 static bool
 handle_conflict(struct leader *leader, const struct store_batch *batch,
                 const struct kv_result *result)
--- a/include/core/jobs/election_backoff.h
+++ b/include/core/jobs/election_backoff.h
@@ -17,14 +17,16 @@
 };
 
 /**
- * struct election_backoff - @waited: the delay for the current vacancy is over
+ * struct election_backoff - state of the back-off
+ * @waited: ELECTION_WAIT was returned for the current vacancy
  */
 struct election_backoff {
     bool waited;
 };
 
 /**
- * election_backoff_next() - next action, leadership being vacant or not
+ * election_backoff_next() - next action
+ * @vacant: leadership may be claimed
  * @cores: processor capacity of this host, in cores
  * @random_fraction: random number from 0 to 1
  * @delay_ms: receives the delay, for ELECTION_WAIT
--- a/include/core/jobs/step_advice.h
+++ b/include/core/jobs/step_advice.h
@@ -10,7 +10,7 @@
 
 /** enum advice_status - advice on one backend server */
 enum advice_status {
-    ADVICE_UNASKED,
+    ADVICE_NOT_REQUESTED,
     ADVICE_REFUSED,
     ADVICE_EXPIRED,
     ADVICE_GRANTED,
--- a/include/platform/kv.h
+++ b/include/platform/kv.h
@@ -98,8 +98,9 @@
 /** kv_item_copy() - deep copy, to be freed with kv_item_destroy(). */
 struct kv_item *
 kv_item_copy(const struct kv_item *item);
+/** kv_item_destroy() - free a struct kv_item; usable as a GDestroyNotify. */
 void
-kv_item_destroy(void *item);
+kv_item_destroy(void *data);
 
 struct kv;
 
