--- a/tests/standing/link_fixture.h
+++ b/tests/membership/link_fixture.h
@@ -1,6 +1,6 @@
 /* Peer links between gateways within one test process. */
-#ifndef TESTS_STANDING_LINK_FIXTURE_H
-#define TESTS_STANDING_LINK_FIXTURE_H
+#ifndef TESTS_MEMBERSHIP_LINK_FIXTURE_H
+#define TESTS_MEMBERSHIP_LINK_FIXTURE_H
 
 #include <gio/gio.h>
 
--- a/tests/standing/model.h
+++ b/tests/membership/model.h
@@ -1,6 +1,6 @@
 /* Simulates five gateways that share one team limit under random faults. */
-#ifndef TESTS_STANDING_MODEL_H
-#define TESTS_STANDING_MODEL_H
+#ifndef TESTS_MEMBERSHIP_MODEL_H
+#define TESTS_MEMBERSHIP_MODEL_H
 
 #include <stdint.h>
 
--- a/tests/standing/model_node.h
+++ b/tests/membership/model_node.h
@@ -1,6 +1,6 @@
 /* One gateway of the model, with its messages and tasks. */
-#ifndef TESTS_STANDING_MODEL_NODE_H
-#define TESTS_STANDING_MODEL_NODE_H
+#ifndef TESTS_MEMBERSHIP_MODEL_NODE_H
+#define TESTS_MEMBERSHIP_MODEL_NODE_H
 
 #include "common/random.h"
 #include "core/quorum_lease.h"
--- a/tests/standing/model_store.h
+++ b/tests/membership/model_store.h
@@ -1,6 +1,6 @@
 /* The key-value store of the model: calls may be late or lost. */
-#ifndef TESTS_STANDING_MODEL_STORE_H
-#define TESTS_STANDING_MODEL_STORE_H
+#ifndef TESTS_MEMBERSHIP_MODEL_STORE_H
+#define TESTS_MEMBERSHIP_MODEL_STORE_H
 
 #include <glib.h>
 
--- a/tests/standing/wait.h
+++ b/tests/membership/wait.h
@@ -1,6 +1,6 @@
 /* Runs the main loop until a condition is met. */
-#ifndef TESTS_STANDING_WAIT_H
-#define TESTS_STANDING_WAIT_H
+#ifndef TESTS_MEMBERSHIP_WAIT_H
+#define TESTS_MEMBERSHIP_WAIT_H
 
 #include <glib.h>
 #include <stdbool.h>
