--- a/bench/fleet_bench.c
+++ b/bench/fleet_bench.c
@@ -205,7 +205,7 @@
  * managed pools with fixed ones that are sized for their own peaks, under the
  * same demand. */
 static void
-bench_buffer(void)
+bench_idle_capacity(void)
 {
     struct config *config = fleet_sim_config(3, 4, 4);
     struct fleet_sim_options options = options_for(1, config);
@@ -378,7 +378,7 @@
     bench_roll_out();
     bench_roll_out_with_failures();
     bench_alternating_demand();
-    bench_buffer();
+    bench_idle_capacity();
     bench_data_centre();
     bench_planning_pass();
     bench_roll_out_at_target();
--- a/tests/core/dispatch_property_test.c
+++ b/tests/core/dispatch_property_test.c
@@ -25,7 +25,7 @@
     LEASE_MS = 3000,
 };
 
-enum end {
+enum task_result {
     RESULT_NONE,
     RESULT_ANSWERED,
     RESULT_REFUSED,
@@ -38,7 +38,7 @@
  * @possible_runs: attempts and forwards sent and not refused
  */
 struct model_task {
-    enum end end;
+    enum task_result result;
     uint32_t n_results;
     uint32_t team;
     uint32_t possible_runs;
@@ -89,12 +89,12 @@
 }
 
 static void
-end_task(struct model *model, uint64_t id, enum end end)
+end_task(struct model *model, uint64_t id, enum task_result result)
 {
     struct model_task *task = &model->tasks[id];
     check(model, task->n_results == 0, "task with two results");
     task->n_results++;
-    task->end = end;
+    task->result = result;
 }
 
 static void
--- a/tests/jobs/store_process_test.c
+++ b/tests/jobs/store_process_test.c
@@ -120,11 +120,11 @@
     send_request(fixture.admin, "POST", "/store/silent");
     for (int i = 0; i < 9; i++) {
         char *path = g_strdup_printf("/draft/00000000000000c%d", i);
-        int64_t asked_ms = g_get_monotonic_time() / 1000;
+        int64_t sent_ms = g_get_monotonic_time() / 1000;
         int status = http_call_sync(fixture.base,
                                     fixture.frontends[i % ENTRY_HOST_COUNT],
                                     "POST", path, "key-skela", job_body, NULL);
-        int64_t took_ms = g_get_monotonic_time() / 1000 - asked_ms;
+        int64_t took_ms = g_get_monotonic_time() / 1000 - sent_ms;
         printf("%d after %ld ms\n", status, (long)took_ms);
         CU_ASSERT(status == 503 || status == 504);
         CU_ASSERT(took_ms < ANSWER_MS);
--- a/tests/process/process_config.h
+++ b/tests/process/process_config.h
@@ -1,6 +1,6 @@
 /* Configuration of the process tests. */
-#ifndef TESTS_PROCESS_CONFIG_H
-#define TESTS_PROCESS_CONFIG_H
+#ifndef TESTS_PROCESS_PROCESS_CONFIG_H
+#define TESTS_PROCESS_PROCESS_CONFIG_H
 
 /* One pool in two data centres, a queue that needs a key and an open one.
  * Every task ends, or its lease expires, within two seconds. */
--- a/tests/process/process_fleet.c
+++ b/tests/process/process_fleet.c
@@ -30,7 +30,7 @@
 kill_processes(struct fleet *fleet)
 {
     for (guint i = fleet->processes->len; i > 0; i--) {
-        struct fleet_process *process =
+        struct fleet_child *process =
             g_ptr_array_index(fleet->processes, i - 1);
         g_subprocess_send_signal(process->child, SIGCONT);
         g_subprocess_force_exit(process->child);
@@ -81,7 +81,7 @@
 }
 
 /* Takes ownership of the arguments after @program. */
-static struct fleet_process *
+static struct fleet_child *
 start(struct fleet *fleet, const char *name, const char *program, ...)
 {
     GPtrArray *argv = g_ptr_array_new_with_free_func(g_free);
@@ -94,7 +94,7 @@
     }
     va_end(list);
     g_ptr_array_add(argv, NULL);
-    struct fleet_process *process = g_new0(struct fleet_process, 1);
+    struct fleet_child *process = g_new0(struct fleet_child, 1);
     process->name = g_strdup(name);
     process->child = spawn(fleet, name, (char **)argv->pdata);
     g_ptr_array_add(fleet->processes, process);
@@ -412,7 +412,7 @@
                   "summary.json");
     save_response(fleet, fleet->proxy_port, "/standin/routes", "routes.json");
     for (guint i = 0; i < fleet->processes->len; i++) {
-        struct fleet_process *process = g_ptr_array_index(fleet->processes, i);
+        struct fleet_child *process = g_ptr_array_index(fleet->processes, i);
         if (g_subprocess_get_identifier(process->child) == NULL &&
             !process->exit_expected) {
             fprintf(stderr, "%s exited unexpectedly, see %s\n", process->name,
@@ -422,7 +422,7 @@
     }
     kill_processes(fleet);
     for (guint i = 0; i < fleet->processes->len; i++) {
-        struct fleet_process *process = g_ptr_array_index(fleet->processes, i);
+        struct fleet_child *process = g_ptr_array_index(fleet->processes, i);
         g_subprocess_wait(process->child, NULL, NULL);
         g_object_unref(process->child);
         g_free(process->name);
@@ -441,7 +441,7 @@
 void
 fleet_signal(struct fleet *fleet, uint32_t i, int signal)
 {
-    struct fleet_process *process = fleet->gateways[i];
+    struct fleet_child *process = fleet->gateways[i];
     process->exit_expected |= signal == SIGKILL || signal == SIGTERM;
     g_subprocess_send_signal(process->child, signal);
 }
--- a/tests/process/process_fleet.h
+++ b/tests/process/process_fleet.h
@@ -1,7 +1,7 @@
 /* A small fleet of real processes whose connections go through a
  * fault-injecting proxy. */
-#ifndef TESTS_PROCESS_FLEET_H
-#define TESTS_PROCESS_FLEET_H
+#ifndef TESTS_PROCESS_PROCESS_FLEET_H
+#define TESTS_PROCESS_PROCESS_FLEET_H
 
 #include <gio/gio.h>
 #include <json-glib/json-glib.h>
@@ -34,8 +34,8 @@
     uint32_t routed_controllers;
 };
 
-/** struct fleet_process - a child process and whether it may exit */
-struct fleet_process {
+/** struct fleet_child - a child process and whether it may exit */
+struct fleet_child {
     char *name;
     GSubprocess *child;
     bool exit_expected;
@@ -44,7 +44,7 @@
 /**
  * struct fleet - the processes and their ports
  * @run_dir: directory of logs, settings and results
- * @processes: struct fleet_process
+ * @processes: struct fleet_child
  * @hosts: the platform's host list
  * @gateways: children that run egretd
  * @controllers: children that run egretfleetd
@@ -55,8 +55,8 @@
     char *config_file;
     JsonNode *hosts;
     GPtrArray *processes;
-    struct fleet_process *gateways[FLEET_GATEWAYS_MAX];
-    struct fleet_process *controllers[FLEET_GATEWAYS_MAX];
+    struct fleet_child *gateways[FLEET_GATEWAYS_MAX];
+    struct fleet_child *controllers[FLEET_GATEWAYS_MAX];
     uint32_t n_gateways;
     uint16_t store_port;
     uint16_t backend_port;
--- a/tests/process/process_suite.h
+++ b/tests/process/process_suite.h
@@ -1,6 +1,6 @@
 /* Runs a single test of a suite, so that meson gives each its own time-out. */
-#ifndef TESTS_PROCESS_SUITE_H
-#define TESTS_PROCESS_SUITE_H
+#ifndef TESTS_PROCESS_PROCESS_SUITE_H
+#define TESTS_PROCESS_PROCESS_SUITE_H
 
 #include <string.h>
 
