--- a/bench/fleet_bench.c
+++ b/bench/fleet_bench.c
@@ -1,6 +1,6 @@
-/* Benchmarks of the fleet controller in simulation: roll-out time, moves, cost
- * of the buffer, loss of a data centre and processor time of planning. Prints
- * one JSON line per measured value; exits with 1 when one misses its bound. */
+/* Benchmarks of the fleet controller in simulation: roll-out time, moves, idle
+ * capacity, loss of a data centre and processor time of planning. Prints one
+ * JSON line per measured value; exits with 1 when one misses its bound. */
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -79,7 +79,7 @@
     fleet_sim_config_free(config);
 }
 
-/* Shortest time in which @hosts pass through drain, reboot and proving period
+/* Shortest time in which @hosts pass through drain, reboot and recovery time
  * with @n_concurrent of them at a time. */
 static double
 roll_out_lower_bound_s(const struct fleet_sim *sim, uint32_t hosts,
@@ -201,9 +201,9 @@
     work->idle += MAX(0, slots - demand) * step_s;
 }
 
-/* Four pools whose demand peaks at different hours of the day. Compares
- * managed pools with fixed ones that are sized for their own peaks, under the
- * same demand. */
+/* Four pools whose demand peaks at different hours of the day. Compares idle
+ * and served slots of managed pools with those of fixed pools that are sized
+ * for their own peaks, under the same demand. */
 static void
 bench_idle_capacity(void)
 {
@@ -310,7 +310,7 @@
 }
 
 /* Median processor time of a planning pass in the middle of a maintenance
- * wave that works on every pool. */
+ * wave in which every pool has hosts under maintenance. */
 static double
 planning_pass_ms(uint32_t racks_per_dc, uint32_t n_pools)
 {
--- a/egretctl/cmd_check.c
+++ b/egretctl/cmd_check.c
@@ -5,8 +5,8 @@
 #include "common/json_read.h"
 #include "common/settings.h"
 
-/* Tells a daemon's settings file from a configuration by members that only
- * settings have. */
+/* Distinguishes a daemon's settings file from a configuration by members that
+ * only settings have. */
 static bool
 is_settings_file(JsonNode *root)
 {
--- a/standins/free_ports.h
+++ b/standins/free_ports.h
@@ -5,15 +5,17 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Fixed ports of tests lie from FREE_PORTS_END to the kernel's own range. */
+/* Tests with fixed ports use those from FREE_PORTS_END up to the kernel's
+ * range of ephemeral ports. */
 enum {
     FREE_PORTS_FIRST = 10000,
     FREE_PORTS_END = 20000,
 };
 
 /**
- * free_ports_find() - @n distinct ports from FREE_PORTS_FIRST up to, without,
- * FREE_PORTS_END, none of which this process was given before.
+ * free_ports_find() - find @n distinct ports in the range from
+ * FREE_PORTS_FIRST to FREE_PORTS_END - 1; no port is returned twice to the
+ * same process.
  */
 void
 free_ports_find(uint16_t *ports, size_t n);
--- a/standins/jobs/emulator_main.c
+++ b/standins/jobs/emulator_main.c
@@ -74,8 +74,8 @@
     http_exchange_reply(exchange, 200, text);
 }
 
-/* Answers all withheld calls with 503. Their callers have given up by now, so
- * that the refusal misleads nobody. */
+/* Answers all withheld calls with 503. Their callers have timed out by now, so
+ * none of them takes this late answer for a refusal. */
 static void
 release_withheld(struct emulator *emulator)
 {
--- a/tests/core/policy_test.c
+++ b/tests/core/policy_test.c
@@ -62,8 +62,9 @@
     sim_destroy(sim);
 }
 
-/* Demand of a team at a gateway: for one phase in five, five times 9 tasks/s,
- * else a twentieth of it. The teams' peaks come one after another. */
+/* Demand of a team at a gateway: five times 9 tasks/s in one phase of five, a
+ * twentieth of 9 tasks/s in the others. The teams' peaks come one after
+ * another. */
 static double
 alternating(uint32_t team, uint32_t gateway, int64_t now_ms)
 {
@@ -191,8 +192,8 @@
     return host < 5;
 }
 
-/* More hosts fail than may be ejected. Hosts with failures that are not
- * ejected have to be avoided, and failed tasks to succeed elsewhere. */
+/* More hosts fail than may be ejected. Failing hosts that are not
+ * ejected have to be avoided, and failed tasks have to succeed elsewhere. */
 static void
 test_half_of_the_hosts_fail(void)
 {
--- a/tests/fleet/planner_policy_test.c
+++ b/tests/fleet/planner_policy_test.c
@@ -134,8 +134,8 @@
     check_and_destroy(sim);
 }
 
-/* A wave must not wait forever for a host that stays down, and has to record
- * that it left it out. */
+/* A wave must not wait forever for a host that stays down; it has to end and
+ * record that host as held out. */
 static void
 test_wave_ends_without_dead_host(void)
 {
--- a/tests/fleet/planner_test.c
+++ b/tests/fleet/planner_test.c
@@ -87,7 +87,7 @@
 }
 
 /* Changes demand, takes a data centre out of service or back, makes the store
- * unreachable or reachable, lets tasks fail on a host. */
+ * unreachable or reachable, and makes all tasks fail on a host. */
 static void
 inject_faults(struct fleet_sim *sim, struct random *random)
 {
@@ -177,9 +177,9 @@
     CU_ASSERT(totals[2] > SCHEDULE_COUNT);
 }
 
-/* A pool gives hosts away while the controllers read old host records. A
- * controller that still counts a host which has moved would admit too many of
- * the others. */
+/* Hosts move out of a pool while the controllers read old host records. A
+ * controller that still counts a host that has moved would admit too many of
+ * the others to disruptions. */
 static void
 run_moves_schedule(uint64_t seed, uint32_t *moves)
 {
--- a/tests/jobs/arrivals_test.c
+++ b/tests/jobs/arrivals_test.c
@@ -109,7 +109,8 @@
         }
         uint32_t requested = fixture_count(&f, COMMAND_MOVE, NULL);
         printf("%u ", requested);
-        /* 8 jobs a second need 11 hosts, a random cluster twice as many. */
+        /* 8 jobs a second need 11 hosts, a random cluster of arrivals twice as
+         * many. */
         CU_ASSERT(requested <= 22);
         g_array_unref(arrivals);
         g_rand_free(rng);
--- a/tests/jobs/leaving_test.c
+++ b/tests/jobs/leaving_test.c
@@ -30,9 +30,9 @@
     fixture_report(f, "b1", running, 2, NULL, 0);
 }
 
-/* At a scale-in, service tasks must not stay on a draining backend server
- * until it is gone: all of them would end at once, and if the leader dies soon
- * after, none would be replaced for a while. They move one by one instead. */
+/* At a scale-in, service tasks must move off a draining backend server one by
+ * one. If they stayed until it is gone, all of them would end at once, and if
+ * the leader died soon after, none would be replaced for a while. */
 static void
 test_service_tasks_leave_one_by_one(void)
 {
@@ -66,7 +66,7 @@
 }
 
 /* Without free capacity elsewhere a service task stays on a draining backend
- * server for as long as that runs. */
+ * server for as long as the server runs. */
 static void
 test_service_tasks_stay_without_capacity(void)
 {
--- a/tests/jobs/model.c
+++ b/tests/jobs/model.c
@@ -85,8 +85,8 @@
     return g_rand_int_range(sim->random, 1, 12);
 }
 
-/* Sends a command, which may be lost, late or on time. If it is cut off or
- * lost, the leader gets "no answer" after the time-out. */
+/* Sends a command. If the link is cut, or the command is lost or arrives after
+ * the time-out, the leader gets "no answer" at the time-out. */
 void
 send_command(struct sim *sim, struct leader *leader, struct message command)
 {
--- a/tests/jobs/model.h
+++ b/tests/jobs/model.h
@@ -12,8 +12,8 @@
 /**
  * enum model_mutation - mechanism that is switched off
  * @MUTATION_NO_FENCE: backend servers accept commands of any leader
- * @MUTATION_NO_REPORT_WAIT: a new leader takes runs that it has no report of
- *                           for ended
+ * @MUTATION_NO_REPORT_WAIT: a new leader does not wait for run reports, and
+ *                           treats runs that are not reported yet as ended
  * @MUTATION_NO_REGISTRATION: a new leader does not know which backend
  *                            servers previous leaders used
  * @MUTATION_NO_STOP_WAIT: a new leader does not wait for stops of the
--- a/tests/membership/limit_property_test.c
+++ b/tests/membership/limit_property_test.c
@@ -12,7 +12,7 @@
 
 enum {
     SCHEDULES = 1000,
-    /* A switched-off mechanism has to give a violation within so many. */
+    /* A switched-off mechanism has to give a violation within this many. */
     FAULT_SCHEDULES_MAX = 1000,
 };
 
--- a/tests/membership/model.h
+++ b/tests/membership/model.h
@@ -8,12 +8,13 @@
  * enum model_fault - safety mechanisms that a run switches off
  * @MODEL_FAULT_NO_WAIT, @MODEL_FAULT_ANY_EPOCH, @MODEL_FAULT_NO_MAJORITY: the
  *     same bits as in enum members_fault
- * @MODEL_FAULT_NO_LEASE_CHECK: start while registered, quorum lease or not
+ * @MODEL_FAULT_NO_LEASE_CHECK: start tasks while registered, even without a
+ *     quorum lease
  * @MODEL_FAULT_HOLDING_AS_STORED: use the holding in the last record read,
  *     also while a write that lowers it is under way
- * @MODEL_FAULT_RENEWAL_KEPT: take the renewal record of a fenced gateway for
- *     deleted without deleting it
- * @MODEL_FAULT_STALE_LIMIT: start after a pause without asking for the
+ * @MODEL_FAULT_RENEWAL_KEPT: go on as if the renewal record of a fenced
+ *     gateway were deleted, without deleting it
+ * @MODEL_FAULT_STALE_LIMIT: start tasks after a pause without reading the
  *     newest limit first
  */
 enum model_fault {
--- a/tests/membership/model_node.c
+++ b/tests/membership/model_node.c
@@ -457,7 +457,7 @@
     if (node->generation == model->generation) {
         return;
     }
-    /* After a pause a gateway asks for the newest generation before it starts
+    /* After a pause a gateway reads the newest generation before it starts
      * tasks. */
     if (node->paused_until_ms == model->now_ms &&
         (model->faults & MODEL_FAULT_STALE_LIMIT) == 0) {
--- a/tests/membership/model_node.h
+++ b/tests/membership/model_node.h
@@ -57,7 +57,7 @@
 /**
  * struct model_node - one gateway and its calls under way
  * @start_ms: when a killed gateway starts again
- * @created: its renewal record was written once
+ * @created: its renewal record exists in the store
  * @limit_known_ms: when it learns a changed limit; INT64_MAX for no change
  */
 struct model_node {
--- a/tests/membership/registration_test.c
+++ b/tests/membership/registration_test.c
@@ -20,8 +20,8 @@
     QUORUM_LEASE_MS = 1000,
     HEARTBEAT_MS = 250,
     TASK_LEASE_MS = 300,
-    /* Heartbeats per second with the default settings, and their most
-     * traffic per gateway. */
+    /* Heartbeats per second with the default settings, and the most traffic
+     * that they may cause per gateway. */
     HEARTBEATS_PER_S = 2,
     HEARTBEAT_BYTES_PER_S_MAX = 4096,
 };
--- a/tests/process/limit_test.c
+++ b/tests/process/limit_test.c
@@ -177,7 +177,8 @@
     g_file_set_contents(path, lower, -1, NULL);
     char *output = fleet_ctl(fleet, "apply", path, "--wait", NULL);
     CU_ASSERT_PTR_NOT_NULL(output);
-    /* Tasks that ran before may end; starts from now on are counted. */
+    /* Tasks started under the old limit get time to end; then the peaks are
+     * reset, so that only starts from now on count. */
     fleet_sleep_ms(2000);
     g_free(fleet_call(fleet, "POST", fleet->backend_port,
                       "/standin/restart-highs", "", NULL));
--- a/tests/store/config_store_test.c
+++ b/tests/store/config_store_test.c
@@ -1,7 +1,7 @@
 /*
  * Changes of the configuration by racing operators while answers of the store
- * get lost. An operator must never be told that a change failed that became
- * active, nor the other way round, and pruning must not delete what the active
+ * get lost. A change that became active must never be reported as failed, nor
+ * the other way round, and pruning must not delete what the active
  * configuration or a change under way needs.
  */
 #include <inttypes.h>
