--- a/soak/soak_main.c
+++ b/soak/soak_main.c
@@ -16,10 +16,10 @@
 #include "soak_plan.h"
 
 enum {
-    BACKENDS = 12,
+    BACKEND_COUNT = 12,
     RUN_MS = 10000,
     SLICE_MS = 50,
-    SERVICE_JOBS = 4,
+    SERVICE_JOB_COUNT = 4,
 };
 
 static uint32_t seed;
@@ -87,7 +87,7 @@
         g_snprintf(path, sizeof(path), "/crash/%d", target);
         send_request(fixture.admin, "POST", path);
         break;
-    case FAULT_KINDS:
+    case FAULT_KIND_COUNT:
         break;
     }
 }
@@ -122,7 +122,7 @@
         toggle_reachable(target);
         break;
     case FAULT_HOST_CRASH:
-    case FAULT_KINDS:
+    case FAULT_KIND_COUNT:
         break;
     }
 }
@@ -176,8 +176,8 @@
 run_seed(void)
 {
     fixture_set_up(first_port, true);
-    GArray *plan =
-        soak_plan_create(seed, ENTRY_HOST_COUNT, BACKENDS, RUN_MS * 8 / 10);
+    GArray *plan = soak_plan_create(seed, ENTRY_HOST_COUNT, BACKEND_COUNT,
+                                    RUN_MS * 8 / 10);
     for (guint i = 0; i < plan->len; i++) {
         const struct soak_fault *fault =
             &g_array_index(plan, struct soak_fault, i);
@@ -191,7 +191,7 @@
         send_request(fixture.admin, "POST", path);
         g_free(path);
     }
-    for (int i = 0; i < SERVICE_JOBS; i++) {
+    for (int i = 0; i < SERVICE_JOB_COUNT; i++) {
         job_caller_submit_to_cancel(fixture.caller, &fixture.service,
                                     service_job_body, 4000 + 1500 * i);
     }
--- a/soak/soak_plan.c
+++ b/soak/soak_plan.c
@@ -81,8 +81,8 @@
     int n_faults = g_rand_int_range(rng, FAULTS_MIN, FAULTS_MAX + 1);
     for (int i = 0; i < n_faults; i++) {
         struct soak_fault fault = {
-            .kind =
-                (enum soak_fault_kind)g_rand_int_range(rng, 0, FAULT_KINDS),
+            .kind = (enum soak_fault_kind)g_rand_int_range(rng, 0,
+                                                           FAULT_KIND_COUNT),
             .at_ms = g_rand_int_range(rng, FIRST_FAULT_MS, (gint32)length_ms),
             .duration_ms =
                 g_rand_int_range(rng, DURATION_MIN_MS, DURATION_MAX_MS),
--- a/soak/soak_plan.h
+++ b/soak/soak_plan.h
@@ -35,7 +35,7 @@
     FAULT_LINK_RESET,
     FAULT_BACKEND_UNREACHABLE,
     FAULT_HOST_CRASH,
-    FAULT_KINDS,
+    FAULT_KIND_COUNT,
 };
 
 /**
--- a/tests/jobs/advice_test.c
+++ b/tests/jobs/advice_test.c
@@ -9,7 +9,7 @@
 #define JOB_B "00000000000000bb"
 
 enum {
-    BACKENDS = 60,
+    BACKEND_COUNT = 60,
     TICKET_VALID_MS = 3000,
 };
 
@@ -76,7 +76,7 @@
 test_requests_are_small(void)
 {
     struct fleet_fixture f;
-    init_with_advice(&f, BACKENDS);
+    init_with_advice(&f, BACKEND_COUNT);
     fixture_add_job(&f, JOB_A, "p", four_tasks);
     GHashTable *requested_ids =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -94,7 +94,7 @@
         g_strfreev(ids);
         give_advice(&f, NULL);
     }
-    CU_ASSERT_EQUAL(g_hash_table_size(requested_ids), BACKENDS);
+    CU_ASSERT_EQUAL(g_hash_table_size(requested_ids), BACKEND_COUNT);
     CU_ASSERT_EQUAL(fixture_count(&f, COMMAND_START, NULL), 0);
     g_hash_table_unref(requested_ids);
     fixture_clear(&f);
--- a/tests/jobs/model.c
+++ b/tests/jobs/model.c
@@ -128,7 +128,7 @@
     if (faults_active(sim) && !leader->cut_from_store && chance(sim, 0.02)) {
         leader->cut_from_store = true;
     }
-    for (int i = 0; i < BACKENDS; i++) {
+    for (int i = 0; i < BACKEND_COUNT; i++) {
         if (faults_active(sim) && chance(sim, 0.01)) {
             leader->cut_from[i] = !leader->cut_from[i];
         }
@@ -189,7 +189,7 @@
 static void
 simulate_callers(struct sim *sim)
 {
-    for (int i = 0; i < JOBS; i++) {
+    for (int i = 0; i < JOB_COUNT; i++) {
         struct stored_job *stored = &sim->jobs[i];
         if (stored->value == NULL && sim->now_ms >= (i + 1) * 900) {
             submit(sim, i);
@@ -219,7 +219,7 @@
     struct pool_config *pool = g_new0(struct pool_config, 1);
     pool->name = g_strdup("p");
     g_ptr_array_add(sim->config->pools, pool);
-    for (int i = 0; i < BACKENDS; i++) {
+    for (int i = 0; i < BACKEND_COUNT; i++) {
         model_backend_init(&sim->backends[i], i,
                            98 + g_rand_int_range(sim->random, 0, 3),
                            g_rand_int_range(sim->random, 1000, 900000));
@@ -227,7 +227,7 @@
         sim->backends[i].no_lease_expiry =
             mutation == MUTATION_NO_LEASE_EXPIRY;
     }
-    for (int i = 0; i < JOBS; i++) {
+    for (int i = 0; i < JOB_COUNT; i++) {
         g_snprintf(sim->jobs[i].id, sizeof(sim->jobs[i].id), "%016x", i + 1);
     }
 }
@@ -253,10 +253,10 @@
     g_hash_table_unref(sim->registered);
     g_hash_table_unref(sim->done_acked);
     fleet_config_destroy(sim->config);
-    for (int i = 0; i < BACKENDS; i++) {
+    for (int i = 0; i < BACKEND_COUNT; i++) {
         model_backend_clear(&sim->backends[i]);
     }
-    for (int i = 0; i < JOBS; i++) {
+    for (int i = 0; i < JOB_COUNT; i++) {
         g_free(sim->jobs[i].value);
         g_free(sim->jobs[i].progress);
     }
@@ -266,7 +266,7 @@
 static void
 check_final_state(struct sim *sim)
 {
-    for (int i = 0; i < JOBS; i++) {
+    for (int i = 0; i < JOB_COUNT; i++) {
         const struct job *job =
             scheduler_find_job(sim->current->sched, sim->jobs[i].id);
         if (job == NULL) {
--- a/tests/jobs/model.h
+++ b/tests/jobs/model.h
@@ -30,7 +30,7 @@
     MUTATION_NO_STOP_WAIT,
     MUTATION_ACK_UNSTORED,
     MUTATION_NO_LEASE_EXPIRY,
-    MUTATIONS,
+    MUTATION_COUNT,
 };
 
 /**
--- a/tests/jobs/model_deliver.c
+++ b/tests/jobs/model_deliver.c
@@ -12,7 +12,7 @@
 check_start(struct sim *sim, const struct message *command)
 {
     sim->result.starts++;
-    for (int i = 0; i < BACKENDS; i++) {
+    for (int i = 0; i < BACKEND_COUNT; i++) {
         for (guint r = 0; r < sim->backends[i].runs->len; r++) {
             const struct model_task_run *run =
                 g_ptr_array_index(sim->backends[i].runs, r);
@@ -241,7 +241,7 @@
 void
 deliver(struct sim *sim, struct message *message)
 {
-    for (int i = 0; i < BACKENDS; i++) {
+    for (int i = 0; i < BACKEND_COUNT; i++) {
         model_backend_advance(&sim->backends[i], sim->now_ms);
     }
     struct leader *leader = message->leader;
--- a/tests/jobs/model_leader.c
+++ b/tests/jobs/model_leader.c
@@ -73,7 +73,7 @@
 struct stored_job *
 find_stored_job(struct sim *sim, const char *id)
 {
-    for (int i = 0; i < JOBS; i++) {
+    for (int i = 0; i < JOB_COUNT; i++) {
         if (strcmp(sim->jobs[i].id, id) == 0) {
             return &sim->jobs[i];
         }
@@ -159,7 +159,7 @@
 load_jobs(struct leader *leader)
 {
     struct sim *sim = leader->sim;
-    for (int i = 0; i < JOBS; i++) {
+    for (int i = 0; i < JOB_COUNT; i++) {
         struct stored_job *stored = &sim->jobs[i];
         if (stored->value == NULL) {
             continue;
@@ -207,7 +207,7 @@
     scheduler_configure(leader->sched, sim->config);
     scheduler_set_leadership_valid(leader->sched, true);
     load_jobs(leader);
-    for (int i = 0; i < BACKENDS; i++) {
+    for (int i = 0; i < BACKEND_COUNT; i++) {
         struct backend_entry entry;
         fill_entry(&entry, sim, i);
         if (g_hash_table_contains(sim->registered, entry.id) &&
@@ -216,7 +216,7 @@
         }
         scheduler_backend_seen(leader->sched, &entry);
     }
-    for (int i = 0; i < BACKENDS; i++) {
+    for (int i = 0; i < BACKEND_COUNT; i++) {
         leader->cut_from[i] = faults_active(sim) && chance(sim, 0.15);
     }
     g_ptr_array_add(sim->leaders, leader);
--- a/tests/jobs/model_state.h
+++ b/tests/jobs/model_state.h
@@ -8,8 +8,8 @@
 #include "model.h"
 
 enum {
-    BACKENDS = 4,
-    JOBS = 5,
+    BACKEND_COUNT = 4,
+    JOB_COUNT = 5,
     SCHEDULE_MS = 33000,
     /* No faults after this time; all jobs have to finish by SCHEDULE_MS. */
     FAULTS_END_MS = 10000,
@@ -38,7 +38,7 @@
     int64_t token;
     int64_t valid_until_ms;
     bool cut_from_store;
-    bool cut_from[BACKENDS];
+    bool cut_from[BACKEND_COUNT];
     bool storing;
     bool killed;
 };
@@ -120,10 +120,10 @@
     int64_t now_ms;
     uint64_t next_sequence;
     GSequence *messages;
-    struct model_backend backends[BACKENDS];
+    struct model_backend backends[BACKEND_COUNT];
     GHashTable *registered;
     GHashTable *done_acked;
-    struct stored_job jobs[JOBS];
+    struct stored_job jobs[JOB_COUNT];
     GPtrArray *leaders;
     struct leader *current;
     int64_t next_token;
--- a/tests/jobs/model_test.c
+++ b/tests/jobs/model_test.c
@@ -9,13 +9,13 @@
 #include "model.h"
 
 enum {
-    SCHEDULES = 400,
+    SCHEDULE_COUNT = 400,
     /* A violation must show within this many schedules when a mechanism is
      * switched off. */
-    MUTATION_SCHEDULES = 600,
+    MUTATION_SCHEDULES_MAX = 600,
 };
 
-static uint32_t schedules = SCHEDULES;
+static uint32_t schedules = SCHEDULE_COUNT;
 static uint32_t first_seed = 1;
 
 static void
@@ -51,10 +51,10 @@
 static void
 test_mutations(void)
 {
-    for (int m = MUTATION_NONE + 1; m < MUTATIONS; m++) {
+    for (int m = MUTATION_NONE + 1; m < MUTATION_COUNT; m++) {
         uint32_t first = 0;
         const char *violation = NULL;
-        for (uint32_t seed = 1; seed <= MUTATION_SCHEDULES && first == 0;
+        for (uint32_t seed = 1; seed <= MUTATION_SCHEDULES_MAX && first == 0;
              seed++) {
             struct model_result result =
                 model_run(seed, (enum model_mutation)m);
--- a/tests/membership/limit_property_test.c
+++ b/tests/membership/limit_property_test.c
@@ -11,22 +11,22 @@
 #include "model.h"
 
 enum {
-    SCHEDULES = 1000,
+    SCHEDULE_COUNT = 1000,
     /* A switched-off mechanism has to give a violation within this many. */
-    FAULT_SCHEDULES_MAX = 1000,
+    MUTATION_SCHEDULES_MAX = 1000,
 };
 
 static struct model_result
 run_schedules(const char *label, uint64_t first_seed, uint64_t n_schedules,
-              uint32_t n_violated_max, unsigned faults)
+              uint32_t n_violated_max, unsigned mutations)
 {
     struct model_result total = {0};
     uint32_t n_violated = 0;
     uint64_t n_run = 0;
     for (uint64_t seed = first_seed;
          n_run < n_schedules && n_violated < n_violated_max; seed++) {
-        struct model_result one = model_run(seed, faults);
-        if (one.violations > 0 && faults == MODEL_FAULT_NONE) {
+        struct model_result one = model_run(seed, mutations);
+        if (one.violations > 0 && mutations == MODEL_MUTATION_NONE) {
             printf("\n    seed %" PRIu64 ": %u violations", seed,
                    one.violations);
         }
@@ -50,38 +50,41 @@
 test_limit_holds(void)
 {
     struct model_result all =
-        run_schedules("no faults", 1, SCHEDULES, UINT32_MAX, MODEL_FAULT_NONE);
+        run_schedules("all mechanisms on", 1, SCHEDULE_COUNT, UINT32_MAX,
+                      MODEL_MUTATION_NONE);
     CU_ASSERT_EQUAL(all.violations, 0);
     /* A fleet that starts nothing would also stay within its limit. */
-    CU_ASSERT(all.starts > 50 * SCHEDULES);
-    CU_ASSERT(all.late_outage_starts > 4 * SCHEDULES);
-    CU_ASSERT(all.reclaims > SCHEDULES);
+    CU_ASSERT(all.starts > 50 * SCHEDULE_COUNT);
+    CU_ASSERT(all.late_outage_starts > 4 * SCHEDULE_COUNT);
+    CU_ASSERT(all.reclaims > SCHEDULE_COUNT);
 }
 
 static void
-check_fault_found(const char *label, uint64_t first_seed, unsigned faults)
+check_mutation_found(const char *label, uint64_t first_seed,
+                     unsigned mutations)
 {
     struct model_result all =
-        run_schedules(label, first_seed, FAULT_SCHEDULES_MAX, 1, faults);
+        run_schedules(label, first_seed, MUTATION_SCHEDULES_MAX, 1, mutations);
     CU_ASSERT(all.violations > 0);
 }
 
 static void
 test_each_mechanism_is_needed(void)
 {
-    check_fault_found("no wait for quorum and task leases", 1,
-                      MODEL_FAULT_NO_WAIT);
-    check_fault_found("leases granted whatever the epoch", 1,
-                      MODEL_FAULT_ANY_EPOCH);
-    check_fault_found("changes without a majority", 1,
-                      MODEL_FAULT_NO_MAJORITY);
-    check_fault_found("no check of the quorum lease", 1,
-                      MODEL_FAULT_NO_LEASE_CHECK);
-    check_fault_found("stored holding used as permits", 1,
-                      MODEL_FAULT_HOLDING_AS_STORED);
-    check_fault_found("renewal record not deleted", 340,
-                      MODEL_FAULT_RENEWAL_KEPT);
-    check_fault_found("old limit after a pause", 490, MODEL_FAULT_STALE_LIMIT);
+    check_mutation_found("no wait for quorum and task leases", 1,
+                         MODEL_MUTATION_NO_WAIT);
+    check_mutation_found("leases granted whatever the epoch", 1,
+                         MODEL_MUTATION_ANY_EPOCH);
+    check_mutation_found("changes without a majority", 1,
+                         MODEL_MUTATION_NO_MAJORITY);
+    check_mutation_found("no check of the quorum lease", 1,
+                         MODEL_MUTATION_NO_LEASE_CHECK);
+    check_mutation_found("stored holding used as permits", 1,
+                         MODEL_MUTATION_HOLDING_AS_STORED);
+    check_mutation_found("renewal record not deleted", 340,
+                         MODEL_MUTATION_RENEWAL_KEPT);
+    check_mutation_found("old limit after a pause", 490,
+                         MODEL_MUTATION_STALE_LIMIT);
 }
 
 int
--- a/tests/membership/model.c
+++ b/tests/membership/model.c
@@ -5,9 +5,9 @@
 #include "model_node.h"
 
 enum {
-    STEPS = 400,
+    STEP_COUNT = 400,
     FIRST_LIMIT = 5,
-    FAULT_KINDS = 6,
+    FAULT_KIND_COUNT = 6,
 };
 
 static void
@@ -62,7 +62,7 @@
 {
     unsigned all = (1U << MODEL_NODES) - 1;
     unsigned group = random_below(&model->random, all + 1);
-    uint32_t kind = random_below(&model->random, FAULT_KINDS);
+    uint32_t kind = random_below(&model->random, FAULT_KIND_COUNT);
     cut_peers(model, cut_nothing, 0);
     cut_store(model, 0);
     if (kind == 1) {
@@ -195,7 +195,7 @@
     struct model_node *node = &model->nodes[at];
     bool lease_held =
         model->now_ms < quorum_lease_expires_ms(node->quorum_lease);
-    if ((model->faults & MODEL_FAULT_NO_LEASE_CHECK) != 0) {
+    if ((model->mutations & MODEL_MUTATION_NO_LEASE_CHECK) != 0) {
         lease_held = members_self_live(node->members);
     }
     if (!lease_held ||
@@ -260,11 +260,11 @@
 }
 
 struct model_result
-model_run(uint64_t seed, unsigned faults)
+model_run(uint64_t seed, unsigned mutations)
 {
     struct model model = {
         .random = random_seeded(seed),
-        .faults = faults,
+        .mutations = mutations,
         .now_ms = MODEL_STEP_MS,
         .calls = g_ptr_array_new_with_free_func(model_call_destroy),
         .messages = g_ptr_array_new_with_free_func(destroy_message),
@@ -273,7 +273,7 @@
         .generation = 1,
         .faults_until_ms = 2 * MODEL_QUORUM_LEASE_MS,
     };
-    for (int step = 0; step < STEPS; step++) {
+    for (int step = 0; step < STEP_COUNT; step++) {
         inject_faults(&model, step);
         execute_calls(&model);
         for (int at = 0; at < MODEL_NODES; at++) {
--- a/tests/membership/model.h
+++ b/tests/membership/model.h
@@ -5,27 +5,27 @@
 #include <stdint.h>
 
 /**
- * enum model_fault - safety mechanisms that a run switches off
- * @MODEL_FAULT_NO_WAIT, @MODEL_FAULT_ANY_EPOCH, @MODEL_FAULT_NO_MAJORITY: the
- *     same bits as in enum members_fault
- * @MODEL_FAULT_NO_LEASE_CHECK: start tasks while registered, even without a
+ * enum model_mutation - safety mechanisms that a run switches off
+ * @MODEL_MUTATION_NO_WAIT, @MODEL_MUTATION_ANY_EPOCH,
+ * @MODEL_MUTATION_NO_MAJORITY: the same bits as in enum members_fault
+ * @MODEL_MUTATION_NO_LEASE_CHECK: start tasks while registered, even without a
  *     quorum lease
- * @MODEL_FAULT_HOLDING_AS_STORED: use the holding in the last record read,
+ * @MODEL_MUTATION_HOLDING_AS_STORED: use the holding in the last record read,
  *     also while a write that lowers it is under way
- * @MODEL_FAULT_RENEWAL_KEPT: go on as if the renewal record of a fenced
+ * @MODEL_MUTATION_RENEWAL_KEPT: go on as if the renewal record of a fenced
  *     gateway were deleted, without deleting it
- * @MODEL_FAULT_STALE_LIMIT: start tasks after a pause without reading the
+ * @MODEL_MUTATION_STALE_LIMIT: start tasks after a pause without reading the
  *     newest limit first
  */
-enum model_fault {
-    MODEL_FAULT_NONE = 0,
-    MODEL_FAULT_NO_WAIT = 1 << 0,
-    MODEL_FAULT_ANY_EPOCH = 1 << 1,
-    MODEL_FAULT_NO_MAJORITY = 1 << 2,
-    MODEL_FAULT_NO_LEASE_CHECK = 1 << 3,
-    MODEL_FAULT_HOLDING_AS_STORED = 1 << 4,
-    MODEL_FAULT_RENEWAL_KEPT = 1 << 5,
-    MODEL_FAULT_STALE_LIMIT = 1 << 6,
+enum model_mutation {
+    MODEL_MUTATION_NONE = 0,
+    MODEL_MUTATION_NO_WAIT = 1 << 0,
+    MODEL_MUTATION_ANY_EPOCH = 1 << 1,
+    MODEL_MUTATION_NO_MAJORITY = 1 << 2,
+    MODEL_MUTATION_NO_LEASE_CHECK = 1 << 3,
+    MODEL_MUTATION_HOLDING_AS_STORED = 1 << 4,
+    MODEL_MUTATION_RENEWAL_KEPT = 1 << 5,
+    MODEL_MUTATION_STALE_LIMIT = 1 << 6,
 };
 
 /**
@@ -49,6 +49,6 @@
 
 /** model_run() - run one schedule; the same seed gives the same run. */
 struct model_result
-model_run(uint64_t seed, unsigned faults);
+model_run(uint64_t seed, unsigned mutations);
 
 #endif
--- a/tests/membership/model_node.c
+++ b/tests/membership/model_node.c
@@ -39,7 +39,7 @@
         .quorum_lease_ms = MODEL_QUORUM_LEASE_MS,
         .fence_after_ms = MODEL_QUORUM_LEASE_MS,
     });
-    members_set_faults(node->members, model->faults & 7);
+    members_set_faults(node->members, model->mutations & 7);
     node->quorum_lease =
         quorum_lease_create(node->incarnation, MODEL_QUORUM_LEASE_MS);
     node->permits = permits_create(node->incarnation);
@@ -359,7 +359,7 @@
     else if (node->created &&
              members_next(node->members, model->now_ms, &action)) {
         bool clear = action.kind == MEMBERS_DELETE_RENEWAL;
-        if (clear && (model->faults & MODEL_FAULT_RENEWAL_KEPT) != 0) {
+        if (clear && (model->mutations & MODEL_MUTATION_RENEWAL_KEPT) != 0) {
             members_renewal_read(node->members, action.incarnation, 0, 0,
                                  model->now_ms, model->now_ms);
             return;
@@ -460,7 +460,7 @@
     /* After a pause a gateway reads the newest generation before it starts
      * tasks. */
     if (node->paused_until_ms == model->now_ms &&
-        (model->faults & MODEL_FAULT_STALE_LIMIT) == 0) {
+        (model->mutations & MODEL_MUTATION_STALE_LIMIT) == 0) {
         node->limit_known_ms = model->now_ms;
     }
     if (node->limit_known_ms == INT64_MAX) {
@@ -525,7 +525,7 @@
 {
     const struct model_node *node = &model->nodes[at];
     const struct permits_record *record = permits_record(node->permits);
-    if ((model->faults & MODEL_FAULT_HOLDING_AS_STORED) != 0 &&
+    if ((model->mutations & MODEL_MUTATION_HOLDING_AS_STORED) != 0 &&
         record != NULL) {
         return permits_record_held(record, node->incarnation);
     }
--- a/tests/membership/model_node.h
+++ b/tests/membership/model_node.h
@@ -90,7 +90,7 @@
  */
 struct model {
     struct random random;
-    unsigned faults;
+    unsigned mutations;
     int64_t now_ms;
     struct model_store store;
     struct model_node nodes[MODEL_NODES];
--- a/tests/membership/registration_test.c
+++ b/tests/membership/registration_test.c
@@ -15,7 +15,7 @@
 #include "wait.h"
 
 enum {
-    GATEWAYS = 7,
+    GATEWAY_COUNT = 7,
     LIMIT = 21,
     QUORUM_LEASE_MS = 1000,
     HEARTBEAT_MS = 250,
@@ -45,7 +45,7 @@
 };
 
 static struct store_process store_process;
-static struct gateway gateways[GATEWAYS];
+static struct gateway gateways[GATEWAY_COUNT];
 static struct config_team team = {.name = "team", .max_running = LIMIT};
 static struct config config = {.generation = 1, .teams = &team, .n_teams = 1};
 
@@ -88,7 +88,7 @@
            uint64_t epoch)
 {
     struct gateway *gateway = ctx;
-    struct peer_address addresses[4 * GATEWAYS];
+    struct peer_address addresses[4 * GATEWAY_COUNT];
     gateway->n_live = 0;
     gateway->n_entries = (uint32_t)n_members;
     for (size_t i = 0; i < n_members; i++) {
@@ -279,7 +279,7 @@
 static void
 stop_all(void)
 {
-    for (int at = 0; at < GATEWAYS; at++) {
+    for (int at = 0; at < GATEWAY_COUNT; at++) {
         gateway_kill(at);
     }
     store_process_stop(&store_process);
@@ -329,8 +329,8 @@
 static void
 test_seven_start_at_once(void)
 {
-    start_gateways(GATEWAYS);
-    CU_ASSERT(wait_until(all_registered, GUINT_TO_POINTER(GATEWAYS)));
+    start_gateways(GATEWAY_COUNT);
+    CU_ASSERT(wait_until(all_registered, GUINT_TO_POINTER(GATEWAY_COUNT)));
     struct peers_stats before = peers_get_stats(gateways[0].peers);
     int64_t n_heartbeats = 8;
     run_for(n_heartbeats * HEARTBEAT_MS);
