--- a/egretd/engine_actions.c
+++ b/egretd/engine_actions.c
@@ -116,20 +116,20 @@
 static void
 schedule_wake(struct engine *engine)
 {
-    int64_t now = engine_now_ms(engine);
-    int64_t at = dispatch_wake_ms(engine->dispatch, now);
-    if (engine->wake_source != 0 && engine->wake_at_ms <= at) {
+    int64_t now_ms = engine_now_ms(engine);
+    int64_t at_ms = dispatch_wake_ms(engine->dispatch, now_ms);
+    if (engine->wake_source != 0 && engine->wake_at_ms <= at_ms) {
         return;
     }
     if (engine->wake_source != 0) {
         g_source_remove(engine->wake_source);
         engine->wake_source = 0;
     }
-    if (at == INT64_MAX) {
+    if (at_ms == INT64_MAX) {
         return;
     }
-    int64_t delay_ms = CLAMP(at - now, 1, WAKE_DELAY_MAX_MS);
-    engine->wake_at_ms = now + delay_ms;
+    int64_t delay_ms = CLAMP(at_ms - now_ms, 1, WAKE_DELAY_MAX_MS);
+    engine->wake_at_ms = now_ms + delay_ms;
     engine->wake_source = g_timeout_add((guint)delay_ms, on_wake, engine);
 }
 
--- a/egretd/engine_events.c
+++ b/egretd/engine_events.c
@@ -95,14 +95,14 @@
               enum attempt_result result, enum reason reason, bool task_ended)
 {
     uint64_t attempt = 0;
-    bool whole = result == ATTEMPT_DONE;
+    bool complete = result == ATTEMPT_DONE;
     if (!task_ended) {
         dispatch_cancel(engine->dispatch, request->task, &attempt,
                         engine_now_ms(engine));
     }
-    request_stream_end(request, whole);
+    request_stream_end(request, complete);
     struct answer *answer =
-        answer_create(whole ? OUTCOME_DONE : OUTCOME_UNKNOWN, reason);
+        answer_create(complete ? OUTCOME_DONE : OUTCOME_UNKNOWN, reason);
     answer->host = g_strdup(request->host);
     engine_finish(engine, request, answer);
     answer_destroy(answer);
--- a/egretd/membership.c
+++ b/egretd/membership.c
@@ -99,14 +99,14 @@
 {
     struct membership *membership = ctx;
     bool lost = expires_ms < membership->quorum_lease_expires_ms;
-    int64_t now = ms_clock_now(&membership->options.clock);
+    int64_t now_ms = ms_clock_now(&membership->options.clock);
     bool gained =
-        membership->quorum_lease_expires_ms <= now && expires_ms > now;
+        membership->quorum_lease_expires_ms <= now_ms && expires_ms > now_ms;
     membership->quorum_lease_expires_ms = expires_ms;
     dispatch_set_quorum_lease(dispatch_of(membership), expires_ms);
     if (lost || gained) {
         log_line(LOG_LEVEL_INFO, "standing", "until_in_ms=%" G_GINT64_FORMAT,
-                 MAX(expires_ms, now) - now);
+                 MAX(expires_ms, now_ms) - now_ms);
         engine_run_actions(membership->options.engine);
     }
 }
--- a/egretd/request.c
+++ b/egretd/request.c
@@ -144,7 +144,7 @@
 }
 
 void
-request_stream_end(struct request *request, bool whole)
+request_stream_end(struct request *request, bool complete)
 {
     SoupServerMessage *message = request->streaming;
     if (message == NULL) {
@@ -155,7 +155,7 @@
     request->streaming = NULL;
     request->abandoned = NULL;
     g_ptr_array_set_size(request->waiters, 0);
-    if (whole) {
+    if (complete) {
         soup_message_body_complete(
             soup_server_message_get_response_body(message));
     }
--- a/egretd/usage_report.c
+++ b/egretd/usage_report.c
@@ -76,18 +76,18 @@
 {
     struct usage_report *report = data;
     const struct dispatch_usage *entries;
-    int64_t now = ms_clock_now(&report->options.clock);
+    int64_t now_ms = ms_clock_now(&report->options.clock);
     size_t n_entries = dispatch_usage_get(
-        engine_dispatch(report->options.engine), &entries, now);
+        engine_dispatch(report->options.engine), &entries, now_ms);
     bool active = is_active(entries, n_entries);
     /* One more report at the active interval shows peers that the last task
      * has ended. */
     int64_t wait_ms =
         interval_ms(report, n_entries,
                     active || report->was_active || report->peer_has_queued);
-    if (now - report->last_sent_ms >= wait_ms) {
+    if (now_ms - report->last_sent_ms >= wait_ms) {
         send_usage(report, entries, n_entries);
-        report->last_sent_ms = now;
+        report->last_sent_ms = now_ms;
         report->was_active = active;
         report->peer_has_queued = false;
     }
--- a/include/egretd/request.h
+++ b/include/egretd/request.h
@@ -109,9 +109,9 @@
 void
 request_stream_data(struct request *request, GBytes *piece);
 
-/** request_stream_end() - end the stream; unless @whole, the connection is
+/** request_stream_end() - end the stream; unless @complete, the connection is
  * shut down so that the caller sees a truncated answer. */
 void
-request_stream_end(struct request *request, bool whole);
+request_stream_end(struct request *request, bool complete);
 
 #endif
