--- a/bench/gateway_bench.c
+++ b/bench/gateway_bench.c
@@ -119,7 +119,7 @@
         g_free(fleet_key(fleet, "beta"));
         worst_ms = MAX(worst_ms, fleet_now_ms() - start_ms);
     }
-    /* With only 20 samples the maximum stands for p99. */
+    /* 20 samples are too few for a 99th percentile: report the maximum. */
     bench_report("config_in_force_highest_of_20", (double)worst_ms, "ms", 3000,
                  false);
     fleet_stop(fleet);
--- a/tests/core/dispatch_test.c
+++ b/tests/core/dispatch_test.c
@@ -97,7 +97,8 @@
     env_destroy(&env);
 }
 
-/* A cancelled task that stays in the queue would start, or keep its place. */
+/* Cancelled tasks have to leave the queue: otherwise they would still start,
+ * or occupy places in it. */
 static void
 test_mass_cancellation(void)
 {
--- a/tests/fleet/fleet_process.h
+++ b/tests/fleet/fleet_process.h
@@ -1,5 +1,5 @@
-/* Runs fleet controllers as processes on a stand-in store, and plays the
- * platform that reboots the hosts whose records request it. */
+/* Runs fleet controllers as processes on a stand-in store, and emulates the
+ * platform, which reboots the hosts whose records request it. */
 #ifndef TESTS_FLEET_FLEET_PROCESS_H
 #define TESTS_FLEET_FLEET_PROCESS_H
 
@@ -17,7 +17,7 @@
 
 /**
  * struct platform_host - actual state of a host
- * @reboot_requested: its record has requested a reboot
+ * @reboot_requested: its record requests a reboot
  * @never_returns: stays down after a reboot
  * @up_at_ms: when a failure or reboot ends
  */
@@ -39,7 +39,7 @@
  * struct fleet_process - fleet of one test
  * @records: host name to struct host_record, as last read from the store
  * @disruptions: pool name to struct disruption_record, as last read
- * @sample_timer: plays the platform and reads the store
+ * @sample_timer: emulates the platform and reads the store
  * @read_pending: a read of the store has not finished
  * @budget_violations: samples that showed a pool below its budget while hosts
  *                     were admitted; a host that failed so recently that a
@@ -120,7 +120,7 @@
 fleet_process_fail_rack(struct fleet_process *fleet, const char *dc,
                         const char *rack, int64_t down_ms);
 
-/** fleet_process_stop_sampling() - stop playing the platform and reading the
+/** fleet_process_stop_sampling() - stop emulating the platform and reading the
  * store. */
 void
 fleet_process_stop_sampling(struct fleet_process *fleet);
--- a/tests/fleet/fleet_sim.h
+++ b/tests/fleet/fleet_sim.h
@@ -28,7 +28,7 @@
  * struct sim_host - actual state of a host
  * @initial_pool: pool that it joins while it has no record
  * @up: controllers see it up to host_list_lag_steps later
- * @reboot_requested: its record has asked the platform for a reboot
+ * @reboot_requested: its record requests a reboot
  * @fails_all_tasks: every task fails there until it is rebooted
  * @up_at_ms: when a failure or reboot ends
  * @draining_since_ms: when its record went into the state draining
--- a/tests/jobs/jobs_process_test.c
+++ b/tests/jobs/jobs_process_test.c
@@ -7,7 +7,7 @@
 #include "process_fixture.h"
 
 static void
-test_calm(void)
+test_without_faults(void)
 {
     run_for(3000, true);
     run_until_finished();
@@ -302,7 +302,7 @@
 }
 
 static const struct scenario scenarios[] = {
-    {"calm", test_calm},
+    {"calm", test_without_faults},
     {"holder-killed", test_leader_killed},
     {"holder-restarted", test_leader_restarted},
     {"holder-leaves", test_leader_leaves},
--- a/tests/jobs/model_state.h
+++ b/tests/jobs/model_state.h
@@ -30,7 +30,7 @@
  * @cut_from_store: it can't reach the store
  * @cut_from: backend servers that it can't reach
  * @storing: a batch is on its way to the store
- * @killed: its process is gone
+ * @killed: its process was killed
  */
 struct leader {
     struct sim *sim;
--- a/tests/jobs/process_fixture.h
+++ b/tests/jobs/process_fixture.h
@@ -50,7 +50,7 @@
 
 /**
  * struct scenario - a test, chosen by name on the command line
- * @proxied: whether a proxy stands before the store
+ * @proxied: whether the entry hosts reach the store through a proxy
  */
 struct scenario {
     const char *name;
--- a/tests/membership/model_store.h
+++ b/tests/membership/model_store.h
@@ -80,6 +80,6 @@
 void
 model_store_clear(struct model_store *store);
 void
-model_call_destroy(void *call);
+model_call_destroy(void *data);
 
 #endif
--- a/tests/store/ctl_test.c
+++ b/tests/store/ctl_test.c
@@ -2,7 +2,7 @@
  * egretctl against a stand-in store and stand-in gateways: what it reports and
  * the exit code have to agree with what the store holds, also when operators
  * race and answers get lost, and --wait must not take a generation for active
- * before the gateways use just that one.
+ * before the gateways use exactly that one.
  */
 #include <gio/gio.h>
 #include <glib/gstdio.h>
@@ -247,14 +247,14 @@
 }
 
 /* A stand-in gateway that reports the generation and id set by the test. */
-struct fake_gateway {
+struct standin_gateway {
     SoupServer *server;
     uint64_t generation;
     const char *id;
     uint16_t port;
 };
 
-static struct fake_gateway gateways[GATEWAYS];
+static struct standin_gateway gateways[GATEWAYS];
 
 static void
 on_status_request(SoupServer *server, SoupServerMessage *message,
@@ -263,7 +263,7 @@
     (void)server;
     (void)path;
     (void)query;
-    const struct fake_gateway *gateway = data;
+    const struct standin_gateway *gateway = data;
     char *text = g_strdup_printf("{\"generation\": %" G_GUINT64_FORMAT
                                  ", \"config_id\": \"%s\"}",
                                  gateway->generation, gateway->id);
@@ -273,7 +273,7 @@
 }
 
 static void
-start_gateway(struct fake_gateway *gateway)
+start_gateway(struct standin_gateway *gateway)
 {
     gateway->server = soup_server_new(NULL, NULL);
     soup_server_add_handler(gateway->server, "/v1/status", on_status_request,
