--- a/egretd/demand.c
+++ b/egretd/demand.c
@@ -2,9 +2,9 @@
 
 #include <json-glib/json-glib.h>
 
+#include "common/json_write.h"
 #include "core/dispatch_report.h"
 #include "store/store_keys.h"
-#include "common/json_write.h"
 
 enum {
     SAMPLE_INTERVAL_MS = 500,
--- a/egretd/gateway_status.c
+++ b/egretd/gateway_status.c
@@ -1,4 +1,5 @@
 #include "egretd/gateway_status.h"
+
 #include "common/json_write.h"
 
 static bool
--- a/egretd/id_querier.c
+++ b/egretd/id_querier.c
@@ -1,7 +1,7 @@
 #include "egretd/id_querier.h"
 
-#include "common/request_auth.h"
 #include "common/json_write.h"
+#include "common/request_auth.h"
 
 struct id_querier {
     struct id_querier_options options;
--- a/egretd/operator_api.c
+++ b/egretd/operator_api.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-#include "common/request_auth.h"
 #include "common/json_write.h"
+#include "common/request_auth.h"
 
 enum {
     /* The parts of /v1/ids/{team}/{id}: "", "v1", "ids", team, id. */
--- a/egretd/permit_accounts_scan.c
+++ b/egretd/permit_accounts_scan.c
@@ -1,8 +1,8 @@
 #include <string.h>
 
 #include "common/log.h"
-#include "permit_accounts_internal.h"
 #include "members_json.h"
+#include "permit_accounts_internal.h"
 #include "store/store_keys.h"
 
 enum {
--- a/egretd/registration_internal.h
+++ b/egretd/registration_internal.h
@@ -6,8 +6,8 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#include "core/quorum_lease.h"
 #include "core/members.h"
+#include "core/quorum_lease.h"
 #include "egretd/registration.h"
 
 enum {
--- a/egretfleetd/controller.c
+++ b/egretfleetd/controller.c
@@ -3,9 +3,9 @@
 
 #include "common/log.h"
 #include "common/supervisor.h"
-#include "egretfleetd/plan_executor.h"
 #include "egretfleetd/fleet_status.h"
 #include "egretfleetd/fleet_view.h"
+#include "egretfleetd/plan_executor.h"
 #include "egretfleetd/status_publisher.h"
 #include "store/store.h"
 
--- a/egretfleetd/fleet_status.c
+++ b/egretfleetd/fleet_status.c
@@ -4,8 +4,8 @@
 #include <libsoup/soup.h>
 #include <string.h>
 
-#include "common/request_auth.h"
 #include "common/json_write.h"
+#include "common/request_auth.h"
 
 struct fleet_status {
     struct fleet_status_options options;
--- a/include/egretd/claims.h
+++ b/include/egretd/claims.h
@@ -7,8 +7,8 @@
 #include <stdint.h>
 
 #include "common/ms_clock.h"
-#include "egretd/request.h"
 #include "egretd/registration.h"
+#include "egretd/request.h"
 
 enum {
     CLAIMS_ENTRIES_MAX = 100000,
--- a/include/egretd/engine.h
+++ b/include/egretd/engine.h
@@ -9,8 +9,8 @@
 #include "common/ms_clock.h"
 #include "common/settings.h"
 #include "core/dispatch.h"
-#include "egretd/request.h"
 #include "egretd/registration.h"
+#include "egretd/request.h"
 
 /** struct forward_target - "IP:port" for requests forwarded to a gateway */
 struct forward_target {
