--- a/egretd/registration_members.c
+++ b/egretd/registration_members.c
@@ -182,7 +182,7 @@
     stored->write_pending = true;
     stored->deleting_renewal = g_strdup(action->incarnation);
     stored->delete_sent_ms = registration_now(registration);
-    char *key = g_strconcat(STORE_KEY_HEARTBEATS, action->incarnation, NULL);
+    char *key = g_strconcat(STORE_KEY_RENEWALS, action->incarnation, NULL);
     store_delete(registration->options.store, key, action->version,
                  registration_callback(registration, on_renewal_deleted));
     g_free(key);
--- a/egretd/registration_renewal.c
+++ b/egretd/registration_renewal.c
@@ -72,7 +72,7 @@
 registration_renewal_start(struct registration *registration)
 {
     registration->renewal.key =
-        g_strconcat(STORE_KEY_HEARTBEATS, registration->incarnation, NULL);
+        g_strconcat(STORE_KEY_RENEWALS, registration->incarnation, NULL);
     registration->renewal.version = STORE_VERSION_ABSENT;
     registration_renewal_send(registration);
 }
@@ -109,7 +109,7 @@
 static const struct store_entry *
 find_renewal(const struct store_result *result, const char *incarnation)
 {
-    size_t prefix_bytes = strlen(STORE_KEY_HEARTBEATS);
+    size_t prefix_bytes = strlen(STORE_KEY_RENEWALS);
     for (size_t i = 0; i < result->n_entries; i++) {
         const char *key = result->entries[i].key;
         if (strlen(key) > prefix_bytes &&
@@ -165,7 +165,7 @@
     }
     registration->renewals_read_pending = true;
     registration->renewals_read_sent_ms = registration_now(registration);
-    store_get(registration->options.store, STORE_KEY_HEARTBEATS,
+    store_get(registration->options.store, STORE_KEY_RENEWALS,
               registration_callback(registration, on_others_read));
 }
 
--- a/include/store/store_keys.h
+++ b/include/store/store_keys.h
@@ -30,7 +30,7 @@
  * Lease renewals, one record per incarnation, deleted when it is fenced:
  *   {"beat": N, "lease_ms": L}
  */
-#define STORE_KEY_HEARTBEATS "egretglade/beats/"
+#define STORE_KEY_RENEWALS "egretglade/beats/"
 
 /*
  * Permits, one record per team:
