--- a/common/event_log.c
+++ b/common/event_log.c
@@ -11,8 +11,8 @@
 #include <unistd.h>
 
 enum {
-    /* Per event name; keeps the cost of writing below a tenth of a quarter
-     * core. */
+    /* Per event name; keeps the cost of writing below 2.5 % of a core (a tenth
+     * of a quarter core). */
     EVENT_LINES_PER_S_MAX = 200,
     /* Total of all events. The first lines of each event in a second are
      * exempt, so that rare events are not dropped. */
--- a/common/supervisor.c
+++ b/common/supervisor.c
@@ -97,7 +97,7 @@
             return start_remaining(supervisor, status);
         }
     }
-    status_set(status, STATUS_NOT_FOUND, "no part is named %s", name);
+    status_set(status, STATUS_NOT_FOUND, "no component is named %s", name);
     return false;
 }
 
--- a/include/common/findings.h
+++ b/include/common/findings.h
@@ -8,7 +8,7 @@
 /**
  * struct finding - one problem in a document
  * @file: name of the document
- * @path: location in the document, such as "$.teams[2].share_percent"
+ * @path: location in the document, such as "$.teams[2].share_permille"
  * @reason: what is wrong and what is expected
  */
 struct finding {
--- a/include/common/fleet_timings.h
+++ b/include/common/fleet_timings.h
@@ -19,11 +19,12 @@
  * @fail_after_ms: time unhealthy after which a host is recorded as failed
  * @recovery_ms: time healthy after which a returning host counts as available
  * @reboot_timeout_ms: longest reboot
- * @suspect_hold_ms: time a host that failed all its tasks stays out of service
- *                   before it is rebooted
+ * @suspect_hold_ms: time a healthy host that failed all its tasks stays out of
+ *                   service before it is rebooted
  * @wave_skip_ms: time failed or unhealthy after which a maintenance wave may
  *                complete without the host
- * @load_wait_max_ms: longest time a maintenance wave waits for lower demand
+ * @load_wait_max_ms: longest time a maintenance wave waits for lower demand;
+ *                    after that it disrupts one host of the pool at a time
  * @surplus_hold_ms: time a pool must have surplus hosts before it releases one
  * @demand_smoothing_ms: time constant of the moving average of the demand
  * @record_retention_ms: time a failed host must be missing from the host list
--- a/include/common/request_auth.h
+++ b/include/common/request_auth.h
@@ -11,7 +11,8 @@
  * @method, @path: of the request
  * @extra: additional text to sign, or NULL
  *
- * Returns: "<nonce>:<hex HMAC-SHA-256>", to be freed with g_free().
+ * Returns: "<nonce>:<hex HMAC-SHA-256>", to be freed with g_free(); an empty
+ * text, which no receiver accepts, if the kernel returned no random bytes.
  */
 char *
 request_auth_sign(const char *secret, const char *method, const char *path,
--- a/include/common/settings.h
+++ b/include/common/settings.h
@@ -20,9 +20,10 @@
  * @hosts_url: base URL of the platform's host list
  * @secret_file: file with the secret shared by the project's processes
  * @log_level: least severe level that is logged
- * @quorum_lease_ms: length of the quorum lease: longest time a gateway may
- *                   start work after it requested its last renewal or its
- *                   last grants by a majority (setting support_ms)
+ * @quorum_lease_ms: duration of the quorum lease (setting support_ms): how
+ *                   long a gateway may start work, counted from when it
+ *                   requested its last successful renewal at the store or
+ *                   its last grants by a majority of the gateways
  * @heartbeat_ms: interval between heartbeats to peers
  * @store_timeout_ms: deadline of one store call
  * @watch_wait_ms: longest wait of one long-poll request to the store
--- a/include/store/store_keys.h
+++ b/include/store/store_keys.h
@@ -27,8 +27,11 @@
 #define STORE_KEY_MEMBERS "egretglade/members"
 
 /*
- * Lease renewals, one record per incarnation, deleted when it is fenced:
+ * Renewals of quorum leases, one record per incarnation, deleted when it is
+ * fenced:
  *   {"beat": N, "lease_ms": L}
+ * N is the number of the write, L the longest lease of a task at a backend
+ * server.
  */
 #define STORE_KEY_RENEWALS "egretglade/beats/"
 
@@ -53,8 +56,9 @@
  * A host may drain only on an entry whose admission is above the one in its
  * host record. Starting to drain copies the number into the host record, so
  * that each entry is used once; the entry is removed afterwards. "seen" are
- * the shard versions that a controller must have read before it admits more
- * disruptions: these versions include the moves whose entries were removed.
+ * the versions of the host record shards that a controller must have read
+ * before it admits more disruptions: from these versions on, the shards show
+ * the moves whose entries were removed.
  *
  * Maintenance waves, one record each; the key is the number in decimal:
  *   {"write": "<operator or controller>:<n>",
--- a/store/config_head.c
+++ b/store/config_head.c
@@ -68,7 +68,7 @@
     g_list_free(names);
 }
 
-/* For head_members that may be empty, which json_read_string() rejects. */
+/* For members that may be empty, which json_read_string() rejects. */
 static char *
 read_optional_text(const struct json_place *place, const char *member)
 {
--- a/store/config_publish.c
+++ b/store/config_publish.c
@@ -61,6 +61,9 @@
     publish_finish(publish, &status, 0);
 }
 
+/* Decides the outcome of a head write whose response was lost: the change was
+ * active if its head is in the history; it never will be if the history has
+ * another head that replaced the same base. */
 static void
 on_history(void *ctx, const struct config_history *history)
 {
--- a/store/store_exchange.c
+++ b/store/store_exchange.c
@@ -76,8 +76,8 @@
     return text == NULL ? 0 : g_ascii_strtoull(text, NULL, 10);
 }
 
-/* Whether the body has the announced length; a truncated response doesn't
- * count as one. */
+/* Whether the body has the announced length; a truncated response is handled
+ * like a missing one. */
 static bool
 is_complete(SoupMessage *message, GBytes *body)
 {
--- a/store/store_exchange.h
+++ b/store/store_exchange.h
@@ -11,7 +11,7 @@
  * @EXCHANGE_RESPONDED: a complete response was read
  * @EXCHANGE_NOT_SENT: the request was not sent
  * @EXCHANGE_NO_RESPONSE: the request may have reached the store, but no
- * complete response was received
+ *                        complete response was received
  */
 enum exchange_outcome {
     EXCHANGE_RESPONDED,
@@ -38,9 +38,9 @@
  * @body: content to send, or NULL
  * @delay_ms: time before the exchange starts
  * @deadline_ms: time it may take from its start
- * @reuse: may use a connection that carried an exchange before. For watches
- *         only: such a connection may be dead, and libsoup repeats a PUT when
- *         it closes.
+ * @reuse: may use a connection that carried an exchange before. Only for
+ *         watches, which do not write: such a connection may be dead, and
+ *         libsoup sends a PUT again when the connection closes.
  */
 struct exchange_request {
     const char *method;
--- a/store/store_watch.c
+++ b/store/store_watch.c
@@ -68,9 +68,9 @@
             reply->http_status == SOUP_STATUS_NOT_FOUND);
 }
 
-/* The index of a wait on a single key also covers keys that begin with the
- * same text, the index of a read doesn't: waits continue from their own
- * index. */
+/* On a single key, the index of a wait also covers keys that begin with the
+ * same text, but the index of a read does not. Each wait therefore continues
+ * from the index of the wait before it. */
 static void
 on_wait_reply(struct store_watch *watch, uint64_t index)
 {
--- a/store/store_write.c
+++ b/store/store_write.c
@@ -85,9 +85,11 @@
     write_finish(write, &result);
 }
 
+/* Whether the key is as this write leaves it: with the value written at a
+ * newer version, or absent after a deletion. */
 static bool
-holds_our_value(const struct store_write *write,
-                const struct store_entry *found)
+holds_written_value(const struct store_write *write,
+                    const struct store_entry *found)
 {
     if (write->value == NULL || found == NULL) {
         return write->value == NULL && found == NULL;
@@ -123,7 +125,7 @@
 {
     const struct store_entry *found =
         present->n_entries > 0 ? &present->entries[0] : NULL;
-    if (holds_our_value(write, found) &&
+    if (holds_written_value(write, found) &&
         (write->response_lost || write->written)) {
         write_succeed(write, found == NULL ? 0 : found->version);
         return;
--- a/wire/frame.c
+++ b/wire/frame.c
@@ -2,6 +2,13 @@
 
 #include <string.h>
 
+/**
+ * struct frame_reader - splits a byte stream into frames
+ * @buffer: bytes received
+ * @start_bytes: offset of the next frame in @buffer; the bytes before it were
+ *               returned and are removed by the next frame_reader_feed()
+ * @max_bytes: largest content accepted
+ */
 struct frame_reader {
     GByteArray *buffer;
     size_t start_bytes;
--- a/wire/message.c
+++ b/wire/message.c
@@ -82,6 +82,7 @@
     return true;
 }
 
+/* Reads a text that may be empty. */
 static bool
 read_any_text(struct fields *fields, const char *name, size_t max_bytes,
               char **value)
--- a/wire/msgpack_bounds.c
+++ b/wire/msgpack_bounds.c
@@ -22,6 +22,7 @@
     return length;
 }
 
+/* Header with a length field, followed by that many bytes and @extra_bytes. */
 static struct token
 read_sized(const uint8_t *bytes, size_t size_bytes, size_t length_bytes,
            uint64_t extra_bytes)
@@ -33,6 +34,7 @@
     };
 }
 
+/* Header with a count field; each entry consists of @per_entry objects. */
 static struct token
 read_container(const uint8_t *bytes, size_t size_bytes, size_t length_bytes,
                uint64_t per_entry)
@@ -46,12 +48,15 @@
 static struct token
 read_long_token(const uint8_t *bytes, size_t size_bytes)
 {
+    /* float 32 and 64, uint 8 to 64, int 8 to 64 */
     static const uint8_t number_bytes[] = {4, 8, 1, 2, 4, 8, 1, 2, 4, 8};
     uint8_t first_byte = bytes[0];
+    /* bin 8, 16 and 32 */
     if (first_byte >= 0xc4 && first_byte <= 0xc6) {
         return read_sized(bytes, size_bytes, (size_t)1 << (first_byte - 0xc4),
                           0);
     }
+    /* ext 8, 16 and 32: one more byte for the type */
     if (first_byte >= 0xc7 && first_byte <= 0xc9) {
         return read_sized(bytes, size_bytes, (size_t)1 << (first_byte - 0xc7),
                           1);
@@ -59,21 +64,26 @@
     if (first_byte >= 0xca && first_byte <= 0xd3) {
         return (struct token){1, number_bytes[first_byte - 0xca], 0};
     }
+    /* fixext 1 to 16: one more byte for the type */
     if (first_byte >= 0xd4 && first_byte <= 0xd8) {
         return (struct token){1, ((uint64_t)1 << (first_byte - 0xd4)) + 1, 0};
     }
+    /* str 8, 16 and 32 */
     if (first_byte >= 0xd9 && first_byte <= 0xdb) {
         return read_sized(bytes, size_bytes, (size_t)1 << (first_byte - 0xd9),
                           0);
     }
+    /* array 16 and 32 */
     if (first_byte == 0xdc || first_byte == 0xdd) {
         return read_container(bytes, size_bytes, first_byte == 0xdc ? 2 : 4,
                               1);
     }
+    /* map 16 and 32 */
     if (first_byte == 0xde || first_byte == 0xdf) {
         return read_container(bytes, size_bytes, first_byte == 0xde ? 2 : 4,
                               2);
     }
+    /* Integers in the first byte, nil and booleans. */
     return (struct token){1, 0, 0};
 }
 
@@ -81,12 +91,15 @@
 read_token(const uint8_t *bytes, size_t size_bytes)
 {
     uint8_t first_byte = bytes[0];
+    /* fixmap */
     if (first_byte >= 0x80 && first_byte <= 0x8f) {
         return (struct token){1, 0, (first_byte & 0x0f) * 2};
     }
+    /* fixarray */
     if (first_byte >= 0x90 && first_byte <= 0x9f) {
         return (struct token){1, 0, first_byte & 0x0f};
     }
+    /* fixstr */
     if (first_byte >= 0xa0 && first_byte <= 0xbf) {
         return (struct token){1, first_byte & 0x1f, 0};
     }
