--- a/include/common/fleet_timings.h
+++ b/include/common/fleet_timings.h
@@ -27,8 +27,10 @@
  *                    after that it disrupts one host of the pool at a time
  * @surplus_hold_ms: time a pool must have surplus hosts before it releases one
  * @demand_smoothing_ms: time constant of the moving average of the demand
- * @record_retention_ms: time a failed host must be missing from the host list
- *                       before its record is removed
+ * @record_retention_ms: time after which data of a missing host is removed:
+ *                       the record of a host that is failed for so long and
+ *                       not in the host list, and a disruption entry of this
+ *                       age without a host record
  *
  * The names of the members in the settings are listed in fleet_timings.c.
  */
