--- a/egretctl/cmd_job.c
+++ b/egretctl/cmd_job.c
@@ -22,7 +22,7 @@
 };
 
 static void
-event_free(void *data)
+timeline_event_free(void *data)
 {
     struct timeline_event *event = data;
     g_free(event->text);
@@ -30,7 +30,7 @@
 }
 
 static int
-compare_events(const void *a, const void *b)
+compare_timeline_events(const void *a, const void *b)
 {
     const struct timeline_event *x = *(const struct timeline_event *const *)a;
     const struct timeline_event *y = *(const struct timeline_event *const *)b;
@@ -57,7 +57,7 @@
 }
 
 static void
-add_event(GPtrArray *events, const char *log_line, bool about_fleet)
+add_timeline_event(GPtrArray *events, const char *log_line, bool about_fleet)
 {
     JsonParser *parser = json_parser_new();
     JsonNode *root = json_parser_load_from_data(parser, log_line, -1, NULL)
@@ -107,7 +107,7 @@
     for (char **row = rows; *row != NULL; row++) {
         bool own = strstr(*row, id) != NULL;
         if (own || is_fleet_event(*row)) {
-            add_event(events, *row, !own);
+            add_timeline_event(events, *row, !own);
         }
     }
     g_strfreev(rows);
@@ -145,12 +145,12 @@
 command_job(struct ctl *ctl, int n_args, char **args)
 {
     (void)ctl;
-    GPtrArray *events = g_ptr_array_new_with_free_func(event_free);
+    GPtrArray *events = g_ptr_array_new_with_free_func(timeline_event_free);
     bool read = true;
     for (int i = 1; i < n_args; i++) {
         read = read_log(events, args[i], args[0]) && read;
     }
-    g_ptr_array_sort(events, compare_events);
+    g_ptr_array_sort(events, compare_timeline_events);
     print_timeline(events);
     g_ptr_array_unref(events);
     return read ? CTL_OK : CTL_REFUSED;
