--- a/core/members.c
+++ b/core/members.c
@@ -51,7 +51,7 @@
     int64_t last_next_ms;
     bool was_live;
     bool leaving;
-    unsigned faults;
+    unsigned mutations;
 };
 
 struct members *
@@ -90,9 +90,9 @@
 }
 
 void
-members_set_faults(struct members *members, unsigned faults)
+members_set_mutations(struct members *members, unsigned mutations)
 {
-    members->faults = faults;
+    members->mutations = mutations;
 }
 
 const struct members_record *
@@ -132,7 +132,7 @@
 bool
 members_committed(const struct members *members)
 {
-    if ((members->faults & MEMBERS_FAULT_NO_MAJORITY) != 0) {
+    if ((members->mutations & MEMBERS_MUTATION_NO_MAJORITY) != 0) {
         return true;
     }
     size_t n_votes = 0;
@@ -300,7 +300,7 @@
 members_grants_lease(const struct members *members, const char *peer,
                      uint64_t epoch)
 {
-    if ((members->faults & MEMBERS_FAULT_ANY_EPOCH) != 0) {
+    if ((members->mutations & MEMBERS_MUTATION_ANY_EPOCH) != 0) {
         return true;
     }
     if (!members_self_live(members) || epoch < members->record->epoch) {
@@ -506,7 +506,7 @@
     if (peer->fencing_confirmed_ms == NEVER_MS) {
         return false;
     }
-    if ((members->faults & MEMBERS_FAULT_NO_WAIT) != 0) {
+    if ((members->mutations & MEMBERS_MUTATION_NO_WAIT) != 0) {
         return true;
     }
     int64_t wait_ms =
--- a/include/core/members.h
+++ b/include/core/members.h
@@ -211,21 +211,22 @@
 members_reclaimed(struct members *members, const char *incarnation);
 
 /**
- * enum members_fault - safety mechanisms that a test can switch off
- * @MEMBERS_FAULT_NO_WAIT: reclaim permits without waiting for leases to expire
- * @MEMBERS_FAULT_ANY_EPOCH: grant leases whatever epoch the peer knows
- * @MEMBERS_FAULT_NO_MAJORITY: take every epoch for committed
+ * enum members_mutation - safety mechanisms that a test can switch off
+ * @MEMBERS_MUTATION_NO_WAIT: reclaim permits without waiting for leases to
+ *     expire
+ * @MEMBERS_MUTATION_ANY_EPOCH: grant leases whatever epoch the peer knows
+ * @MEMBERS_MUTATION_NO_MAJORITY: take every epoch for committed
  */
-enum members_fault {
-    MEMBERS_FAULT_NONE = 0,
-    MEMBERS_FAULT_NO_WAIT = 1 << 0,
-    MEMBERS_FAULT_ANY_EPOCH = 1 << 1,
-    MEMBERS_FAULT_NO_MAJORITY = 1 << 2,
+enum members_mutation {
+    MEMBERS_MUTATION_NONE = 0,
+    MEMBERS_MUTATION_NO_WAIT = 1 << 0,
+    MEMBERS_MUTATION_ANY_EPOCH = 1 << 1,
+    MEMBERS_MUTATION_NO_MAJORITY = 1 << 2,
 };
 
-/** members_set_faults() - for tests only: switch off the mechanisms in
- * @faults, a bit mask of enum members_fault. */
+/** members_set_mutations() - for tests only: switch off the mechanisms in
+ * @mutations, a bit mask of enum members_mutation. */
 void
-members_set_faults(struct members *members, unsigned faults);
+members_set_mutations(struct members *members, unsigned mutations);
 
 #endif
--- a/tests/membership/model.h
+++ b/tests/membership/model.h
@@ -7,7 +7,7 @@
 /**
  * enum model_mutation - safety mechanisms that a run switches off
  * @MODEL_MUTATION_NO_WAIT, @MODEL_MUTATION_ANY_EPOCH,
- * @MODEL_MUTATION_NO_MAJORITY: the same bits as in enum members_fault
+ * @MODEL_MUTATION_NO_MAJORITY: the same bits as in enum members_mutation
  * @MODEL_MUTATION_NO_LEASE_CHECK: start tasks while registered, even without a
  *     quorum lease
  * @MODEL_MUTATION_HOLDING_AS_STORED: use the holding in the last record read,
--- a/tests/membership/model_node.c
+++ b/tests/membership/model_node.c
@@ -39,7 +39,7 @@
         .quorum_lease_ms = MODEL_QUORUM_LEASE_MS,
         .fence_after_ms = MODEL_QUORUM_LEASE_MS,
     });
-    members_set_faults(node->members, model->mutations & 7);
+    members_set_mutations(node->members, model->mutations & 7);
     node->quorum_lease =
         quorum_lease_create(node->incarnation, MODEL_QUORUM_LEASE_MS);
     node->permits = permits_create(node->incarnation);
