--- a/core/dispatch_peers.c
+++ b/core/dispatch_peers.c
@@ -251,7 +251,7 @@
 }
 
 void
-dispatch_peer_gone(struct dispatch *dispatch, const char *peer_name)
+dispatch_peer_removed(struct dispatch *dispatch, const char *peer_name)
 {
     struct peer *peer = g_hash_table_lookup(dispatch->peers, peer_name);
     if (peer != NULL) {
--- a/core/jobs/hosts.c
+++ b/core/jobs/hosts.c
@@ -66,7 +66,7 @@
     backend->leases_expire_ms = 0;
     backend->unreconciled = false;
     backend->unresponsive = true;
-    scheduler_backend_gone(sched, backend->entry.id);
+    scheduler_backend_removed(sched, backend->entry.id);
 }
 
 /* The host is back after a command, or has restarted by itself. */
--- a/core/jobs/scheduler_backends.c
+++ b/core/jobs/scheduler_backends.c
@@ -70,8 +70,8 @@
 }
 
 void
-scheduler_backend_seen(struct scheduler *sched,
-                       const struct backend_entry *entry)
+scheduler_backend_updated(struct scheduler *sched,
+                          const struct backend_entry *entry)
 {
     struct backend *backend = scheduler_find_backend(sched, entry->id);
     if (backend == NULL) {
@@ -98,7 +98,7 @@
 }
 
 void
-scheduler_backend_gone(struct scheduler *sched, const char *id)
+scheduler_backend_removed(struct scheduler *sched, const char *id)
 {
     struct backend *backend = scheduler_find_backend(sched, id);
     if (backend == NULL || !backend->listed) {
--- a/core/jobs/scheduler_reports.c
+++ b/core/jobs/scheduler_reports.c
@@ -295,7 +295,7 @@
         struct backend_entry *entry = backend_entry_copy(&backend->entry);
         entry->incarnation_start_ms = report->incarnation_start_ms;
         bool listed = backend->listed;
-        scheduler_backend_seen(sched, entry);
+        scheduler_backend_updated(sched, entry);
         backend->listed = listed;
         backend_entry_destroy(entry);
         backend->report_due_ms = 0;
--- a/egretd/membership.c
+++ b/egretd/membership.c
@@ -246,7 +246,7 @@
 on_down(void *ctx, const char *peer)
 {
     struct membership *membership = ctx;
-    dispatch_peer_gone(dispatch_of(membership), peer);
+    dispatch_peer_removed(dispatch_of(membership), peer);
 }
 
 static uint32_t
--- a/egretjobd/leader_load.c
+++ b/egretjobd/leader_load.c
@@ -68,14 +68,14 @@
 {
     struct backend_entry entry;
     if (item->deleted || item->value == NULL) {
-        scheduler_backend_gone(leader->sched, id);
+        scheduler_backend_removed(leader->sched, id);
         return;
     }
     g_hash_table_add(leader->listed_ids, g_strdup(id));
     if (!decode_backend(id, item->value, item->value_bytes, &entry)) {
         return;
     }
-    scheduler_backend_seen(leader->sched, &entry);
+    scheduler_backend_updated(leader->sched, &entry);
     backend_entry_clear(&entry);
 }
 
@@ -253,7 +253,7 @@
     for (guint i = 0; i < ids->len; i++) {
         const char *id = g_ptr_array_index(ids, i);
         if (!g_hash_table_contains(leader->listed_ids, id)) {
-            scheduler_backend_gone(leader->sched, id);
+            scheduler_backend_removed(leader->sched, id);
         }
     }
     g_ptr_array_unref(ids);
--- a/include/core/dispatch.h
+++ b/include/core/dispatch.h
@@ -269,9 +269,9 @@
                     const struct dispatch_usage *entries, size_t n_entries,
                     int64_t now_ms);
 
-/** dispatch_peer_gone() - discard the usage that @peer_name reported. */
+/** dispatch_peer_removed() - discard the usage that @peer_name reported. */
 void
-dispatch_peer_gone(struct dispatch *dispatch, const char *peer_name);
+dispatch_peer_removed(struct dispatch *dispatch, const char *peer_name);
 
 /** struct dispatch_explanation - why a queue waits, for operators */
 struct dispatch_explanation {
--- a/include/core/jobs/scheduler.h
+++ b/include/core/jobs/scheduler.h
@@ -238,15 +238,16 @@
 scheduler_set_outage(struct scheduler *sched, bool outage);
 
 /**
- * scheduler_backend_seen() - an entry of the host list is new or has changed.
+ * scheduler_backend_updated() - an entry was added to the host list or
+ * changed.
  */
 void
-scheduler_backend_seen(struct scheduler *sched,
-                       const struct backend_entry *entry);
+scheduler_backend_updated(struct scheduler *sched,
+                          const struct backend_entry *entry);
 
-/** scheduler_backend_gone() - an entry left the host list. */
+/** scheduler_backend_removed() - an entry was removed from the host list. */
 void
-scheduler_backend_gone(struct scheduler *sched, const char *id);
+scheduler_backend_removed(struct scheduler *sched, const char *id);
 
 /**
  * scheduler_backend_inherited() - add a backend server on which a previous
--- a/tests/core/dispatch_property_test.c
+++ b/tests/core/dispatch_property_test.c
@@ -371,7 +371,7 @@
         .free_permits = random_below(&model->random, 3),
     };
     if (random_below(&model->random, 10) == 0) {
-        dispatch_peer_gone(model->dispatch, "peer");
+        dispatch_peer_removed(model->dispatch, "peer");
         return;
     }
     dispatch_peer_usage(model->dispatch, "peer", &entry, 1, model->now_ms);
--- a/tests/core/dispatch_test.c
+++ b/tests/core/dispatch_test.c
@@ -378,7 +378,7 @@
     dispatch_peer_usage(env.dispatch, "peer", &full, 1, 0);
     submit(&env, 0);
     CU_ASSERT_EQUAL(count_starts(&env, 0), 0);
-    dispatch_peer_gone(env.dispatch, "peer");
+    dispatch_peer_removed(env.dispatch, "peer");
     CU_ASSERT_EQUAL(count_starts(&env, 100), 1);
     env_destroy(&env);
     dispatch_destroy(dispatch);
--- a/tests/jobs/fleet_fixture.c
+++ b/tests/jobs/fleet_fixture.c
@@ -195,7 +195,7 @@
         .capacity = {.cpu_milli = 16000, .mem_mb = 64000},
         .draining = draining,
     };
-    scheduler_backend_seen(fixture->sched, &entry);
+    scheduler_backend_updated(fixture->sched, &entry);
 }
 
 void
--- a/tests/jobs/model_leader.c
+++ b/tests/jobs/model_leader.c
@@ -214,7 +214,7 @@
             sim->mutation != MUTATION_NO_REGISTRATION) {
             scheduler_backend_inherited(leader->sched, &entry, LEASE_MAX_MS);
         }
-        scheduler_backend_seen(leader->sched, &entry);
+        scheduler_backend_updated(leader->sched, &entry);
     }
     for (int i = 0; i < BACKEND_COUNT; i++) {
         leader->cut_from[i] = faults_active(sim) && chance(sim, 0.15);
