--- a/core/dispatch.c
+++ b/core/dispatch.c
@@ -1,4 +1,4 @@
-/* Creation of dispatchers, submission and cancellation of tasks. */
+/* Creation of dispatchers, acceptance and cancellation of tasks. */
 #include "core/dispatch.h"
 
 #include "core/share_plan.h"
--- a/include/egretjobd/acceptor.h
+++ b/include/egretjobd/acceptor.h
@@ -21,7 +21,7 @@
                 struct job_reply reply);
 
 /**
- * acceptor_answer_pending() - reply to all open submissions before the process
+ * acceptor_answer_pending() - reply to all open requests before the process
  * exits: 504 if the job may be stored, else 503
  */
 void
--- a/standins/jobs/job_caller.c
+++ b/standins/jobs/job_caller.c
@@ -27,7 +27,7 @@
 
 /**
  * struct tracked_job - a job that has not ended
- * @cancel_ms: how long after its submission it is cancelled; 0: never
+ * @cancel_ms: how long after its arrival it is cancelled; 0: never
  * @uncertain: an attempt got no answer, or one that leaves open whether the
  * job will run
  */
--- a/standins/jobs/job_caller.h
+++ b/standins/jobs/job_caller.h
@@ -15,7 +15,7 @@
  * @key: key of a client account, or NULL on an open queue
  * @objective_ms: objective of the completion time
  * @refused: jobs given up before they were accepted
- * @times_ms: int64_t, time from submission to completion of each job
+ * @times_ms: int64_t, time from arrival to completion of each job
  */
 struct caller_queue {
     const char *name;
@@ -58,7 +58,7 @@
 uint32_t
 job_caller_pending(const struct job_caller *caller);
 
-/** job_caller_answered() - number of submissions that got an answer. */
+/** job_caller_answered() - number of POST requests that got an answer. */
 uint32_t
 job_caller_answered(const struct job_caller *caller);
 
--- a/standins/jobs/jobs_load.c
+++ b/standins/jobs/jobs_load.c
@@ -27,7 +27,7 @@
 /**
  * struct queue_load - load of one queue
  * @per_second: jobs submitted per second
- * @cancel_ms: how long after its submission a job is cancelled; 0: never
+ * @cancel_ms: how long after its arrival a job is cancelled; 0: never
  */
 struct queue_load {
     struct caller_queue queue;
--- a/tests/core/dispatch_property_test.c
+++ b/tests/core/dispatch_property_test.c
@@ -1,5 +1,5 @@
 /*
- * Invariants of the dispatcher under random schedules: submissions, attempt
+ * Invariants of the dispatcher under random schedules: arrivals, attempt
  * results, cancellations, changes of configuration, hosts and permits, peers,
  * and expiry of the quorum lease. Guards against starts that are not allowed
  * (host gone or draining, data centre out of service, key withdrawn, permits
--- a/tests/core/gateway_sim.h
+++ b/tests/core/gateway_sim.h
@@ -45,7 +45,7 @@
  * @refused_on_submit: tasks refused by dispatch_submit()
  * @refused_in_queue: tasks refused later
  * @busy_slot_ms: time for which its tasks have used slots
- * @wait_max_ms: longest time from submission to start
+ * @wait_max_ms: longest time from arrival to start
  */
 struct sim_team {
     uint64_t submitted;
@@ -78,7 +78,7 @@
     uint64_t host_starts[SIM_HOSTS_MAX];
     /* Open attempts, of struct sim_attempt. */
     GArray *attempts;
-    /* Team and time of submission, by task number. */
+    /* Team and arrival time, by task number. */
     GArray *task_teams;
     GArray *task_submit_times;
     struct sim_team teams[SIM_TEAMS_MAX];
